--- a/src/scalewood/core/agree/elect.rs
+++ b/src/scalewood/core/agree/elect.rs
@@ -1,18 +1,18 @@
-//! Elections: who leads a term.
+//! Leader election: pre-vote, voting and leadership transfer.
 
 use std::time::Duration;
 
 use crate::core::{
     agree::{
-        message::{Ask, Message, Vote},
+        message::{Message, Vote, VoteRequest},
         Node, Outcome, Role, State, Term, Voter, Write,
     },
     invariant,
 };
 
 impl<S: State> Voter<S> {
-    /// Asks whether it could win, or (`real`) for votes.
-    pub(super) fn stand(&mut self, real: bool, now: Duration) {
+    /// Starts an election if this node is a voter, with a pre-vote first unless `real` is set.
+    pub(super) fn start_election(&mut self, real: bool, now: Duration) {
         self.reset_election(now);
         if !self.is_voter() {
             return;
@@ -20,6 +20,8 @@
         self.campaign(real, false, now);
     }
 
+    /// Requests the votes of all other voters: binding ones in a new term if `real`, else
+    /// pre-votes, which change neither term nor vote. `handed_over` marks a leadership transfer.
     fn campaign(&mut self, real: bool, handed_over: bool, now: Duration) {
         if real {
             self.set_term(self.term.next(), Some(self.own.clone()));
@@ -29,62 +31,71 @@
             real,
             votes: vec![self.own.clone()],
         };
-        let (last, last_term) = (self.log.last(), self.log.last_term());
-        let ask = Ask {
+        let (last, last_term) = (self.log.last_index(), self.log.last_term());
+        let request = VoteRequest {
             real,
             handed_over,
             term,
             last,
             last_term,
         };
-        for peer in self.log.members().voters_but(&self.own) {
-            self.output.sends.push((peer, Message::Ask(ask.clone())));
+        for peer in self.log.members().voters_except(&self.own) {
+            self.output
+                .sends
+                .push((peer, Message::Ask(request.clone())));
         }
         self.count_votes(now);
     }
 
+    /// Sets the term and the vote cast in it, and persists both.
     pub(super) fn set_term(&mut self, term: Term, voted: Option<Node>) {
         self.term = term;
-        self.voted = voted.clone();
+        self.voted_for = voted.clone();
         self.output.writes.push(Write::Vote(term, voted));
     }
 
-    pub(super) fn asked_for_vote(&mut self, from: Node, ask: Ask, now: Duration) {
-        // Neither the candidate nor this node itself need be known as a voter here: this
-        // node may lag behind the entry that made them so. A candidate counts only the
-        // votes of the identities that are voters in its own log.
-        let served = !ask.handed_over && self.hears_leader(now);
-        if served {
+    /// Handles a vote request. A voter that has heard from a leader within the shortest election
+    /// timeout ignores it, unless that leader has transferred its leadership.
+    pub(super) fn handle_vote_request(&mut self, from: Node, request: VoteRequest, now: Duration) {
+        // Neither the candidate nor this node has to be a voter in this node's log, which may
+        // not yet hold the entry that made them voters. A candidate counts only votes from
+        // identities that are voters in its own log.
+        let ignored = !request.handed_over && self.has_live_leader(now);
+        if ignored {
             return;
         }
-        if ask.real && ask.term > self.term {
-            self.follow(ask.term, None, now);
-        }
-        let fresh = (ask.last_term, ask.last) >= (self.log.last_term(), self.log.last());
-        let free = ask.term > self.term
-            || (ask.term == self.term && self.voted.as_ref().is_none_or(|voted| *voted == from));
-        let granted = fresh && free;
-        if granted && ask.real {
-            self.set_term(ask.term, Some(from.clone()));
+        if request.real && request.term > self.term {
+            self.become_follower(request.term, None, now);
+        }
+        let up_to_date =
+            (request.last_term, request.last) >= (self.log.last_term(), self.log.last_index());
+        let vote_available = request.term > self.term
+            || (request.term == self.term
+                && self.voted_for.as_ref().is_none_or(|voted| *voted == from));
+        let granted = up_to_date && vote_available;
+        if granted && request.real {
+            self.set_term(request.term, Some(from.clone()));
             self.reset_election(now);
         }
-        let term = if granted { ask.term } else { self.term };
+        let term = if granted { request.term } else { self.term };
         let vote = Vote {
-            real: ask.real,
+            real: request.real,
             term,
             granted,
         };
         self.output.sends.push((from, Message::Vote(vote)));
     }
 
-    /// Whether a leader was heard so lately that its lease may still run.
-    fn hears_leader(&self, now: Duration) -> bool {
-        self.is_leader() || now < self.heard + self.settings.election
+    /// Returns whether a leader's lease may still be valid: this node leads, or it has heard from
+    /// a leader within the shortest election timeout.
+    fn has_live_leader(&self, now: Duration) -> bool {
+        self.is_leader() || now < self.leader_heard_at + self.settings.election
     }
 
-    pub(super) fn got_vote(&mut self, from: Node, vote: Vote, now: Duration) {
+    /// Handles the answer to a vote request.
+    pub(super) fn handle_vote(&mut self, from: Node, vote: Vote, now: Duration) {
         if vote.term > self.term && !vote.granted {
-            self.follow(vote.term, None, now);
+            self.become_follower(vote.term, None, now);
             return;
         }
         let expected = if vote.real {
@@ -102,6 +113,8 @@
         self.count_votes(now);
     }
 
+    /// Moves to the next phase once a majority has granted its votes: from the pre-vote to the
+    /// election, or from the election to leadership.
     fn count_votes(&mut self, now: Duration) {
         let Role::Candidate { real, votes } = &self.role else {
             return;
@@ -112,17 +125,17 @@
             return;
         }
         if *real {
-            self.take_the_lead(now);
+            self.become_leader(now);
         } else {
             self.campaign(true, false, now);
         }
     }
 
-    /// Becomes a follower in a term.
-    pub(super) fn follow(&mut self, term: Term, leader: Option<Node>, now: Duration) {
+    /// Becomes a follower in a term. A leader answers its open proposals as unknown.
+    pub(super) fn become_follower(&mut self, term: Term, leader: Option<Node>, now: Duration) {
         if let Role::Leader { tickets, .. } = &mut self.role {
-            let lost = std::mem::take(tickets);
-            let unknown = lost
+            let open_tickets = std::mem::take(tickets);
+            let unknown = open_tickets
                 .into_iter()
                 .map(|(_, ticket)| (ticket, Outcome::Unknown));
             self.output.answers.extend(unknown);
@@ -135,8 +148,9 @@
         }
     }
 
-    /// Notes a leader's message; false if it is not from the term's leader.
-    pub(super) fn heed(&mut self, from: &Node, term: Term, now: Duration) -> bool {
+    /// Records contact from a leader. Returns false for a leader of an earlier term, whose
+    /// message is to be rejected.
+    pub(super) fn accept_leader(&mut self, from: &Node, term: Term, now: Duration) -> bool {
         if term < self.term {
             return false;
         }
@@ -149,46 +163,49 @@
             leader: Some(leader),
         } = &self.role
         {
-            let same = term > self.term || leader == from;
-            invariant::check(same, invariant::Rule::OneLeader, || {
+            let is_only_leader = term > self.term || leader == from;
+            invariant::check(is_only_leader, invariant::Rule::OneLeader, || {
                 format!("{from} leads term {term} beside {leader}")
             });
         }
-        self.follow(term, Some(from.clone()), now);
-        self.heard = now;
+        self.become_follower(term, Some(from.clone()), now);
+        self.leader_heard_at = now;
         self.reset_election(now);
         true
     }
 
-    pub(super) fn told_to_stand(&mut self, term: Term, now: Duration) {
+    /// Starts an election at once, without a pre-vote: the leader transfers its leadership.
+    pub(super) fn handle_timeout_now(&mut self, term: Term, now: Duration) {
         if term == self.term && self.is_voter() && !self.is_leader() {
             self.reset_election(now);
             self.campaign(true, true, now);
         }
     }
 
-    /// Tells the follower that is furthest to stand, and stops leading.
-    pub(super) fn hand_over(&mut self, now: Duration) {
+    /// Transfers leadership: tells the voter that answered most recently to start an election,
+    /// and steps down.
+    pub(super) fn transfer_leadership(&mut self, now: Duration) {
         let Role::Leader { peers, .. } = &self.role else {
             return;
         };
         let members = self.log.members();
         let voters = peers.iter().filter(|(node, _)| members.is_voter(node));
-        let furthest = voters.max_by_key(|(_, progress)| (progress.answered, progress.matched));
-        if let Some((node, _)) = furthest {
+        let successor =
+            voters.max_by_key(|(_, progress)| (progress.acked_send_time, progress.matched));
+        if let Some((node, _)) = successor {
             self.output
                 .sends
                 .push((node.clone(), Message::Stand(self.term)));
         }
-        self.follow(self.term, None, now);
+        self.become_follower(self.term, None, now);
     }
 
-    /// A leader that its members no longer hold stops once that is committed.
+    /// Steps down as leader once this node's removal from the voters is committed.
     pub(super) fn step_down_if_removed(&mut self) {
-        let committed = self.log.members_at() <= self.committed;
+        let committed = self.log.members_index() <= self.committed;
         if self.is_leader() && !self.is_voter() && committed {
-            let heard = self.heard;
-            self.follow(self.term, None, heard);
+            let heard = self.leader_heard_at;
+            self.become_follower(self.term, None, heard);
         }
     }
 }
--- a/src/scalewood/core/agree/log.rs
+++ b/src/scalewood/core/agree/log.rs
@@ -17,7 +17,7 @@
 pub struct Index(pub u64);
 
 impl Index {
-    /// The index after this one.
+    /// Returns the index after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -30,7 +30,7 @@
     }
 }
 
-/// A term: the time of at most one leader.
+/// A term: an election period with at most one leader.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -38,7 +38,7 @@
 pub struct Term(pub u64);
 
 impl Term {
-    /// The term after this one.
+    /// Returns the term after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -51,30 +51,30 @@
     }
 }
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Payload<C> {
-    /// Nothing: the first entry of a leader's term.
+    /// No operation: the first entry of each leader's term.
     Empty,
     /// A command.
     Command(C),
-    /// The members from this entry on.
+    /// A membership, in force from this entry on, committed or not.
     Members(Members),
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry<C> {
-    /// Its position.
+    /// Its position in the log.
     pub index: Index,
-    /// The term of the leader that made it.
+    /// The term of the leader that created it.
     pub term: Term,
-    /// What it holds.
+    /// Its content.
     pub payload: Payload<C>,
 }
 
-/// The state after some entry, in place of the log up to there.
+/// The state after an entry; replaces the log up to and including that entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(bound = "S: State")]
 pub struct Snapshot<S: State> {
@@ -82,38 +82,38 @@
     pub index: Index,
     /// That entry's term.
     pub term: Term,
-    /// The members as of that entry.
+    /// The membership as of that entry.
     pub members: Members,
     /// The state after that entry.
     pub state: S,
 }
 
-/// Something to be made durable.
+/// A record to be made durable.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", bound = "S: State")]
 pub enum Write<S: State> {
-    /// The term, and whom this node votes for in it.
+    /// The current term, and the node that this one voted for in it.
     Vote(Term, Option<Node>),
-    /// Entries at the end of the log.
+    /// Entries appended to the log.
     Append(Vec<Entry<S::Command>>),
-    /// The entries from an index on are void.
+    /// Removal of all entries from an index on.
     Truncate(Index),
-    /// A snapshot in place of the entries that it covers.
+    /// This node's own snapshot, which replaces the entries that it covers.
     Snapshot(Snapshot<S>),
-    /// A leader's snapshot in place of the whole log.
+    /// A snapshot received from the leader, which replaces the whole log.
     Restart(Snapshot<S>),
 }
 
-/// What a voter finds on its disk.
+/// The durable state that a voter restarts from.
 #[derive(Clone, Debug)]
 pub struct Kept<S: State> {
-    /// The last term.
+    /// The latest term.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The node that it voted for in that term.
     pub voted: Option<Node>,
-    /// The last snapshot.
+    /// The latest snapshot.
     pub snapshot: Snapshot<S>,
-    /// The entries after it.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry<S::Command>>,
 }
 
@@ -134,22 +134,22 @@
 }
 
 impl<S: State> Kept<S> {
-    /// What the first voter of a new system starts from.
+    /// Returns the initial state of the first voter of a new cluster.
     pub fn first(node: Node, address: std::net::SocketAddr) -> Self {
         let mut kept = Self::default();
         kept.snapshot.members = Members::of_one(node, address);
         kept
     }
 
-    /// What each voter of a new system starts from, where all of them are known
-    /// beforehand.
+    /// Returns the initial state of each voter of a new cluster whose voters are all known in
+    /// advance.
     pub fn formed(members: Members) -> Self {
         let mut kept = Self::default();
         kept.snapshot.members = members;
         kept
     }
 
-    /// Replays a write.
+    /// Applies a write that was read back from disk.
     pub fn replay(&mut self, write: Write<S>) {
         match write {
             Write::Vote(term, voted) => (self.term, self.voted) = (term, voted),
@@ -167,7 +167,7 @@
     }
 }
 
-/// A snapshot and the entries after it.
+/// The log in memory: a snapshot, the entries after it and the current membership.
 #[derive(Debug)]
 pub(super) struct Log<S: State> {
     snapshot: Snapshot<S>,
@@ -187,11 +187,12 @@
         log
     }
 
-    /// The members of the latest entry that sets them, committed or not.
+    /// Returns the current membership: that of the latest membership entry, committed or not.
     pub(super) fn members(&self) -> &Members {
         &self.members
     }
 
+    /// Recomputes the current membership after the entries have changed.
     fn refresh_members(&mut self) {
         let latest = self
             .entries
@@ -204,58 +205,62 @@
         self.members = latest.unwrap_or(&self.snapshot.members).clone();
     }
 
-    /// The index of the latest entry that sets the members.
-    pub(super) fn members_at(&self) -> Index {
-        let sets = |entry: &&Entry<S::Command>| matches!(entry.payload, Payload::Members(_));
+    /// Returns the index of the latest membership entry, or of the snapshot if there is none.
+    pub(super) fn members_index(&self) -> Index {
+        let is_membership =
+            |entry: &&Entry<S::Command>| matches!(entry.payload, Payload::Members(_));
         self.entries
             .iter()
             .rev()
-            .find(sets)
+            .find(is_membership)
             .map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// The members as of an entry.
+    /// Returns the membership that was in force as of an entry.
     pub(super) fn members_as_of(&self, index: Index) -> Members {
-        let until = self
+        let up_to_index = self
             .entries
             .iter()
             .rev()
             .filter(|entry| entry.index <= index);
-        let mut sets = until.filter_map(|entry| match &entry.payload {
+        let mut memberships = up_to_index.filter_map(|entry| match &entry.payload {
             Payload::Members(members) => Some(members),
             Payload::Empty | Payload::Command(_) => None,
         });
-        sets.next().unwrap_or(&self.snapshot.members).clone()
+        memberships.next().unwrap_or(&self.snapshot.members).clone()
     }
 
+    /// Returns the snapshot that the log starts from.
     pub(super) fn snapshot(&self) -> &Snapshot<S> {
         &self.snapshot
     }
 
-    /// The last entry's index.
-    pub(super) fn last(&self) -> Index {
+    /// Returns the index of the last entry, or of the snapshot if there are no entries.
+    pub(super) fn last_index(&self) -> Index {
         self.entries
             .back()
             .map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// The last entry's term.
+    /// Returns the term of the last entry, or of the snapshot if there are no entries.
     pub(super) fn last_term(&self) -> Term {
         self.entries
             .back()
             .map_or(self.snapshot.term, |entry| entry.term)
     }
 
+    /// Returns where an entry is among those after the snapshot; none if the snapshot covers it.
     fn position(&self, index: Index) -> Option<usize> {
         let offset = index.0.checked_sub(self.snapshot.index.0 + 1)?;
         usize::try_from(offset).ok()
     }
 
+    /// Returns the entry at an index, if it is in the log and not covered by the snapshot.
     pub(super) fn get(&self, index: Index) -> Option<&Entry<S::Command>> {
         self.entries.get(self.position(index)?)
     }
 
-    /// The term at an index, if it is known.
+    /// Returns the term of the entry at an index, which may be the snapshot's last entry.
     pub(super) fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -263,25 +268,26 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// The entries from an index on, at most `most`.
-    pub(super) fn from(&self, index: Index, most: usize) -> Vec<Entry<S::Command>> {
+    /// Returns up to `max_entries` entries from an index on.
+    pub(super) fn entries_from(&self, index: Index, max_entries: usize) -> Vec<Entry<S::Command>> {
         let Some(position) = self.position(index) else {
             return Vec::new();
         };
         self.entries
             .iter()
             .skip(position)
-            .take(most)
+            .take(max_entries)
             .cloned()
             .collect()
     }
 
+    /// Appends entries, which must follow the last one.
     pub(super) fn append(&mut self, entries: Vec<Entry<S::Command>>) {
         self.entries.extend(entries);
         self.refresh_members();
     }
 
-    /// Drops the entries from an index on.
+    /// Removes the entries from an index on, none of which may be committed.
     pub(super) fn truncate(&mut self, from: Index, committed: Index) {
         invariant::check(from > committed, invariant::Rule::CommittedStays, || {
             format!("entries from {from} on are dropped while {committed} is committed")
@@ -292,7 +298,7 @@
         self.refresh_members();
     }
 
-    /// Puts a snapshot in place of the entries that it covers.
+    /// Replaces the entries that a snapshot covers by the snapshot.
     pub(super) fn compact(&mut self, snapshot: Snapshot<S>) {
         while self
             .entries
@@ -304,8 +310,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Puts a snapshot in place of everything.
-    pub(super) fn restart(&mut self, snapshot: Snapshot<S>) {
+    /// Replaces the whole log by a snapshot.
+    pub(super) fn reset_to(&mut self, snapshot: Snapshot<S>) {
         self.entries.clear();
         self.members = snapshot.members.clone();
         self.snapshot = snapshot;
--- a/src/scalewood/core/agree/members.rs
+++ b/src/scalewood/core/agree/members.rs
@@ -1,13 +1,14 @@
-//! Members: voters and learners, changed one at a time.
+//! Cluster membership: voters and learners, changed one at a time.
 //!
-//! A change of one voter keeps every old majority in touch with every new one. It
-//! holds from the moment that it stands in the log. The next may follow only once it
-//! is committed, and only after the leader has committed something in its own term.
+//! When only one voter changes, every majority of the old membership overlaps with every
+//! majority of the new one. A change takes effect as soon as it is in the log. The next one may
+//! follow only once it is committed, and only after the leader has committed an entry of its own
+//! term.
 //!
-//! A box whose folder was lost comes back in three steps: its new identity is added
-//! as a learner, the old identity is removed, and the leader makes the learner a
-//! voter once it has caught up. Between the last two there is one voter less, so that
-//! a second loss may stop changes, but never lets one be lost.
+//! A box that has lost its data folder returns in three steps: its new identity is added as a
+//! learner, the old identity is removed, and the leader promotes the learner to a voter once it
+//! has caught up. Between the last two steps there is one voter fewer: losing a second voter
+//! then may block changes, but no committed change is lost.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -15,18 +16,18 @@
 
 use crate::core::agree::{Index, Node, Outcome, Payload, Role, State, Ticket, Voter};
 
-/// The voters and learners.
+/// The voters and learners of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Voters and where they are reached.
+    /// The voters with their addresses.
     #[serde(with = "pairs")]
     voters: BTreeMap<Node, SocketAddr>,
-    /// Learners and where they are reached.
+    /// The learners with their addresses.
     #[serde(with = "pairs")]
     learners: BTreeMap<Node, SocketAddr>,
 }
 
-/// A change of the members.
+/// A membership change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Request {
@@ -37,7 +38,7 @@
 }
 
 impl Members {
-    /// The members of a new system.
+    /// Returns the membership of a new cluster with a single voter.
     pub fn of_one(node: Node, address: SocketAddr) -> Self {
         Self {
             voters: BTreeMap::from([(node, address)]),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The members of a new system whose voters are all known beforehand.
+    /// Returns the membership of a new cluster whose voters are all known in advance.
     pub fn of_all(voters: impl IntoIterator<Item = (Node, SocketAddr)>) -> Self {
         Self {
             voters: voters.into_iter().collect(),
@@ -53,32 +54,33 @@
         }
     }
 
-    /// Whether a node votes.
+    /// Returns whether a node is a voter.
     pub fn is_voter(&self, node: &Node) -> bool {
         self.voters.contains_key(node)
     }
 
-    /// Whether a node learns.
+    /// Returns whether a node is a learner.
     pub fn is_learner(&self, node: &Node) -> bool {
         self.learners.contains_key(node)
     }
 
-    /// The voters.
+    /// Returns the voters.
     pub fn voters(&self) -> impl Iterator<Item = &Node> {
         self.voters.keys()
     }
 
-    /// The learners.
+    /// Returns the learners.
     pub fn learners(&self) -> impl Iterator<Item = &Node> {
         self.learners.keys()
     }
 
-    /// Where each member is reached.
+    /// Returns the address of each voter and learner.
     pub fn addresses(&self) -> impl Iterator<Item = (&Node, &SocketAddr)> {
         self.voters.iter().chain(&self.learners)
     }
 
-    pub(super) fn voters_but(&self, node: &Node) -> Vec<Node> {
+    /// Returns all voters except one node.
+    pub(super) fn voters_except(&self, node: &Node) -> Vec<Node> {
         self.voters
             .keys()
             .filter(|voter| *voter != node)
@@ -86,7 +88,8 @@
             .collect()
     }
 
-    pub(super) fn all_but(&self, node: &Node) -> Vec<Node> {
+    /// Returns all voters and learners except one node.
+    pub(super) fn members_except(&self, node: &Node) -> Vec<Node> {
         self.addresses()
             .map(|(member, _)| member)
             .filter(|m| *m != node)
@@ -94,25 +97,27 @@
             .collect()
     }
 
-    /// How many voters are a majority.
+    /// Returns how many voters make a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// The members after a change, or why it can't be made.
+    /// Returns the membership after a change, or why the change is refused.
     pub(super) fn changed(&self, request: &Request) -> Result<Self, String> {
         let mut members = self.clone();
         match request {
             Request::Add(node, address) => {
                 if self.is_voter(node) || self.is_learner(node) {
-                    return Err(format!("{node} is a member already"));
+                    return Err(format!("{node} is already a member"));
                 }
                 members.learners.insert(node.clone(), *address);
             }
             Request::Remove(node) => {
                 let learner = members.learners.remove(node).is_some();
                 if !learner && members.voters.remove(node).is_none() {
-                    return Err(format!("{node} is no member; see `scalewood voter list`"));
+                    return Err(format!(
+                        "{node} is not a member; see `scalewood voter list`"
+                    ));
                 }
                 if members.voters.is_empty() {
                     return Err(format!("{node} is the only voter; add another first"));
@@ -122,6 +127,7 @@
         Ok(members)
     }
 
+    /// Returns the membership with a learner made a voter.
     fn promoted(&self, node: &Node) -> Self {
         let mut members = self.clone();
         if let Some(address) = members.learners.remove(node) {
@@ -132,6 +138,7 @@
 }
 
 impl<S: State> Voter<S> {
+    /// Handles an operator's membership change.
     pub(super) fn change_members(&mut self, ticket: Ticket, request: Request, now: Duration) {
         let answer = |voter: &mut Self, outcome| voter.output.answers.push((ticket, outcome));
         if !self.is_leader() {
@@ -139,35 +146,38 @@
             return answer(self, Outcome::NotLeader(leader));
         }
         if !self.may_change_members() {
-            let why = "another change of the voters is not settled yet; try again".to_owned();
+            let why = "another membership change is not committed yet; try again".to_owned();
             return answer(self, Outcome::Refused(why));
         }
         match self.log.members().changed(&request) {
             Ok(members) => {
                 let index = self.set_members(members, now);
-                self.note_ticket(index, ticket);
+                self.record_ticket(index, ticket);
                 self.advance_commit();
             }
             Err(why) => answer(self, Outcome::Refused(why)),
         }
     }
 
+    /// Returns whether a membership change may start: this node leads, an entry of its term is
+    /// committed, and so is the change before.
     pub(super) fn may_change_members(&self) -> bool {
         let Role::Leader { term_start, .. } = &self.role else {
             return false;
         };
-        self.committed >= *term_start && self.log.members_at() <= self.committed
+        self.committed >= *term_start && self.log.members_index() <= self.committed
     }
 
+    /// Appends a membership entry, which takes effect at once, and sends it to all members.
     pub(super) fn set_members(&mut self, members: Members, now: Duration) -> Index {
-        let index = self.append_own(Payload::Members(members));
+        let index = self.append_as_leader(Payload::Members(members));
         self.track_peers(now);
         self.send_all(now);
         index
     }
 
-    /// Makes a learner a voter that has all that is committed. An old identity of
-    /// its box has to be removed first: a box votes once.
+    /// Promotes a learner that has all committed entries to a voter. An old identity of its box
+    /// has to be removed first, since a box has only one vote.
     pub(super) fn promote_learners(&mut self, now: Duration) {
         if !self.may_change_members() {
             return;
@@ -176,11 +186,11 @@
             return;
         };
         let members = self.log.members();
-        let ready = members.learners().find(|node| {
+        let promotable = members.learners().find(|node| {
             let caught_up = peers.get(node).is_some_and(|p| p.matched >= self.committed);
             caught_up && !members.voters().any(|voter| voter.name == node.name)
         });
-        if let Some(node) = ready.cloned() {
+        if let Some(node) = promotable.cloned() {
             let members = members.promoted(&node);
             self.set_members(members, now);
             self.advance_commit();
@@ -188,7 +198,7 @@
     }
 }
 
-/// Maps whose keys are no texts, as lists of pairs.
+/// Serializes maps as lists of pairs, since keys of JSON objects have to be strings.
 mod pairs {
     use std::{collections::BTreeMap, net::SocketAddr};
 
--- a/src/scalewood/core/agree/message.rs
+++ b/src/scalewood/core/agree/message.rs
@@ -1,4 +1,4 @@
-//! What voters tell each other.
+//! Messages between voters and learners.
 
 use std::time::Duration;
 
@@ -10,92 +10,94 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", bound = "S: State")]
 pub enum Message<S: State> {
-    /// A candidate asks for a vote.
-    Ask(Ask),
-    /// The answer.
+    /// A candidate's request for a vote (Raft's RequestVote).
+    Ask(VoteRequest),
+    /// The answer to a request for a vote.
     Vote(Vote),
-    /// A leader sends entries, or none as a sign of life.
+    /// A leader's entries, or none for a heartbeat (Raft's AppendEntries).
     Append(Append<S::Command>),
-    /// The answer to entries and pieces.
+    /// A follower's answer to `Append` and `Piece`.
     Stored(Stored),
-    /// A leader sends a piece of its snapshot.
+    /// A part of a leader's snapshot (Raft's InstallSnapshot).
     Piece(Piece),
-    /// A leader that stops tells a follower to stand for election at once.
+    /// A leader that stops tells a follower to start an election at once (Raft's TimeoutNow).
     Stand(Term),
 }
 
-/// A candidate asks for a vote.
+/// A candidate's request for a vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
-    /// Whether it counts; else the candidate only asks whether it could win.
+pub struct VoteRequest {
+    /// Whether the vote is binding; false in a pre-vote, which only finds out whether the
+    /// candidate could win.
     pub real: bool,
-    /// Whether a leader has told the candidate to stand.
+    /// Whether the leader has transferred its leadership to the candidate.
     pub handed_over: bool,
-    /// The term that it stands for.
+    /// The term that the candidate wants to lead.
     pub term: Term,
-    /// The last entry of its log.
+    /// The index of the last entry of the candidate's log.
     pub last: Index,
-    /// That entry's term.
+    /// The term of that entry.
     pub last_term: Term,
 }
 
-/// The answer to a candidate.
+/// The answer to a request for a vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
-    /// As in the question.
+    /// Copied from the request.
     pub real: bool,
-    /// As in the question if granted, else the voter's term.
+    /// The request's term if the vote is granted, else the voter's term.
     pub term: Term,
-    /// Whether the candidate gets the vote.
+    /// Whether the vote is granted.
     pub granted: bool,
 }
 
-/// A leader's entries.
+/// Entries of a leader's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Append<C> {
     /// The leader's term.
     pub term: Term,
-    /// The entry before the first one sent.
+    /// The index of the entry that precedes the first one sent.
     pub before: Index,
-    /// That entry's term.
+    /// The term of that entry.
     pub before_term: Term,
-    /// The entries.
+    /// The entries; empty for a heartbeat.
     pub entries: Vec<Entry<C>>,
-    /// The last committed entry.
+    /// The index of the leader's last committed entry.
     pub committed: Index,
-    /// When the leader sent this, by its own clock; the answer gives it back.
+    /// The send time on the leader's clock, which the answer returns.
     pub sent: Duration,
 }
 
-/// A follower's answer.
+/// A follower's answer to entries or a part of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
     /// The follower's term.
     pub term: Term,
-    /// Whether the log fitted.
+    /// Whether the follower's log matched at the entry that precedes those sent, or the
+    /// snapshot is complete.
     pub fitted: bool,
-    /// If it fitted, the last entry that is on disk and equals the leader's; else
-    /// where the leader should try next.
+    /// If `fitted`, the last entry that is on disk and equals the leader's; else the last entry
+    /// that may match, after which the leader should resume.
     pub index: Index,
-    /// The bytes of a snapshot that have come, while one is received.
+    /// The bytes of a snapshot received so far, while a transfer is in progress.
     pub piece: Option<usize>,
-    /// The send time of the message that this answers.
+    /// The send time of the message that this answers, on the leader's clock.
     pub sent: Duration,
 }
 
-/// A piece of a leader's snapshot.
+/// A part of a leader's snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The leader's term.
     pub term: Term,
     /// The last entry that the snapshot covers.
     pub index: Index,
-    /// Where in the snapshot's text the piece stands, in bytes.
+    /// The position of the part in the serialized snapshot, in bytes.
     pub offset: usize,
-    /// The length of the whole text, in bytes.
+    /// The length of the whole serialized snapshot, in bytes.
     pub length: usize,
-    /// The piece.
+    /// The part itself, as JSON text.
     pub text: String,
-    /// When the leader sent this, by its own clock.
+    /// The send time on the leader's clock.
     pub sent: Duration,
 }
--- a/src/scalewood/core/agree/mod.rs
+++ b/src/scalewood/core/agree/mod.rs
@@ -1,26 +1,25 @@
-//! Agreement among voters on one log of commands.
+//! Consensus among voters on one log of commands.
 //!
-//! The algorithm is Raft: a leader for each term, elected by a majority, appends
-//! commands to its log and sends them on; what a majority has on disk is committed
-//! and applied by all in the same order. On top of that:
+//! The algorithm is Raft: in each term a majority elects at most one leader, which appends
+//! commands to its log and replicates them. An entry is committed once a majority has it on
+//! disk, and all nodes apply committed entries in the same order. Choices beyond basic Raft:
 //!
-//! - A voter is its box *and* the identity in its data folder ([`Node`]). A folder
-//!   that is empty or another's has another identity, so it is no voter: it joins as
-//!   a learner, and votes once it has caught up and its membership is committed.
-//! - A candidate first asks whether it could win (`elect`), so that a voter that
-//!   comes back from a cut does not unseat a leader that works.
-//! - A voter that hears from a leader votes for nobody else for the shortest
-//!   election time. So a leader that a majority has answered knows that nobody else
-//!   leads before that time is over: this is its lease ([`Voter::lease`]).
-//!   A voter that has just started waits as long, since it has forgotten whom it
-//!   heard.
-//! - Membership changes by one voter at a time (`members`).
-//! - A leader repairs the membership by itself where that is set (`repair`).
-//! - The log before a snapshot is dropped; who lags behind it gets the snapshot in
-//!   pieces (`snapshot`).
+//! - A node is a box together with the identity in its data folder ([`Node`]). With an empty
+//!   folder, or that of another box, the identity differs, so the node is not a voter. It joins
+//!   as a learner, and votes once it has caught up and its membership is committed.
+//! - A candidate runs a pre-vote (`elect`), so that a voter that returns from a network
+//!   partition does not depose a working leader.
+//! - A voter that has heard from a leader votes for no other node until the shortest election
+//!   timeout has passed. So a leader that a majority has answered knows that there is no other
+//!   leader until then: this is its lease ([`Voter::lease`]). A voter that has just started
+//!   waits as long, since it does not know which leader it heard from before.
+//! - The membership changes by one voter at a time (`members`).
+//! - If configured, the leader repairs the membership without an operator (`repair`).
+//! - The log up to a snapshot is discarded. A node that lacks discarded entries is sent the
+//!   snapshot, split into several messages (`snapshot`).
 //!
-//! [`Voter::step`] takes one input and the time and returns an [`Output`]. The driver
-//! must make the writes durable *before* it sends the messages and gives the answers.
+//! [`Voter::step`] takes one input and the current time, and returns an [`Output`]. The caller
+//! must make the writes durable *before* it sends the messages and delivers the answers.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -46,19 +45,19 @@
 pub use members::{Members, Request as MembersRequest};
 pub use message::{Message, Piece};
 
-/// What the log's commands act on.
+/// The replicated state machine, to which commands are applied.
 pub trait State: Clone + fmt::Debug + Default + Serialize + DeserializeOwned {
     /// A command of the log.
     type Command: Clone + fmt::Debug + PartialEq + Serialize + DeserializeOwned;
     /// The answer to a command.
     type Answer: Clone + fmt::Debug;
 
-    /// Applies a committed command. Must depend on nothing but the state and the
-    /// command.
+    /// Applies a committed command. The result must depend only on the state and the command,
+    /// so that all nodes reach the same state.
     fn apply(&mut self, command: &Self::Command) -> Self::Answer;
 }
 
-/// The identity of a data folder; made at its initialisation, never again.
+/// The identity of a data folder; generated when the folder is initialised, and never changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Identity(pub u64);
@@ -77,7 +76,7 @@
     }
 }
 
-/// A voter or learner: a box with a data folder.
+/// A voter or learner: a box together with the identity in its data folder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Node {
     /// The box.
@@ -92,32 +91,32 @@
     }
 }
 
-/// Settings of a voter.
+/// Settings of a voter or learner.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The shortest time without a leader after which a voter stands for election;
-    /// the longest is twice that.
+    /// The shortest election timeout, after which a voter that hears from no leader starts an
+    /// election. The timeout is drawn at random between this and twice this.
     pub election: Duration,
-    /// The time between two signs of life of a leader.
+    /// The time between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// Kept free at the end of a lease, for clocks that run at other speeds.
+    /// The time by which a lease ends early, since clocks may run at different speeds.
     pub margin: Duration,
     /// The most entries in one message.
     pub batch: usize,
-    /// The most bytes of a snapshot in one message.
+    /// The most bytes of a snapshot in one message; exceeded only to end on a whole character.
     pub piece: usize,
-    /// Applied entries after which the log is compacted.
+    /// The number of entries applied since the last snapshot after which the log is compacted.
     pub compact: u64,
-    /// Whether, and how, the leader repairs the membership by itself.
+    /// How the leader repairs the membership without an operator; absent if it does not.
     pub repair: Option<Repair>,
 }
 
-/// How a leader repairs the membership by itself.
+/// Settings of the membership repair by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Repair {
-    /// How long a voter may be silent before it is removed.
+    /// How long a member may go without answering before it is removed.
     pub silence: Duration,
-    /// Voters that must be heard without the silent one, or it stays.
+    /// The number of other voters that must respond for a silent voter to be removed.
     pub remaining: usize,
 }
 
@@ -144,48 +143,48 @@
     }
 }
 
-/// Names a proposal towards the driver.
+/// The caller's identifier for a proposal, under which the answer is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome<A> {
     /// It is committed and applied.
     Applied(A),
-    /// It was not taken, since this voter does not lead; maybe the other does.
+    /// It was not accepted, since this node is not the leader; holds the presumed leader.
     NotLeader(Option<Node>),
-    /// This voter lost the lead; the proposal may still be committed.
+    /// This node lost its leadership; the proposal may still be committed.
     Unknown,
-    /// It was refused, for the reason given.
+    /// It was refused, for the given reason; empty for a membership change that was committed.
     Refused(String),
 }
 
-/// What a voter is told.
+/// An input to a voter.
 #[derive(Clone, Debug)]
 pub enum Input<S: State> {
-    /// Another node's message.
+    /// A message from another node.
     Message(Node, Message<S>),
     /// A command to agree on.
     Propose(Ticket, S::Command),
-    /// A change of the membership to agree on.
+    /// A membership change to agree on.
     Members(Ticket, MembersRequest),
-    /// A node that is no member wants to become one.
+    /// A node that is not a member asks to become one.
     Join(Node, SocketAddr),
-    /// The process is about to stop: hand the lead on.
+    /// The process is about to stop: a leader transfers its leadership.
     Leave,
     /// Time has passed.
     Tick,
 }
 
-/// What a step wants done, in this order.
+/// The effects of a step, to be carried out in the order of the fields.
 #[derive(Clone, Debug)]
 pub struct Output<S: State> {
-    /// To be made durable first.
+    /// Records to be made durable before anything else.
     pub writes: Vec<Write<S>>,
-    /// To be sent then.
+    /// Messages to be sent once the writes are durable.
     pub sends: Vec<(Node, Message<S>)>,
-    /// Answers to proposals.
+    /// Answers to proposals, to be delivered once the writes are durable.
     pub answers: Vec<(Ticket, Outcome<S::Answer>)>,
 }
 
@@ -200,7 +199,7 @@
 }
 
 impl<S: State> Output<S> {
-    /// Adds what a later step wants done.
+    /// Appends the effects of a later step.
     pub fn merge(&mut self, later: Self) {
         self.writes.extend(later.writes);
         self.sends.extend(later.sends);
@@ -208,59 +207,61 @@
     }
 }
 
-/// What a leader knows of another node.
+/// What a leader knows about another node. Send times are on the leader's own clock.
 #[derive(Clone, Debug)]
 struct Progress {
     /// The next entry to send.
     next: Index,
-    /// The last entry known to be on its disk.
+    /// The last entry known to be on the node's disk and equal to the leader's.
     matched: Index,
-    /// The send time of the latest message that it answered.
-    answered: Duration,
-    /// Since when this node leads it.
-    tracked: Duration,
-    /// The send time of the latest message.
-    sent: Duration,
-    /// How much of a snapshot it has, while one is sent.
-    piece: Option<usize>,
+    /// The send time of the latest message that the node has answered.
+    acked_send_time: Duration,
+    /// When this leader began to track the node.
+    tracked_since: Duration,
+    /// The send time of the latest message to the node.
+    last_send_time: Duration,
+    /// How many bytes of a snapshot the node has, while one is sent to it.
+    snapshot_bytes: Option<usize>,
 }
 
-/// What a voter does.
+/// The role of a node in its current term.
 #[derive(Clone, Debug)]
 enum Role {
     Follower {
         leader: Option<Node>,
     },
-    /// Asks whether it could win, or (`real`) for votes.
+    /// Collects votes: binding ones if `real`, else pre-votes.
     Candidate {
         real: bool,
         votes: Vec<Node>,
     },
     Leader {
         peers: BTreeMap<Node, Progress>,
+        /// The first entry of the leader's term.
         term_start: Index,
+        /// The open proposals with their log entries, the oldest first.
         tickets: VecDeque<(Index, Ticket)>,
     },
 }
 
-/// What a voter shows of itself.
+/// A voter's or learner's view of the cluster, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The node.
     pub node: Node,
-    /// Its term.
+    /// Its current term.
     pub term: Term,
-    /// Whom it takes for the leader.
+    /// The node that it considers the leader.
     pub leader: Option<Node>,
-    /// The last committed entry.
+    /// The last entry that it knows to be committed.
     pub committed: Index,
     /// The last entry of its log.
     pub last: Index,
-    /// The members of its log.
+    /// The latest membership in its log, committed or not.
     pub members: Members,
 }
 
-/// A voter or learner.
+/// The state machine of one voter or learner.
 #[derive(Debug)]
 pub struct Voter<S: State> {
     settings: Settings,
@@ -268,27 +269,27 @@
     random: SmallRng,
     role: Role,
     term: Term,
-    voted: Option<Node>,
+    voted_for: Option<Node>,
     log: log::Log<S>,
     committed: Index,
     applied: Index,
     state: S,
-    /// When the last sign of a leader came, or the start.
-    heard: Duration,
-    /// When this node stands for election.
+    /// When a leader was last heard from; at first the time of the start.
+    leader_heard_at: Duration,
+    /// When this node starts an election if no leader is heard from.
     election_at: Duration,
-    /// Whether its state holds all that was committed when it started. What is
-    /// committed is not on disk, so a node that starts does not know.
+    /// Whether the state includes all entries that were committed when the node started. The
+    /// commit index is not part of the durable state, so this is not known at the start.
     caught_up: bool,
     /// A snapshot that is being received.
     incoming: Option<snapshot::Incoming>,
-    /// The text of the snapshot that is being sent.
+    /// The serialized snapshot that is being sent.
     outgoing: Option<snapshot::Outgoing>,
     output: Output<S>,
 }
 
 impl<S: State> Voter<S> {
-    /// A voter that starts from what it kept.
+    /// Creates a voter from its durable state.
     pub fn new(settings: Settings, own: Node, kept: Kept<S>, seed: u64, now: Duration) -> Self {
         let state = kept.snapshot.state.clone();
         let start = kept.snapshot.index;
@@ -298,12 +299,12 @@
             random: SmallRng::seed_from_u64(seed),
             role: Role::Follower { leader: None },
             term: kept.term,
-            voted: kept.voted,
+            voted_for: kept.voted,
             log: log::Log::new(kept.snapshot, kept.entries),
             committed: start,
             applied: start,
             state,
-            heard: now,
+            leader_heard_at: now,
             election_at: now,
             caught_up: false,
             incoming: None,
@@ -314,22 +315,22 @@
         voter
     }
 
-    /// Applies what is known to have been committed before the start. Committed entries are
-    /// never dropped again, so the state then is one that was in force, if not the newest:
-    /// the voter is not caught up by this.
+    /// Applies the entries that are known to have been committed before the start. Committed
+    /// entries are never removed, so the resulting state was once in force. It may not be the
+    /// newest, so this does not make the voter caught up.
     pub fn recall(&mut self, committed: Index) {
-        self.committed = self.committed.max(committed.min(self.log.last()));
+        self.committed = self.committed.max(committed.min(self.log.last_index()));
         self.apply_committed();
     }
 
-    /// Takes an input; returns what it wants done.
+    /// Processes an input and returns the resulting effects.
     pub fn step(&mut self, input: Input<S>, now: Duration) -> Output<S> {
         match input {
-            Input::Message(from, message) => self.message(from, message, now),
+            Input::Message(from, message) => self.handle_message(from, message, now),
             Input::Propose(ticket, command) => self.propose(ticket, command, now),
             Input::Members(ticket, request) => self.change_members(ticket, request, now),
             Input::Join(node, address) => self.admit(node, address, now),
-            Input::Leave => self.hand_over(now),
+            Input::Leave => self.transfer_leadership(now),
             Input::Tick => self.tick(now),
         }
         self.apply_committed();
@@ -337,22 +338,22 @@
         std::mem::take(&mut self.output)
     }
 
-    fn message(&mut self, from: Node, message: Message<S>, now: Duration) {
+    fn handle_message(&mut self, from: Node, message: Message<S>, now: Duration) {
         match message {
-            Message::Ask(ask) => self.asked_for_vote(from, ask, now),
-            Message::Vote(vote) => self.got_vote(from, vote, now),
-            Message::Append(append) => self.got_entries(from, append, now),
-            Message::Stored(stored) => self.got_stored(from, stored, now),
-            Message::Piece(piece) => self.got_piece(from, piece, now),
-            Message::Stand(term) => self.told_to_stand(term, now),
+            Message::Ask(request) => self.handle_vote_request(from, request, now),
+            Message::Vote(vote) => self.handle_vote(from, vote, now),
+            Message::Append(append) => self.handle_append(from, append, now),
+            Message::Stored(stored) => self.handle_stored(from, stored, now),
+            Message::Piece(piece) => self.handle_piece(from, piece, now),
+            Message::Stand(term) => self.handle_timeout_now(term, now),
         }
     }
 
     fn tick(&mut self, now: Duration) {
         if matches!(self.role, Role::Leader { .. }) {
-            self.lead(now);
+            self.tick_leader(now);
         } else if now >= self.election_at {
-            self.stand(false, now);
+            self.start_election(false, now);
         }
     }
 
@@ -364,12 +365,13 @@
         self.log.members().majority()
     }
 
+    /// Restarts the election timeout, with a random length.
     fn reset_election(&mut self, now: Duration) {
-        let spread = self.random.random_range(1.0..2.0);
-        self.election_at = now + self.settings.election.mul_f64(spread);
+        let timeout_factor = self.random.random_range(1.0..2.0);
+        self.election_at = now + self.settings.election.mul_f64(timeout_factor);
     }
 
-    /// Applies what is committed, and answers whose proposals these are.
+    /// Applies committed entries, and answers the proposals that they came from.
     fn apply_committed(&mut self) {
         while self.applied < self.committed {
             let index = self.applied.next();
@@ -386,15 +388,16 @@
         self.step_down_if_removed();
         if let Role::Leader { term_start, .. } = &self.role {
             let term_start = *term_start;
-            self.note_caught_up(term_start);
+            self.update_caught_up(term_start);
         }
     }
 
-    /// Notes whether the state holds all that a leader has committed.
-    fn note_caught_up(&mut self, committed: Index) {
+    /// Records whether the state includes all entries that a leader has committed.
+    fn update_caught_up(&mut self, committed: Index) {
         self.caught_up |= self.applied >= committed;
     }
 
+    /// Answers the proposal of an applied entry, if this leader has one.
     fn answer(&mut self, index: Index, answer: Option<S::Answer>) {
         let Role::Leader { tickets, .. } = &mut self.role else {
             return;
@@ -412,37 +415,37 @@
         self.output.answers.push((ticket, outcome));
     }
 
-    /// The state after the last applied command.
+    /// Returns the state after the last applied command.
     pub fn state(&self) -> &S {
         &self.state
     }
 
-    /// The last committed entry.
+    /// Returns the last entry that is known to be committed.
     pub fn committed(&self) -> Index {
         self.committed
     }
 
-    /// The term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// This node.
+    /// Returns this node's name and identity.
     pub fn node(&self) -> &Node {
         &self.own
     }
 
-    /// The entry at an index, if the log still has it.
+    /// Returns the entry at an index, if the log still has it.
     pub fn entry(&self, index: Index) -> Option<&Entry<S::Command>> {
         self.log.get(index)
     }
 
-    /// Whether this node leads.
+    /// Returns whether this node is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader { .. })
     }
 
-    /// Whom this node takes for the leader.
+    /// Returns the node that this one considers the leader.
     pub fn leader(&self) -> Option<Node> {
         match &self.role {
             Role::Leader { .. } => Some(self.own.clone()),
@@ -451,32 +454,32 @@
         }
     }
 
-    /// How the node stands.
+    /// Returns this node's view of the cluster.
     pub fn status(&self) -> Status {
         Status {
             node: self.own.clone(),
             term: self.term,
             leader: self.leader(),
             committed: self.committed,
-            last: self.log.last(),
+            last: self.log.last_index(),
             members: self.log.members().clone(),
         }
     }
 
-    /// Whether the state holds all that was committed when this node started: before
-    /// that it may lie behind what was shown to others.
+    /// Returns whether the state includes all entries that were committed when this node
+    /// started. Until then it may be older than what clients have already seen.
     pub fn is_caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// Whether the state is what is in force now: this node leads under a lease. A
-    /// follower learns of a commit only with the leader's next message.
+    /// Returns whether the state is certain to be the newest, because this node leads under a
+    /// lease. A follower learns of a commit only with the leader's next message.
     pub fn is_current(&self, now: Duration) -> bool {
         self.lease().is_some_and(|until| until > now)
     }
 
-    /// Until when this node may act as the only leader, if it leads and knows of all
-    /// that was committed before its term.
+    /// Returns until when this node is certain to be the only leader. Returns none if it does not
+    /// lead, or has not yet applied all entries that were committed before its term.
     pub fn lease(&self) -> Option<Duration> {
         let Role::Leader {
             peers, term_start, ..
@@ -487,7 +490,7 @@
         if self.applied < *term_start {
             return None;
         }
-        let answered = self.answered_by_majority(peers)?;
-        Some(answered + self.settings.election.saturating_sub(self.settings.margin))
+        let answered_at = self.majority_answered_at(peers)?;
+        Some(answered_at + self.settings.election.saturating_sub(self.settings.margin))
     }
 }
--- a/src/scalewood/core/agree/repair.rs
+++ b/src/scalewood/core/agree/repair.rs
@@ -1,19 +1,19 @@
-//! Repair: a leader keeps the membership whole without an operator.
+//! Automatic membership repair by the leader, without an operator.
 //!
 //! - A node that asks to join becomes a learner, and a voter once it has caught up.
-//! - A box that lost its folder joins under a new identity; its old identity never
-//!   comes back, so it is removed once the new one is a member.
-//! - A voter that has been silent for long is removed, if enough others are heard: the
-//!   majority then counts only those that can answer. When it returns it joins anew.
+//! - A box that has lost its data folder joins under a new identity. Its old identity never
+//!   returns, so it is removed once the new one is a learner.
+//! - A voter that has not answered for too long is removed if enough others respond, so that
+//!   the majority is counted among voters that can answer. When it returns, it joins again.
 //!
-//! Each step is one change of the membership, under the rules of `members`.
+//! Each step is one membership change under the rules of `members`.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::core::agree::{Members, MembersRequest, Node, Repair, Role, State, Voter};
 
 impl<S: State> Voter<S> {
-    /// Makes a node that asks for it a learner.
+    /// Adds a node that asks to join as a learner.
     pub(super) fn admit(&mut self, node: Node, address: SocketAddr, now: Duration) {
         if !self.is_leader() || !self.may_change_members() {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes the next step of the repair, if one is due.
+    /// Removes one member that was replaced or is silent, if there is one.
     pub(super) fn repair(&mut self, now: Duration) {
         let Some(settings) = self.settings.repair else {
             return;
@@ -33,7 +33,10 @@
         if !self.may_change_members() {
             return;
         }
-        let Some(node) = self.replaced().or_else(|| self.silent(settings, now)) else {
+        let Some(node) = self
+            .replaced_voter()
+            .or_else(|| self.silent_member(settings, now))
+        else {
             return;
         };
         if let Ok(members) = self.log.members().changed(&MembersRequest::Remove(node)) {
@@ -42,33 +45,36 @@
         }
     }
 
-    /// A member whose box has joined under another identity since.
-    fn replaced(&self) -> Option<Node> {
+    /// Returns a voter whose box has joined again under another identity, as a learner.
+    fn replaced_voter(&self) -> Option<Node> {
         let members = self.log.members();
-        let newer = |old: &&Node| {
+        let has_rejoined = |old: &&Node| {
             members
                 .learners()
                 .any(|new| new.name == old.name && new != *old)
         };
-        let old = members.voters().find(newer).cloned();
+        let old = members.voters().find(has_rejoined).cloned();
         old.filter(|node| *node != self.own)
     }
 
-    /// A learner that has been silent for long; or a voter, while enough others are heard.
-    fn silent(&self, settings: Repair, now: Duration) -> Option<Node> {
+    /// Returns a member that has not answered within `settings.silence`: a learner, or a voter if
+    /// at least `settings.remaining` voters respond.
+    fn silent_member(&self, settings: Repair, now: Duration) -> Option<Node> {
         let members: &Members = self.log.members();
-        let is_heard = |node: &&Node| self.is_heard(node, settings.silence, now);
-        if let Some(learner) = members.learners().find(|node| !is_heard(node)) {
+        let is_responsive = |node: &&Node| self.is_responsive(node, settings.silence, now);
+        if let Some(learner) = members.learners().find(|node| !is_responsive(node)) {
             return Some(learner.clone());
         }
-        // A learner keeps nothing safe yet, so it is none of those that remain.
-        if members.voters().filter(is_heard).count() < settings.remaining {
+        // Learners do not count towards a majority, so only voters count as remaining.
+        if members.voters().filter(is_responsive).count() < settings.remaining {
             return None;
         }
-        members.voters().find(|node| !is_heard(node)).cloned()
+        members.voters().find(|node| !is_responsive(node)).cloned()
     }
 
-    fn is_heard(&self, node: &Node, within: Duration, now: Duration) -> bool {
+    /// Returns whether a member has answered within a time; one that was just added counts as
+    /// if it had answered then.
+    fn is_responsive(&self, node: &Node, within: Duration, now: Duration) -> bool {
         let Role::Leader { peers, .. } = &self.role else {
             return false;
         };
@@ -78,6 +84,6 @@
         let Some(progress) = peers.get(node) else {
             return false;
         };
-        now.saturating_sub(progress.answered.max(progress.tracked)) < within
+        now.saturating_sub(progress.acked_send_time.max(progress.tracked_since)) < within
     }
 }
--- a/src/scalewood/core/agree/replicate.rs
+++ b/src/scalewood/core/agree/replicate.rs
@@ -1,4 +1,4 @@
-//! Replication: a leader's log becomes everyone's.
+//! Log replication from the leader to all other members.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,25 +11,26 @@
 };
 
 impl<S: State> Voter<S> {
-    pub(super) fn take_the_lead(&mut self, now: Duration) {
-        let term_start = self.log.last().next();
+    /// Becomes the leader of the current term, and appends an empty entry to it.
+    pub(super) fn become_leader(&mut self, now: Duration) {
+        let term_start = self.log.last_index().next();
         self.role = Role::Leader {
             peers: BTreeMap::new(),
             term_start,
             tickets: VecDeque::new(),
         };
         self.outgoing = None;
-        self.heard = now;
+        self.leader_heard_at = now;
         self.track_peers(now);
-        self.append_own(Payload::Empty);
+        self.append_as_leader(Payload::Empty);
         self.advance_commit();
         self.send_all(now);
     }
 
-    /// Keeps a progress for each other member, and for no one else.
+    /// Aligns the tracked peers with the membership: one for each other voter and learner.
     pub(super) fn track_peers(&mut self, now: Duration) {
-        let last = self.log.last();
-        let others = self.log.members().all_but(&self.own);
+        let last = self.log.last_index();
+        let others = self.log.members().members_except(&self.own);
         let Role::Leader { peers, .. } = &mut self.role else {
             return;
         };
@@ -38,17 +39,18 @@
             peers.entry(node).or_insert(Progress {
                 next: last.next(),
                 matched: Index(0),
-                answered: Duration::ZERO,
-                tracked: now,
-                sent: Duration::ZERO,
-                piece: None,
+                acked_send_time: Duration::ZERO,
+                tracked_since: now,
+                last_send_time: Duration::ZERO,
+                snapshot_bytes: None,
             });
         }
     }
 
-    pub(super) fn append_own(&mut self, payload: Payload<S::Command>) -> Index {
+    /// Appends an entry of this leader's term to its log, and persists it.
+    pub(super) fn append_as_leader(&mut self, payload: Payload<S::Command>) -> Index {
         let entry = Entry {
-            index: self.log.last().next(),
+            index: self.log.last_index().next(),
             term: self.term,
             payload,
         };
@@ -58,6 +60,7 @@
         index
     }
 
+    /// Appends a command to the log if this node leads, else answers that it does not.
     pub(super) fn propose(&mut self, ticket: Ticket, command: S::Command, now: Duration) {
         if !self.is_leader() {
             self.output
@@ -65,35 +68,37 @@
                 .push((ticket, Outcome::NotLeader(self.leader())));
             return;
         }
-        let index = self.append_own(Payload::Command(command));
-        self.note_ticket(index, ticket);
+        let index = self.append_as_leader(Payload::Command(command));
+        self.record_ticket(index, ticket);
         self.advance_commit();
         self.send_all(now);
     }
 
-    pub(super) fn note_ticket(&mut self, index: Index, ticket: Ticket) {
+    /// Remembers which proposal to answer once an entry is applied.
+    pub(super) fn record_ticket(&mut self, index: Index, ticket: Ticket) {
         if let Role::Leader { tickets, .. } = &mut self.role {
             tickets.push_back((index, ticket));
         }
     }
 
-    /// A leader's regular work: signs of life, and whether a majority still answers.
-    pub(super) fn lead(&mut self, now: Duration) {
+    /// Does a leader's periodic work: heartbeats, promotion of learners and membership repair.
+    /// A leader that no majority has answered for twice the shortest election timeout steps down.
+    pub(super) fn tick_leader(&mut self, now: Duration) {
         let Role::Leader { peers, .. } = &self.role else {
             return;
         };
-        let answered = self
-            .answered_by_majority(peers)
+        let answered_at = self
+            .majority_answered_at(peers)
             .unwrap_or(now)
-            .max(self.heard);
-        if now.saturating_sub(answered) > self.settings.election * 2 {
-            self.follow(self.term, None, now);
+            .max(self.leader_heard_at);
+        if now.saturating_sub(answered_at) > self.settings.election * 2 {
+            self.become_follower(self.term, None, now);
             return;
         }
         let heartbeat = self.settings.heartbeat;
         let due = peers
             .iter()
-            .filter(|(_, p)| now.saturating_sub(p.sent) >= heartbeat);
+            .filter(|(_, p)| now.saturating_sub(p.last_send_time) >= heartbeat);
         let due: Vec<_> = due.map(|(node, _)| node.clone()).collect();
         for node in due {
             self.send_to(&node, now);
@@ -102,14 +107,14 @@
         self.repair(now);
     }
 
-    /// The latest time such that a majority has answered something sent then or
-    /// later; a leader without others is always answered.
-    pub(super) fn answered_by_majority(
+    /// Returns the latest time such that a majority has answered a message sent then or later,
+    /// this node included. A leader that is the only voter gets a time far in the future.
+    pub(super) fn majority_answered_at(
         &self,
         peers: &BTreeMap<Node, Progress>,
     ) -> Option<Duration> {
         let members = self.log.members();
-        let mut times: Vec<_> = members
+        let mut send_times: Vec<_> = members
             .voters()
             .map(|node| {
                 if *node == self.own {
@@ -117,14 +122,15 @@
                 } else {
                     peers
                         .get(node)
-                        .map_or(Duration::ZERO, |progress| progress.answered)
+                        .map_or(Duration::ZERO, |progress| progress.acked_send_time)
                 }
             })
             .collect();
-        times.sort_by(|a, b| b.cmp(a));
-        times.get(self.majority().checked_sub(1)?).copied()
+        send_times.sort_by(|a, b| b.cmp(a));
+        send_times.get(self.majority().checked_sub(1)?).copied()
     }
 
+    /// Sends to every other member what it lacks, or a heartbeat.
     pub(super) fn send_all(&mut self, now: Duration) {
         let Role::Leader { peers, .. } = &self.role else {
             return;
@@ -135,7 +141,8 @@
         }
     }
 
-    /// Sends a node what it lacks: entries, or a piece of the snapshot.
+    /// Sends a node the entries that it lacks, or a part of the snapshot if those were discarded;
+    /// a heartbeat if it lacks nothing.
     pub(super) fn send_to(&mut self, node: &Node, now: Duration) {
         let Role::Leader { peers, .. } = &mut self.role else {
             return;
@@ -143,14 +150,14 @@
         let Some(progress) = peers.get_mut(node) else {
             return;
         };
-        progress.sent = now;
+        progress.last_send_time = now;
         let before = Index(progress.next.0 - 1);
         let Some(before_term) = self.log.term_at(before) else {
             self.send_piece(node, now);
             return;
         };
-        let entries = self.log.from(progress.next, self.settings.batch);
-        // Entries are taken to arrive; an answer that says otherwise moves back.
+        let entries = self.log.entries_from(progress.next, self.settings.batch);
+        // Assumes that the entries arrive; an answer that rejects them moves `next` back.
         if let Some(last) = entries.last() {
             progress.next = last.index.next();
         }
@@ -167,9 +174,10 @@
             .push((node.clone(), Message::Append(append)));
     }
 
-    pub(super) fn got_entries(&mut self, from: Node, append: Append<S::Command>, now: Duration) {
-        if !self.heed(&from, append.term, now) {
-            self.reply(from, false, self.log.last(), None, append.sent);
+    /// Handles entries or a heartbeat from a leader.
+    pub(super) fn handle_append(&mut self, from: Node, append: Append<S::Command>, now: Duration) {
+        if !self.accept_leader(&from, append.term, now) {
+            self.reply(from, false, self.log.last_index(), None, append.sent);
             return;
         }
         let Append {
@@ -181,54 +189,60 @@
             ..
         } = append;
         if before < self.log.snapshot().index {
-            // All up to the snapshot is committed, so it equals the leader's.
-            let covered = self.log.snapshot().index;
-            let rest: Vec<_> = entries
+            // All entries that the snapshot covers are committed, so they equal the leader's.
+            let snapshot_index = self.log.snapshot().index;
+            let after_snapshot: Vec<_> = entries
                 .into_iter()
-                .filter(|entry| entry.index > covered)
+                .filter(|entry| entry.index > snapshot_index)
                 .collect();
-            let last = rest.last().map_or(covered, |entry| entry.index);
-            self.take_entries(rest);
+            let last = after_snapshot
+                .last()
+                .map_or(snapshot_index, |entry| entry.index);
+            self.merge_entries(after_snapshot);
             self.commit_to(committed.min(last));
             self.apply_committed();
-            self.note_caught_up(committed);
+            self.update_caught_up(committed);
             self.reply(from, true, last, None, sent);
             return;
         }
         if self.log.term_at(before) != Some(before_term) {
-            let hint = Index(before.0.saturating_sub(1))
-                .min(self.log.last())
+            let retry_after = Index(before.0.saturating_sub(1))
+                .min(self.log.last_index())
                 .max(self.committed);
-            self.reply(from, false, hint, None, sent);
+            self.reply(from, false, retry_after, None, sent);
             return;
         }
         let last = entries.last().map_or(before, |entry| entry.index);
-        self.take_entries(entries);
+        self.merge_entries(entries);
         self.commit_to(committed.min(last));
         self.apply_committed();
-        self.note_caught_up(committed);
+        self.update_caught_up(committed);
         self.reply(from, true, last, None, sent);
     }
 
-    /// Appends what is new, and drops what the leader has otherwise.
-    fn take_entries(&mut self, entries: Vec<Entry<S::Command>>) {
-        let mut fresh = entries.into_iter().peekable();
-        while fresh
+    /// Appends the entries that are new here, after removing those that conflict with the
+    /// leader's.
+    fn merge_entries(&mut self, entries: Vec<Entry<S::Command>>) {
+        let mut new_entries = entries.into_iter().peekable();
+        while new_entries
             .peek()
             .is_some_and(|e| self.log.term_at(e.index) == Some(e.term))
         {
-            fresh.next();
+            new_entries.next();
         }
-        let fresh: Vec<_> = fresh.collect();
-        let Some(first) = fresh.first() else { return };
-        if first.index <= self.log.last() {
+        let new_entries: Vec<_> = new_entries.collect();
+        let Some(first) = new_entries.first() else {
+            return;
+        };
+        if first.index <= self.log.last_index() {
             self.log.truncate(first.index, self.committed);
             self.output.writes.push(Write::Truncate(first.index));
         }
-        self.output.writes.push(Write::Append(fresh.clone()));
-        self.log.append(fresh);
+        self.output.writes.push(Write::Append(new_entries.clone()));
+        self.log.append(new_entries);
     }
 
+    /// Answers entries or a part of a snapshot; see [`Stored`] for the arguments.
     pub(super) fn reply(
         &mut self,
         to: Node,
@@ -247,24 +261,26 @@
         self.output.sends.push((to, Message::Stored(stored)));
     }
 
+    /// Raises the commit index, never lowers it.
     fn commit_to(&mut self, index: Index) {
         self.committed = self.committed.max(index);
     }
 
-    pub(super) fn got_stored(&mut self, from: Node, stored: Stored, now: Duration) {
+    /// Handles a follower's answer to entries or a part of a snapshot.
+    pub(super) fn handle_stored(&mut self, from: Node, stored: Stored, now: Duration) {
         if stored.term > self.term {
-            self.follow(stored.term, None, now);
+            self.become_follower(stored.term, None, now);
             return;
         }
-        let last = self.log.last();
+        let last = self.log.last_index();
         let Role::Leader { peers, .. } = &mut self.role else {
             return;
         };
         let Some(progress) = peers.get_mut(&from).filter(|_| stored.term == self.term) else {
             return;
         };
-        progress.answered = progress.answered.max(stored.sent);
-        progress.piece = stored.piece;
+        progress.acked_send_time = progress.acked_send_time.max(stored.sent);
+        progress.snapshot_bytes = stored.piece;
         if stored.fitted {
             progress.matched = progress.matched.max(stored.index);
             progress.next = progress.next.max(progress.matched.next());
@@ -278,13 +294,14 @@
         }
     }
 
-    /// Commits what a majority has on disk, if it is of this term.
+    /// Commits the entries that a majority has on disk, if the last of them is of the current
+    /// term.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader { peers, .. } = &self.role else {
             return;
         };
-        let last = self.log.last();
-        let mut stored: Vec<_> = self
+        let last = self.log.last_index();
+        let mut matched: Vec<_> = self
             .log
             .members()
             .voters()
@@ -298,8 +315,8 @@
                 }
             })
             .collect();
-        stored.sort_by(|a, b| b.cmp(a));
-        let Some(index) = stored.get(self.majority() - 1).copied() else {
+        matched.sort_by(|a, b| b.cmp(a));
+        let Some(index) = matched.get(self.majority() - 1).copied() else {
             return;
         };
         if self.log.term_at(index) == Some(self.term) {
--- a/src/scalewood/core/agree/snapshot.rs
+++ b/src/scalewood/core/agree/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: compaction, and sending them in pieces to who lags behind.
+//! Snapshots: log compaction, and transfer to nodes that lack discarded entries.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     text: String,
 }
 
-/// The text of a snapshot that is being sent.
+/// A serialized snapshot that is being sent.
 #[derive(Debug)]
 pub(super) struct Outgoing {
     index: Index,
@@ -23,10 +23,10 @@
 }
 
 impl<S: State> Voter<S> {
-    /// Compacts the log once enough entries are applied.
+    /// Compacts the log once `settings.compact` entries have been applied since the snapshot.
     pub(super) fn compact(&mut self) {
-        let covered = self.log.snapshot().index;
-        if self.applied.0 - covered.0 < self.settings.compact {
+        let snapshot_index = self.log.snapshot().index;
+        if self.applied.0 - snapshot_index.0 < self.settings.compact {
             return;
         }
         let Some(term) = self.log.term_at(self.applied) else {
@@ -42,7 +42,7 @@
         self.log.compact(snapshot);
     }
 
-    /// Sends a node the next piece of the snapshot.
+    /// Sends a node the next part of the snapshot.
     pub(super) fn send_piece(&mut self, node: &Node, now: Duration) {
         let snapshot = self.log.snapshot();
         if self
@@ -50,7 +50,7 @@
             .as_ref()
             .is_none_or(|outgoing| outgoing.index != snapshot.index)
         {
-            // A snapshot of plain data always has a text.
+            // A snapshot is plain data, so serializing it does not fail.
             let Ok(text) = serde_json::to_string(snapshot) else {
                 return;
             };
@@ -65,7 +65,7 @@
         let Role::Leader { peers, .. } = &self.role else {
             return;
         };
-        let offset = peers.get(node).and_then(|p| p.piece).unwrap_or(0);
+        let offset = peers.get(node).and_then(|p| p.snapshot_bytes).unwrap_or(0);
         let offset = if outgoing.text.is_char_boundary(offset) {
             offset
         } else {
@@ -87,36 +87,37 @@
             .push((node.clone(), Message::Piece(piece)));
     }
 
-    pub(super) fn got_piece(&mut self, from: Node, piece: Piece, now: Duration) {
-        if !self.heed(&from, piece.term, now) {
-            self.reply(from, false, self.log.last(), None, piece.sent);
+    /// Handles a part of a leader's snapshot.
+    pub(super) fn handle_piece(&mut self, from: Node, piece: Piece, now: Duration) {
+        if !self.accept_leader(&from, piece.term, now) {
+            self.reply(from, false, self.log.last_index(), None, piece.sent);
             return;
         }
         if piece.index <= self.committed {
-            // It lags less than the leader thinks.
+            // This node already has all that the snapshot covers.
             self.reply(from, true, self.committed, None, piece.sent);
             return;
         }
         let sent = piece.sent;
-        match self.gather(&from, piece) {
-            Gathered::Part(length) => {
+        match self.assemble(&from, piece) {
+            Assembled::Part(length) => {
                 self.reply(from, false, self.committed, Some(length), sent);
             }
-            Gathered::Whole(snapshot) => {
+            Assembled::Whole(snapshot) => {
                 let index = snapshot.index;
-                self.restart_from(*snapshot);
+                self.install_snapshot(*snapshot);
                 self.reply(from, true, index, None, sent);
             }
         }
     }
 
-    /// Adds a piece to what has come.
-    fn gather(&mut self, from: &Node, piece: Piece) -> Gathered<S> {
-        let fits = |i: &Incoming| i.from == *from && i.index == piece.index;
+    /// Adds a part to those received so far; a part that does not follow on them is ignored.
+    fn assemble(&mut self, from: &Node, piece: Piece) -> Assembled<S> {
+        let is_same_transfer = |i: &Incoming| i.from == *from && i.index == piece.index;
         let mut incoming = self
             .incoming
             .take()
-            .filter(fits)
+            .filter(is_same_transfer)
             .unwrap_or_else(|| Incoming {
                 from: from.clone(),
                 index: piece.index,
@@ -128,28 +129,29 @@
         if incoming.text.len() < piece.length {
             let length = incoming.text.len();
             self.incoming = Some(incoming);
-            return Gathered::Part(length);
+            return Assembled::Part(length);
         }
         match serde_json::from_str(&incoming.text) {
-            Ok(snapshot) => Gathered::Whole(Box::new(snapshot)),
-            // A text that does not parse was put together wrongly: from the start.
-            Err(_) => Gathered::Part(0),
+            Ok(snapshot) => Assembled::Whole(Box::new(snapshot)),
+            // The text was assembled wrongly: the transfer starts again from the first byte.
+            Err(_) => Assembled::Part(0),
         }
     }
 
-    fn restart_from(&mut self, snapshot: Snapshot<S>) {
+    /// Replaces the log and the state by a received snapshot.
+    fn install_snapshot(&mut self, snapshot: Snapshot<S>) {
         self.output.writes.push(Write::Restart(snapshot.clone()));
         self.committed = snapshot.index;
         self.applied = snapshot.index;
         self.state = snapshot.state.clone();
-        self.log.restart(snapshot);
+        self.log.reset_to(snapshot);
     }
 }
 
-/// What a piece makes of a snapshot.
-enum Gathered<S: State> {
-    /// This many bytes have come.
+/// How much of a snapshot has been received.
+enum Assembled<S: State> {
+    /// Its first bytes, this many.
     Part(usize),
-    /// All of it has come.
+    /// All of it.
     Whole(Box<Snapshot<S>>),
 }
