--- a/src/scalewood/core/catchup.rs
+++ b/src/scalewood/core/catchup.rs
@@ -1,83 +1,96 @@
-//! Catching up with the configuration that voters tell of: whom to ask for it, and when.
+//! Fetching new configurations: which voter a box asks, and when.
 //!
-//! Voters are asked one after the other without waiting for those before to answer, and the
-//! first good answer wins. So the age of what a box decides by does not depend on the slowest
-//! voter: while two voters tell and do not give, a third one's configuration is in force
-//! after 1.05 s (`OWN_ZONE_FIRST` and two times `HEDGE`) and the time of one fetch. The shortest
-//! time within which a change has to be in force is two seconds.
+//! Requests are hedged: if the voters asked so far have not answered in time, another one is
+//! asked as well, and the first successful answer wins. So the age of a box's configuration does
+//! not depend on the slowest voter. If two voters announce a revision but do not deliver it, a
+//! third one's configuration is in force after 1.05 s (`OTHER_ZONE_DELAY` and two times
+//! `HEDGE_DELAY`) plus the time of one fetch. The shortest time within which a change has to be in force is two seconds.
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use crate::core::unit;
 
-/// How much later a voter of another zone is asked than one of this zone: replication to a
-/// voter here takes a heartbeat of the leader at most, and saves the link between zones.
-const OWN_ZONE_FIRST: Duration = Duration::from_millis(250);
-/// How long a voter has to answer before another one is asked beside it: some times what a
-/// difference takes, and short enough for two silent voters within a second.
-const HEDGE: Duration = Duration::from_millis(400);
-/// The same for a box that has no configuration: it gets a whole one, which takes longer, at
-/// a time when all others may ask as well.
-const HEDGE_FIRST: Duration = Duration::from_secs(1);
-/// The most voters that are asked at the same time: one more than may be silent at once in
-/// a system of five that bears the loss of two.
-const MOST_ASKED: usize = 3;
-/// How long a voter that failed is not asked again.
-const LEFT_ALONE: Duration = Duration::from_millis(500);
-
+/// How long after its announcement a voter of another zone may first be asked, if there is a
+/// voter in this zone: replication to that one takes at most a heartbeat of the leader, and
+/// fetching from it avoids traffic between zones.
+const OTHER_ZONE_DELAY: Duration = Duration::from_millis(250);
+/// How long a voter may take to answer before another one is asked as well: several times the
+/// fetch of a difference, and short enough to pass two silent voters within a second.
+const HEDGE_DELAY: Duration = Duration::from_millis(400);
+/// The same for a box without a configuration: it fetches a whole one, which takes longer, and
+/// all other boxes may be doing so at the same time.
+const INITIAL_HEDGE_DELAY: Duration = Duration::from_secs(1);
+/// The most voters that are asked at the same time: one more than may be silent in a cluster of
+/// five, which tolerates the loss of two.
+const MAX_OPEN_REQUESTS: usize = 3;
+/// How long a voter is not asked again after it failed to answer.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// The state of requests to one voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// No request is open.
     Idle,
+    /// A request is open.
     Asked,
-    /// It failed, and is not asked until then.
-    LeftAlone(Duration),
+    /// The last request failed; the voter is not asked again until the given time.
+    Backoff(Duration),
 }
 
-/// A voter that is followed.
+/// A voter whose announcements this box follows.
 #[derive(Clone, Debug)]
 struct Voter {
+    /// The newest revision that it has announced.
     revision: unit::Revision,
-    /// When it told of that revision.
-    told_at: Duration,
+    /// When it announced that revision.
+    announced_at: Duration,
     /// Whether it is in this box's availability zone.
-    near: bool,
+    same_zone: bool,
     state: State,
 }
 
-/// What a box has, what its voters tell, and who was asked for it.
+/// The revision that a box has, those that voters have announced, and the open requests.
 #[derive(Clone, Debug, Default)]
 pub struct Catchup {
+    /// The revision in force here.
     own: unit::Revision,
     voters: BTreeMap<SocketAddr, Voter>,
-    /// When a voter was asked last.
-    asked_at: Duration,
+    /// When any voter was last asked.
+    last_asked_at: Duration,
 }
 
 impl Catchup {
-    /// Notes what a voter tells; it is `near` in the same availability zone.
-    pub fn told(&mut self, voter: SocketAddr, revision: unit::Revision, near: bool, now: Duration) {
+    /// Records the revision that a voter announces; `same_zone` if it is in this box's zone.
+    pub fn told(
+        &mut self,
+        voter: SocketAddr,
+        revision: unit::Revision,
+        same_zone: bool,
+        now: Duration,
+    ) {
         let known = self.voters.entry(voter).or_insert(Voter {
             revision,
-            told_at: now,
-            near,
+            announced_at: now,
+            same_zone,
             state: State::Idle,
         });
-        known.near = near;
+        known.same_zone = same_zone;
         if revision > known.revision {
             known.revision = revision;
-            known.told_at = now;
+            known.announced_at = now;
         }
     }
 
-    /// Notes that a voter is followed no more.
+    /// Forgets a voter that is no longer followed.
     pub fn lost(&mut self, voter: SocketAddr) {
         self.voters.remove(&voter);
     }
 
-    /// Notes the revision in force here; tells whether nobody has a newer one.
+    /// Records the revision in force here. Returns whether no voter has announced a newer one;
+    /// open requests are then forgotten.
     pub fn reached(&mut self, own: unit::Revision) -> bool {
         self.own = self.own.max(own);
-        let caught_up = self.newer().next().is_none();
+        let caught_up = self.voters_ahead().next().is_none();
         if caught_up {
             for voter in self.voters.values_mut() {
                 voter.state = State::Idle;
@@ -86,86 +99,93 @@
         caught_up
     }
 
-    /// The voter to ask now, if there is one; it counts as asked.
+    /// Returns the voter to ask now, if there is one, and records it as asked.
     pub fn next(&mut self, now: Duration) -> Option<SocketAddr> {
         let (voter, due) = self.candidate(now)?;
         if due > now {
             return None;
         }
         self.voters.get_mut(&voter)?.state = State::Asked;
-        self.asked_at = now;
+        self.last_asked_at = now;
         Some(voter)
     }
 
-    /// When a voter may have to be asked if nothing else happens.
+    /// Returns when [`next`](Self::next) is to be called again if nothing else happens before.
     pub fn due(&self, now: Duration) -> Option<Duration> {
-        let rested = self.newer().filter_map(|(_, voter)| match voter.state {
-            State::LeftAlone(until) if until > now => Some(until),
-            _ => None,
-        });
+        let retries = self
+            .voters_ahead()
+            .filter_map(|(_, voter)| match voter.state {
+                State::Backoff(until) if until > now => Some(until),
+                _ => None,
+            });
         let candidate = self.candidate(now).map(|(_, due)| due);
-        candidate.into_iter().chain(rested).min()
+        candidate.into_iter().chain(retries).min()
     }
 
-    /// Notes that a voter that was asked has answered, or failed to.
-    pub fn answered(&mut self, voter: SocketAddr, gave: bool, now: Duration) {
+    /// Records the end of a request to a voter: `delivered` if it delivered the configuration.
+    pub fn answered(&mut self, voter: SocketAddr, delivered: bool, now: Duration) {
         if let Some(known) = self.voters.get_mut(&voter) {
-            known.state = if gave {
+            known.state = if delivered {
                 State::Idle
             } else {
-                State::LeftAlone(now + LEFT_ALONE)
+                State::Backoff(now + RETRY_DELAY)
             };
         }
     }
 
-    /// For how long a voter has told of a newer configuration than the one in force here.
+    /// Returns for how long voters have announced a newer configuration than the one in force
+    /// here: the longest such time among the voters that are ahead.
     pub fn behind(&self, now: Duration) -> Duration {
-        let since = self.newer().map(|(_, voter)| voter.told_at).min();
+        let since = self
+            .voters_ahead()
+            .map(|(_, voter)| voter.announced_at)
+            .min();
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// The newest revision that a voter tells.
+    /// Returns the newest revision that is announced or in force here.
     pub fn newest(&self) -> unit::Revision {
-        let told = self.voters.values().map(|voter| voter.revision);
-        told.max().unwrap_or_default().max(self.own)
+        let announced = self.voters.values().map(|voter| voter.revision);
+        announced.max().unwrap_or_default().max(self.own)
     }
 
-    /// The voters that tell of a newer configuration.
-    fn newer(&self) -> impl Iterator<Item = (&SocketAddr, &Voter)> {
+    /// Returns the voters that have announced a newer configuration.
+    fn voters_ahead(&self) -> impl Iterator<Item = (&SocketAddr, &Voter)> {
         let own = self.own;
         let voters = self.voters.iter();
         voters.filter(move |(_, voter)| voter.revision > own)
     }
 
-    /// Who is to be asked next, and when.
+    /// Returns the voter to ask next, and when: one of this zone first, then the newest revision.
     fn candidate(&self, now: Duration) -> Option<(SocketAddr, Duration)> {
-        let asked = self.voters.values().filter(|v| v.state == State::Asked);
-        let asked = asked.count();
-        if asked >= MOST_ASKED {
+        let open = self.voters.values().filter(|v| v.state == State::Asked);
+        let open = open.count();
+        if open >= MAX_OPEN_REQUESTS {
             return None;
         }
-        let idle = self.newer().filter(|(_, voter)| match voter.state {
+        let idle = self.voters_ahead().filter(|(_, voter)| match voter.state {
             State::Idle => true,
             State::Asked => false,
-            State::LeftAlone(until) => until <= now,
+            State::Backoff(until) => until <= now,
         });
-        let (address, voter) =
-            idle.max_by_key(|(address, voter)| (voter.near, voter.revision, Reverse(**address)))?;
-        let due = if asked > 0 {
-            self.asked_at + self.hedge()
-        } else if !voter.near && self.voters.values().any(|voter| voter.near) {
-            voter.told_at + OWN_ZONE_FIRST
+        let (address, voter) = idle
+            .max_by_key(|(address, voter)| (voter.same_zone, voter.revision, Reverse(**address)))?;
+        let due = if open > 0 {
+            self.last_asked_at + self.hedge_delay()
+        } else if !voter.same_zone && self.voters.values().any(|voter| voter.same_zone) {
+            voter.announced_at + OTHER_ZONE_DELAY
         } else {
             now
         };
         Some((*address, due))
     }
 
-    fn hedge(&self) -> Duration {
+    /// Returns how long the latest request may take before another voter is asked.
+    fn hedge_delay(&self) -> Duration {
         if self.own == unit::Revision::default() {
-            HEDGE_FIRST
+            INITIAL_HEDGE_DELAY
         } else {
-            HEDGE
+            HEDGE_DELAY
         }
     }
 }
--- a/src/scalewood/core/tenure.rs
+++ b/src/scalewood/core/tenure.rs
@@ -1,12 +1,13 @@
-//! Who does what only one process may do at a time.
+//! Mutual exclusion for tasks that only one process may perform at a time, with fencing tokens.
 //!
-//! Some calls to the provider belong to one holder at a time. The leader of the voters holds
-//! them, under a token that the voters' log raises with each change of the holder, so that no
-//! two holders ever have the same one. Receivers that look at tokens refuse a late holder;
-//! for the others two rules make up for it. A holder acts only under the leader's lease, so
-//! that its successor has not begun. And who comes back lets a time pass since it acted last,
-//! so that no acts of another one lie between two of its own within it. That another one waits
-//! instead, whoever it is, was tried: it leaves the tasks undone for as long at each change.
+//! Some calls to the provider may come from only one holder at a time. The holder is the leader
+//! of the voters, and its fencing token is raised through the voters' log with each change of
+//! the holder, so that no two holders ever have the same token. Receivers that check tokens
+//! reject a former holder. Two rules protect the receivers that do not. A holder acts only while
+//! its leader's lease is valid, so its successor has not started yet. And a voter that becomes
+//! the holder again first waits for a time since its own last act, so that within that time no
+//! acts of another holder lie between two of its own. Making every new holder wait instead would
+//! leave the tasks undone for that time at each change.
 
 use std::time::Duration;
 
@@ -14,10 +15,11 @@
 
 use crate::core::agree;
 
-/// What is added to the rest, for clocks that run at other speeds and calls under way.
-const MARGIN: Duration = Duration::from_millis(250);
+/// The time added to the quiet period, for clocks that run at different speeds and for calls in
+/// flight.
+const SKEW_MARGIN: Duration = Duration::from_millis(250);
 
-/// A number that rises with each change of the holder; the first is 1.
+/// A fencing token: a number that rises with each change of the holder; the first is 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Token(pub u64);
@@ -28,17 +30,18 @@
     }
 }
 
-/// The holder as the voters have agreed on it.
+/// The holder that the voters have agreed on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The voter.
+    /// The voter that holds the tasks.
     pub node: agree::Node,
-    /// Its token.
+    /// Its fencing token.
     pub token: Token,
 }
 
 impl Holder {
-    /// The holder after a voter has taken over from the one before, if there was one.
+    /// Returns the holder after a voter has taken over. The token rises unless the voter already
+    /// was the holder.
     pub fn next(before: Option<&Self>, node: agree::Node) -> Self {
         match before {
             Some(holder) if holder.node == node => holder.clone(),
@@ -54,40 +57,43 @@
     }
 }
 
-/// What a voter may do now.
+/// What a voter may do at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing: another one leads, or the holder before may have acted lately.
+    /// Nothing: this voter does not lead, or its quiet period is not over.
     Wait,
-    /// Have the voters agree that it holds.
+    /// Propose to the voters that it becomes the holder.
     Take,
-    /// Act, under the token.
+    /// Perform the tasks, under this token.
     Act(Token),
 }
 
-/// One voter's part in who holds.
+/// One voter's state: whether and from when on it may act as the holder.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenure {
-    /// The time in which no two holders may act by turns.
-    rest: Duration,
-    /// The token under which this voter holds, and from when on it may act.
-    from: Option<(Token, Duration)>,
-    /// When it may have acted last: before its start it may have, too.
-    acted: Duration,
+    /// The time since its own last act for which this voter waits before it acts under a new
+    /// token: within it, no acts of two holders may alternate.
+    quiet_period: Duration,
+    /// The latest token under which this voter is the holder, and from when on it may act.
+    may_act_from: Option<(Token, Duration)>,
+    /// When it last may have acted. At first the time of its start, since it may have acted just
+    /// before that.
+    last_acted_at: Duration,
 }
 
 impl Tenure {
-    /// A voter that starts now.
-    pub fn new(rest: Duration, now: Duration) -> Self {
+    /// Creates the state of a voter that starts now.
+    pub fn new(quiet_period: Duration, now: Duration) -> Self {
         Self {
-            rest,
-            from: None,
-            acted: now,
+            quiet_period,
+            may_act_from: None,
+            last_acted_at: now,
         }
     }
 
-    /// What a voter may do that leads under its lease or not, by the holder that the voters
-    /// have agreed on. `holder` must hold all that was agreed before it led.
+    /// Returns what this voter may do; with [`Step::Act`], it counts as having acted at `now`.
+    /// `leads` says whether it leads under a valid lease. `holder` is the agreed holder, and must
+    /// reflect all entries that were committed before this voter became the leader.
     pub fn step(
         &mut self,
         own: &agree::Node,
@@ -101,17 +107,17 @@
         let Some(token) = holder.filter(|h| h.node == *own).map(|h| h.token) else {
             return Step::Take;
         };
-        let from = match self.from {
-            Some((known, from)) if known == token => from,
-            // Nobody has acted before the first holder.
+        let may_act_from = match self.may_act_from {
+            Some((known, may_act_from)) if known == token => may_act_from,
+            // There was no holder before the first one, so it need not wait.
             _ if token == Token(1) => now,
-            _ => self.acted + self.rest + MARGIN,
+            _ => self.last_acted_at + self.quiet_period + SKEW_MARGIN,
         };
-        self.from = Some((token, from));
-        if now < from {
+        self.may_act_from = Some((token, may_act_from));
+        if now < may_act_from {
             return Step::Wait;
         }
-        self.acted = now;
+        self.last_acted_at = now;
         Step::Act(token)
     }
 }
