--- a/src/scalewood/core/audit.rs
+++ b/src/scalewood/core/audit.rs
@@ -4,39 +4,39 @@
 
 use crate::core::{change, config, cordon, name, route, unit};
 
-/// One accepted change as the trail keeps it.
+/// The record of one accepted change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The revision that the change made.
+    /// The revision that the change produced.
     pub revision: unit::Revision,
-    /// The revision that it was made against.
+    /// The revision that the change was based on.
     pub base: unit::Revision,
-    /// The change's id.
+    /// The id of the change.
     pub id: change::Id,
-    /// Who made it.
+    /// The operator who made it.
     pub operator: name::Operator,
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// Why, in the operator's words.
+    /// The reason, as the operator gave it.
     pub why: String,
-    /// What differed, item by item.
+    /// The differences, one for each changed item.
     pub differences: Vec<Difference>,
 }
 
-/// What happened to one item.
+/// The change of one item.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// The item.
+    /// The item, as `kind name`.
     pub item: String,
-    /// What it was, if it existed. Token hashes are left out.
+    /// Its value before the change, if it existed. Token hashes are cut to their first digits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<serde_json::Value>,
-    /// What it is now, if it exists. Token hashes are left out.
+    /// Its value after the change, if it exists. Token hashes are cut to their first digits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<serde_json::Value>,
 }
 
-/// What differs between two documents in the items that edits touched.
+/// Returns the differences between two documents in the items that the edits name.
 pub fn differences(
     before: &config::Document,
     after: &config::Document,
@@ -47,8 +47,8 @@
     keys.dedup();
     let describe = |key: change::Key| Difference {
         item: key.to_string(),
-        before: lookup(before, &key),
-        after: lookup(after, &key),
+        before: item_as_json(before, &key),
+        after: item_as_json(after, &key),
     };
     keys.into_iter()
         .map(describe)
@@ -56,7 +56,7 @@
         .collect()
 }
 
-/// What an order to cordon or uncordon a zone changes.
+/// Returns the difference that cordoning or uncordoning a zone makes.
 pub fn cordon_difference(mark: &cordon::Mark) -> Difference {
     let (before, after) = match mark.act {
         cordon::Act::Cordon => (None, Some(true.into())),
@@ -69,10 +69,11 @@
     }
 }
 
-/// The most differences of one published routing that the trail keeps.
-const MAX_DIFFERENCES: usize = 64;
+/// The most differences that are recorded for one published routing.
+const MAX_ROUTE_DIFFERENCES: usize = 64;
 
-/// What differs between two routings, route by route; the first few.
+/// Returns the differences between two routings, one for each changed route, limited to the
+/// first `MAX_ROUTE_DIFFERENCES` by name.
 pub fn routing_differences(
     before: Option<&route::Routing>,
     after: &route::Routing,
@@ -90,10 +91,11 @@
         before: before.routes.get(name).and_then(show),
         after: after.routes.get(name).and_then(show),
     };
-    changed.take(MAX_DIFFERENCES).map(describe).collect()
+    changed.take(MAX_ROUTE_DIFFERENCES).map(describe).collect()
 }
 
-fn lookup(document: &config::Document, key: &change::Key) -> Option<serde_json::Value> {
+/// Returns an item of a document as JSON, if it exists, with its token hash cut as in [`show`].
+fn item_as_json(document: &config::Document, key: &change::Key) -> Option<serde_json::Value> {
     match key {
         change::Key::Box(name) => show(document.boxes.get(name)?),
         change::Key::Service(name) => show(document.services.get(name)?),
@@ -104,18 +106,18 @@
     }
 }
 
-/// An item as JSON, without what is secret. A changed token still shows as a
-/// difference, by the hash's first digits.
+/// Returns an item as JSON, with its token hash cut to the first digits, so that a changed token
+/// still shows as a difference.
 pub fn show<T: Serialize>(item: &T) -> Option<serde_json::Value> {
-    /// Digits of a hash that are shown: enough to see that it changed.
-    const SHOWN: usize = 8;
+    /// The number of hex digits of a token hash that are shown, enough to see a change.
+    const SHOWN_HASH_DIGITS: usize = 8;
     let mut value = serde_json::to_value(item).ok()?;
     if let Some(hash) = value.get_mut("token_hash") {
         let digits: String = hash
             .as_str()
             .unwrap_or_default()
             .chars()
-            .take(SHOWN)
+            .take(SHOWN_HASH_DIGITS)
             .collect();
         *hash = format!("{digits}...").into();
     }
--- a/src/scalewood/core/change.rs
+++ b/src/scalewood/core/change.rs
@@ -1,5 +1,4 @@
-//! Changes of the configuration: what an operator asks for, the answer, and the steps from
-//! one revision to the next.
+//! Configuration changes: an operator's request, the answer, and the steps between revisions.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -7,27 +6,27 @@
 
 use crate::core::{config, cordon, difference, name, unit};
 
-/// The longest change id, in bytes.
+/// The maximum length of a change id, in bytes.
 pub const MAX_ID: usize = 64;
 
-/// An operator's own identity for a change. Sent again under the same id, a change
-/// gets its first answer.
+/// The id that an operator gives to a change, as an idempotency key: a change that is sent again
+/// under the same id gets the first answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Id(String);
 
 impl Id {
-    /// The id under which the trail holds a published version.
+    /// Returns the audit trail's id for a published routing version.
     pub(crate) fn of_version(version: u64) -> Self {
         Self(format!("version-{version}"))
     }
 
-    /// The id under which the trail holds a cordon that was ordered without one.
+    /// Returns the audit trail's id for a cordon that was ordered without an id.
     pub(crate) fn of_cordon(revision: unit::Revision) -> Self {
         Self(format!("cordon-{revision}"))
     }
 
-    /// The id under which the trail holds an order of endpoints.
+    /// Returns the audit trail's id for an order of endpoints from the provider.
     pub(crate) fn of_scaling(at_unix_ms: u64) -> Self {
         Self(format!("scaling-{at_unix_ms}"))
     }
@@ -67,7 +66,7 @@
     }
 }
 
-/// An item with its name.
+/// A configuration item with its name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Item {
@@ -85,7 +84,7 @@
     Policy(name::Policy, config::Policy),
 }
 
-/// The name of an item with its kind.
+/// The kind and name of an item, without its value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Key {
@@ -117,7 +116,7 @@
 }
 
 impl Item {
-    /// The item's key.
+    /// Returns the item's key.
     pub fn key(&self) -> Key {
         match self {
             Item::Box(name, _) => Key::Box(name.clone()),
@@ -130,7 +129,7 @@
     }
 }
 
-/// One step of a change.
+/// One edit of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Edit {
@@ -141,7 +140,7 @@
 }
 
 impl Edit {
-    /// The key of the item that the edit touches.
+    /// Returns the key of the item that the edit sets or removes.
     pub fn key(&self) -> Key {
         match self {
             Edit::Set(item) => item.key(),
@@ -183,60 +182,60 @@
     }
 }
 
-/// What an operator asks for.
+/// A change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The operator's own identity for the change.
+    /// The id that the operator gives to the change.
     pub id: Id,
-    /// The revision that the change was made against.
+    /// The revision that the change is based on.
     pub base: unit::Revision,
-    /// Why it is made; goes into the audit trail.
+    /// The reason for the change, kept in the audit trail.
     pub why: String,
-    /// The steps, applied in order, all or none.
+    /// The edits, applied in this order, either all or none.
     pub edits: Vec<Edit>,
 }
 
-/// The answer to a change; the same for every resend.
+/// The answer to a change, the same each time that the change is sent again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum Answer {
     /// The change is accepted and durable.
     Accepted {
-        /// The revision that it made.
+        /// The revision that the change produced.
         revision: unit::Revision,
     },
-    /// The change was not applied, and never will be under this id.
+    /// The change was rejected, and will never be applied under this id.
     NotApplied {
-        /// The revision in force at the time.
+        /// The revision that was in force when the change was rejected.
         current: unit::Revision,
-        /// Why not, and what to do.
+        /// Why the change was rejected, and how to correct it.
         why: Vec<String>,
     },
 }
 
-/// What makes a later revision out of an earlier one.
+/// The difference between two revisions, which a box applies to go from one to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// The revision that it starts from.
+    /// The revision that it applies to.
     pub base: unit::Revision,
-    /// The revision that it leads to.
+    /// The revision that results.
     pub revision: unit::Revision,
-    /// What changes.
+    /// The content of the difference.
     pub what: What,
 }
 
-/// What changes in a step.
+/// The content of a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// Items, one by one.
+    /// Edits of single items.
     Edits(Vec<Edit>),
-    /// The routing.
+    /// A difference of the routing.
     Routing(difference::Routing),
-    /// The cordoned zones.
+    /// A difference of the set of cordoned zones.
     Cordons(cordon::Difference),
-    /// More than one of these.
+    /// Several of these, applied in order; none if nothing differs.
     Several(Vec<What>),
 }
 
@@ -261,7 +260,7 @@
         }
     }
 
-    /// How many items it touches.
+    /// Returns how many items it changes.
     fn len(&self) -> usize {
         match self {
             What::Edits(edits) => edits.len(),
@@ -273,7 +272,7 @@
 }
 
 impl Step {
-    /// The step that one change of an operator makes.
+    /// Returns the step of an operator's change, from the revision before.
     pub fn of_edits(revision: unit::Revision, edits: Vec<Edit>) -> Self {
         Self {
             base: unit::Revision(revision.0.saturating_sub(1)),
@@ -282,7 +281,7 @@
         }
     }
 
-    /// The step that one order to cordon or uncordon makes.
+    /// Returns the step of an order to cordon or uncordon zones, from the revision before.
     pub fn of_cordon(revision: unit::Revision, difference: cordon::Difference) -> Self {
         Self {
             base: unit::Revision(revision.0.saturating_sub(1)),
@@ -291,8 +290,8 @@
         }
     }
 
-    /// The step between two documents, if nothing but the routing and the cordoned zones
-    /// differs.
+    /// Returns the step between two documents; none if more than the routing and the cordoned
+    /// zones differs, or if only one of them has a routing.
     pub fn between(
         (base, old): (unit::Revision, &config::Document),
         (revision, new): (unit::Revision, &config::Document),
@@ -318,22 +317,22 @@
             revision,
             what,
         };
-        let mut reached = config::Document::clone(old);
-        step.apply(&mut reached);
-        (reached == *new).then_some(step)
+        let mut result = config::Document::clone(old);
+        step.apply(&mut result);
+        (result == *new).then_some(step)
     }
 
-    /// Applies it to a document of its base.
+    /// Applies the step to a document of its base revision.
     pub fn apply(&self, to: &mut config::Document) {
         self.what.apply(to);
     }
 
-    /// How many items it touches.
+    /// Returns how many items the step changes.
     pub fn len(&self) -> usize {
         self.what.len()
     }
 
-    /// Whether it touches none.
+    /// Returns whether the step changes no item.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/src/scalewood/core/difference.rs
+++ b/src/scalewood/core/difference.rs
@@ -1,8 +1,8 @@
 //! Differences between two versions of a routing.
 //!
-//! An operator replaces a routing as a whole, while a new version mostly differs in a few of
-//! its routes. So boxes are told the difference: with 1,500 routes and 300 boxes a whole one
-//! each time is some 200 MB a version, the difference as little as what has changed.
+//! An operator always replaces the whole routing, but a new version usually differs in only a
+//! few routes. So boxes are sent the difference: with 1,500 routes and 300 boxes, sending the
+//! whole routing takes about 200 MB for each version, a difference only the changed entries.
 
 use std::collections::BTreeMap;
 
@@ -10,31 +10,33 @@
 
 use crate::core::{name, route};
 
-/// What makes one map out of another.
+/// The difference between two maps: what turns the old one into the new one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table<K: Ord, V> {
-    /// Entries that are new or changed.
+    /// Entries that were added or changed.
     #[serde(default = "BTreeMap::new", skip_serializing_if = "BTreeMap::is_empty")]
     pub set: BTreeMap<K, V>,
-    /// Entries that are gone.
+    /// Keys of entries that were removed.
     #[serde(default = "Vec::new", skip_serializing_if = "Vec::is_empty")]
     pub removed: Vec<K>,
 }
 
 impl<K: Clone + Ord, V: Clone + PartialEq> Table<K, V> {
+    /// Returns the difference between two maps.
     fn between(old: &BTreeMap<K, V>, new: &BTreeMap<K, V>) -> Self {
-        let set = new
+        let changed = new
             .iter()
             .filter(|(key, value)| old.get(key) != Some(*value));
         let removed = old.keys().filter(|key| !new.contains_key(key));
         Self {
-            set: set
+            set: changed
                 .map(|(key, value)| (key.clone(), value.clone()))
                 .collect(),
             removed: removed.cloned().collect(),
         }
     }
 
+    /// Turns the old map into the new one.
     fn apply(&self, to: &mut BTreeMap<K, V>) {
         for key in &self.removed {
             to.remove(key);
@@ -43,28 +45,29 @@
         to.extend(set.map(|(key, value)| (key.clone(), value.clone())));
     }
 
+    /// Returns how many entries differ.
     fn len(&self) -> usize {
         self.set.len() + self.removed.len()
     }
 }
 
-/// What makes one routing out of another.
+/// The difference between two routings: what turns the old one into the new one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Routing {
-    /// The operator's version that it leads to.
+    /// The version of the new routing, as set by the operator.
     pub version: u64,
-    /// Routes that differ.
+    /// The difference of the routes.
     pub routes: Table<name::Class, route::Route>,
-    /// Services that differ.
+    /// The difference of the services.
     pub services: Table<name::Service, route::Service>,
-    /// Teams that differ.
+    /// The difference of the teams.
     pub teams: Table<name::Team, route::Team>,
-    /// How callers are treated.
+    /// The limits on callers' requests and connections in the new routing, always sent whole.
     pub limits: route::Limits,
 }
 
 impl Routing {
-    /// What makes the new routing out of the old one.
+    /// Returns the difference between two routings.
     pub fn between(old: &route::Routing, new: &route::Routing) -> Self {
         Self {
             version: new.version,
@@ -75,7 +78,7 @@
         }
     }
 
-    /// The routing that the old one becomes.
+    /// Returns the new routing, given the old one.
     pub fn apply(&self, old: &route::Routing) -> route::Routing {
         let mut new = old.clone();
         new.version = self.version;
@@ -86,12 +89,12 @@
         new
     }
 
-    /// How many entries differ.
+    /// Returns how many routes, services and teams differ.
     pub fn len(&self) -> usize {
         self.routes.len() + self.services.len() + self.teams.len()
     }
 
-    /// Whether no entry differs.
+    /// Returns whether no route, service or team differs.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
