--- a/src/scalewood/core/config.rs
+++ b/src/scalewood/core/config.rs
@@ -1,8 +1,8 @@
 //! The configuration: services, classes, teams, endpoints and policies.
 //!
-//! A [`Document`] is one accepted state of it, and is always valid: every name that
-//! an item mentions exists. [`Document::check`] finds all problems at once, so that
-//! an operator mends a change in one go.
+//! A [`Document`] is one accepted state of the configuration. It is always valid: for example,
+//! every item that another one refers to exists. [`Document::check`] reports all problems
+//! together, so that an operator can correct a change in one attempt.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,55 +16,56 @@
 
 use crate::core::{name, policy, residency, route, secret, unit};
 
-/// What a service runs on.
+/// The kind of a service, by what its endpoints are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Model engines: streams, priorities, resumption.
+    /// Model engines, with streams, priorities and resumption.
     #[default]
     Model,
-    /// Plain HTTP replicas.
+    /// Replicas of a plain HTTP service.
     Plain,
 }
 
-/// A service that callers ask.
+/// A service that callers send requests to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Service {
-    /// What it runs on.
+    /// What its endpoints are.
     pub kind: Kind,
-    /// The models that it serves, as callers name them; empty for a plain service.
+    /// The models that it serves, by the names in requests; empty for a plain service.
     pub models: BTreeSet<name::Model>,
 }
 
-/// A class of requests within a service.
+/// A class of requests of a service, with their service level.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Class {
-    /// Its rank; 0 is the highest.
+    /// The priority of its requests; 0 is the highest.
     pub tier: unit::Tier,
-    /// The time within which the first token (of a plain service: the answer) is due.
+    /// The time within which the first token is due; for a plain service, the answer.
     #[serde(rename = "target_ms", with = "millis")]
     pub target: Duration,
-    /// The longest that a request waits before it is shed.
+    /// How long a request may wait before it is shed.
     #[serde(rename = "deadline_ms", with = "millis")]
     pub deadline: Duration,
-    /// The part of granted slots that the class gets when it has requests waiting.
+    /// The fraction of granted slots that the class gets at least while its requests wait.
     pub share: unit::Share,
-    /// Whether its runs may be interrupted for a higher tier and resumed later.
+    /// Whether its runs may be interrupted for requests of a higher tier, and resumed later.
     pub preemptible: bool,
-    /// Whether a request that may have run can be run again.
+    /// Whether a request that may already have run may be run again.
     pub repeatable: bool,
-    /// The longest pause between two events of a stream that is in time, in milliseconds.
+    /// The longest acceptable pause between two events of a stream, in milliseconds; absent for
+    /// no bound.
     #[serde(rename = "gap_ms", skip_serializing_if = "Option::is_none")]
     pub gap: Option<u64>,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     #[serde(skip_serializing_if = "residency::Allowed::is_everywhere")]
     pub allowed: residency::Allowed,
 }
 
 impl Class {
-    /// The longest pause between two events of a stream that is in time.
+    /// Returns the longest acceptable pause between two events of a stream.
     pub fn gap(&self) -> Option<Duration> {
         self.gap.map(Duration::from_millis)
     }
@@ -85,13 +86,13 @@
     }
 }
 
-/// A class by its service and its own name.
+/// The key of a class, written as SERVICE/CLASS.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ClassKey {
-    /// The service.
+    /// The name of the service.
     pub service: name::Service,
-    /// The class within it.
+    /// The name of the class within the service.
     pub class: name::Class,
 }
 
@@ -135,15 +136,15 @@
 pub struct Team {
     /// The hash of its bearer token.
     pub token_hash: secret::Hash,
-    /// The classes that it may use; the first of a service is its default there.
+    /// The classes that it may use; the first one of a service is its default for that service.
     pub classes: Vec<ClassKey>,
-    /// Requests that it may start each second; absent for no limit.
+    /// The number of requests that it may start per second; absent for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests: Option<unit::Rate>,
-    /// Tokens, asked and answered, that it may use each second; absent for no limit.
+    /// The number of prompt and output tokens that it may use per second; absent for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens: Option<unit::Rate>,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     #[serde(default, skip_serializing_if = "residency::Allowed::is_everywhere")]
     pub allowed: residency::Allowed,
 }
@@ -154,16 +155,16 @@
 pub struct Endpoint {
     /// The service that it serves.
     pub service: name::Service,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: name::Zone,
     /// Its HTTP address.
     pub address: SocketAddr,
-    /// How many requests it runs at once.
+    /// The number of requests that it can run at the same time.
     pub slots: unit::Slots,
-    /// Whether it gets no new work because it is about to go.
+    /// Whether it gets no new requests because it is about to be removed.
     #[serde(default)]
     pub leaving: bool,
-    /// The model or adapter that it is ordered to have loaded; absent for no order.
+    /// The model or adapter that an operator ordered it to load; absent for no order.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<name::Model>,
 }
@@ -172,9 +173,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// The service whose requests it sees.
+    /// The service whose requests the program is run for.
     pub service: name::Service,
-    /// The program's text, in rhai.
+    /// The source text of the program, in rhai.
     pub program: String,
 }
 
@@ -182,9 +183,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Box {
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: name::Zone,
-    /// Where the other boxes of the system reach it.
+    /// The address at which the other boxes of the system reach it.
     pub address: SocketAddr,
 }
 
@@ -204,21 +205,21 @@
     pub endpoints: BTreeMap<name::Endpoint, Endpoint>,
     /// Policies by name.
     pub policies: BTreeMap<name::Policy, Policy>,
-    /// The availability zones whose endpoints get no new work, by order of an operator.
+    /// The availability zones whose endpoints get no new requests, by order of an operator.
     #[serde(skip_serializing_if = "BTreeSet::is_empty")]
     pub cordoned: BTreeSet<name::Zone>,
-    /// Routes, if an operator has published any. Their services and classes stand
-    /// among the others too.
+    /// The published routing, if there is one. Its services and classes are also contained in
+    /// `services` and `classes`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub routing: Option<Arc<route::Routing>>,
 }
 
-/// Something in a document that can't stand.
+/// A problem that makes a document invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
     /// The item, as `kind name`.
     pub item: String,
-    /// What is wrong and what to do.
+    /// What is wrong, and how to correct it.
     pub why: String,
 }
 
@@ -228,37 +229,36 @@
     }
 }
 
-/// The most slots that an endpoint may have.
+/// The maximum number of slots of an endpoint.
 pub const MAX_SLOTS: u32 = 4096;
 
 impl Document {
-    /// Finds everything that can't stand, in the order of the document.
+    /// Returns all problems, in the order of the document's fields.
     pub fn check(&self) -> Vec<Problem> {
-        let mut found = Vec::new();
-        self.check_boxes(&mut found);
-        self.check_services(&mut found);
-        self.check_classes(&mut found);
-        self.check_teams(&mut found);
-        self.check_endpoints(&mut found);
-        self.check_policies(&mut found);
+        let mut problems = Vec::new();
+        self.check_boxes(&mut problems);
+        self.check_services(&mut problems);
+        self.check_classes(&mut problems);
+        self.check_teams(&mut problems);
+        self.check_endpoints(&mut problems);
+        self.check_policies(&mut problems);
         if let Some(routing) = &self.routing {
-            found.extend(routing.check());
+            problems.extend(routing.check());
         }
-        found
+        problems
     }
 
-    /// Whether it says nothing of what is served: nobody has configured anything yet, whatever
-    /// zones are cordoned.
+    /// Returns whether nothing has been configured yet. Cordoned zones do not count.
     pub fn is_empty(&self) -> bool {
-        let untouched = Self {
+        let empty = Self {
             cordoned: self.cordoned.clone(),
             ..Self::default()
         };
-        *self == untouched
+        *self == empty
     }
 
-    /// Puts a routing in place of the one that is held, with its services and classes.
-    /// Items of the same name that operators have set by themselves give way.
+    /// Replaces the current routing, and the services and classes that come from it. Those of
+    /// the new routing overwrite items of the same name that operators have set.
     pub fn replace_routing(&mut self, routing: Arc<route::Routing>) {
         if let Some(old) = self.routing.take() {
             for (key, _) in old.configured_classes() {
@@ -273,7 +273,7 @@
         self.routing = Some(routing);
     }
 
-    /// The classes of one service.
+    /// Returns the classes of a service.
     pub fn classes_of<'a>(
         &'a self,
         service: &'a name::Service,
@@ -283,7 +283,7 @@
             .filter(move |(key, _)| key.service == *service)
     }
 
-    /// The service that serves a model.
+    /// Returns the service that serves a model.
     pub fn service_of(&self, model: &str) -> Option<&name::Service> {
         let serves = |service: &Service| service.models.iter().any(|m| m.as_str() == model);
         self.services
@@ -292,12 +292,12 @@
             .map(|(name, _)| name)
     }
 
-    fn check_boxes(&self, found: &mut Vec<Problem>) {
+    fn check_boxes(&self, problems: &mut Vec<Problem>) {
         let mut owner = BTreeMap::new();
         for (name, item) in &self.boxes {
             if let Some(other) = owner.insert(item.address, name) {
                 let why = format!("box {other} has the same address");
-                found.push(Problem {
+                problems.push(Problem {
                     item: format!("box {name}"),
                     why,
                 });
@@ -305,18 +305,18 @@
         }
     }
 
-    fn check_services(&self, found: &mut Vec<Problem>) {
+    fn check_services(&self, problems: &mut Vec<Problem>) {
         let mut owner = BTreeMap::new();
         for (name, service) in &self.services {
             let mut problem = |why: String| {
-                found.push(Problem {
+                problems.push(Problem {
                     item: format!("service {name}"),
                     why,
                 })
             };
             match service.kind {
                 Kind::Model if service.models.is_empty() => {
-                    problem("a model service names at least one model in `models`".into());
+                    problem("a model service needs at least one model in `models`".into());
                 }
                 Kind::Plain if !service.models.is_empty() => {
                     problem("a plain service has no models; leave `models` out".into());
@@ -333,11 +333,11 @@
         }
     }
 
-    fn check_classes(&self, found: &mut Vec<Problem>) {
+    fn check_classes(&self, problems: &mut Vec<Problem>) {
         let mut shares: BTreeMap<&name::Service, f64> = BTreeMap::new();
         for (key, class) in &self.classes {
             let mut problem = |why: &str| {
-                found.push(Problem {
+                problems.push(Problem {
                     item: format!("class {key}"),
                     why: why.into(),
                 });
@@ -367,18 +367,18 @@
             *shares.entry(&key.service).or_default() += class.share.get();
         }
         for (service, _) in shares.iter().filter(|(_, sum)| **sum > MAX_SHARES) {
-            found.push(Problem {
+            problems.push(Problem {
                 item: format!("service {service}"),
                 why: format!("the shares of its classes add up to more than {MAX_SHARES}"),
             });
         }
     }
 
-    fn check_teams(&self, found: &mut Vec<Problem>) {
+    fn check_teams(&self, problems: &mut Vec<Problem>) {
         let mut owner = BTreeMap::new();
         for (name, team) in &self.teams {
             let mut problem = |why: String| {
-                found.push(Problem {
+                problems.push(Problem {
                     item: format!("team {name}"),
                     why,
                 })
@@ -392,7 +392,7 @@
                 problem(residency::NOWHERE.into());
             }
             if team.classes.is_empty() {
-                problem("it may use no class; name at least one in `classes`".into());
+                problem("it may not use any class; name at least one in `classes`".into());
             }
             for key in team
                 .classes
@@ -406,11 +406,11 @@
         }
     }
 
-    fn check_endpoints(&self, found: &mut Vec<Problem>) {
+    fn check_endpoints(&self, problems: &mut Vec<Problem>) {
         let mut owner = BTreeMap::new();
         for (name, endpoint) in &self.endpoints {
             let mut problem = |why: String| {
-                found.push(Problem {
+                problems.push(Problem {
                     item: format!("endpoint {name}"),
                     why,
                 });
@@ -441,11 +441,11 @@
         }
     }
 
-    fn check_policies(&self, found: &mut Vec<Problem>) {
+    fn check_policies(&self, problems: &mut Vec<Problem>) {
         let mut owner = BTreeMap::new();
         for (name, item) in &self.policies {
             let mut problem = |why: String| {
-                found.push(Problem {
+                problems.push(Problem {
                     item: format!("policy {name}"),
                     why,
                 });
@@ -470,11 +470,11 @@
     }
 }
 
-/// The most that the shares of a service's classes may add up to. The rest is left
-/// to the order by tier, or the tiers would mean nothing.
+/// The maximum sum of the shares of a service's classes. The remaining slots are granted
+/// by tier; with a higher sum, the tiers would lose their effect.
 pub const MAX_SHARES: f64 = 0.5;
 
-/// Durations as whole milliseconds.
+/// Serializes durations as whole milliseconds.
 mod millis {
     use std::time::Duration;
 
--- a/src/scalewood/core/policy.rs
+++ b/src/scalewood/core/policy.rs
@@ -1,14 +1,14 @@
-//! Policies: short programs that set a request's service level.
+//! Policies: short programs that choose the service level of a request.
 //!
 //! A program is written in rhai. It sees the constants `team`, `class`, `service`,
 //! `hour` (0 to 23, UTC), `prompt_tokens`, `max_tokens` and `load` (waiting
-//! requests for each slot) and returns a map with any of `class`, `target_ms`,
-//! `deadline_ms`, `preemptible` and `spill`. What it leaves out stays as the class
-//! has it. It can't raise a request above the tiers of its service: it picks among
-//! the service's classes, and the class gives the tier and the share.
+//! requests per slot), and returns a map with any of `class`, `target_ms`,
+//! `deadline_ms`, `preemptible` and `spill`. Keys that it omits keep the values of
+//! the class. A program can't give a request a tier that its service does not have:
+//! it selects one of the service's classes, which sets the tier and the share.
 //!
-//! A program is compiled once for each revision and runs under an operation limit.
-//! Before it is accepted it is tried against every class of its service.
+//! A program is compiled once per revision and runs with a limit on its operations.
+//! Before a program is accepted, it is run for every class of its service.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -16,66 +16,66 @@
 
 use crate::core::{config, name, unit};
 
-/// The operations after which a program is stopped.
+/// The maximum number of operations that a program may execute for one request.
 pub const MAX_OPERATIONS: u64 = 10_000;
 
-/// The longest program, in bytes.
+/// The maximum length of a program, in bytes.
 pub const MAX_PROGRAM: usize = 16 * 1024;
 
-/// What a program sees of a request.
+/// The inputs of a program for one request.
 #[derive(Clone, Debug)]
 pub struct Facts<'a> {
-    /// The team that asks.
+    /// The team that sent the request.
     pub team: &'a str,
-    /// The class that was asked for, or the team's default.
+    /// The requested class, or the team's default.
     pub class: &'a name::Class,
-    /// The service.
+    /// The requested service.
     pub service: &'a name::Service,
     /// The hour of the day in UTC.
     pub hour: u8,
-    /// The size of the prompt, as estimated.
+    /// The estimated length of the prompt, in tokens.
     pub prompt: unit::Tokens,
-    /// The most tokens of the answer.
+    /// The maximum length of the answer, in tokens.
     pub max_output: unit::Tokens,
-    /// Waiting requests for each slot of the service.
+    /// The number of waiting requests per slot of the service.
     pub load: f64,
 }
 
-/// What a program decided; absent parts stay as the class has them.
+/// The result of a program. Absent values are taken from the class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
-    /// The class to serve the request as.
+    /// The class that the request is treated as.
     pub class: Option<name::Class>,
-    /// Another target.
+    /// The time within which the first token is due, instead of the class's.
     pub target: Option<Duration>,
-    /// Another deadline.
+    /// The longest time that the request may wait, instead of the class's.
     pub deadline: Option<Duration>,
-    /// Whether the run may be preempted.
+    /// Whether the run may be preempted; false protects it.
     pub preemptible: Option<bool>,
-    /// Whether the request may go to another availability zone.
+    /// Whether the request may be sent to another availability zone.
     pub spill: Option<bool>,
 }
 
 impl Decision {
-    /// A class with what was decided put over it.
+    /// Returns the class with the decided values in place of its own.
     pub fn over(self, class: config::Class) -> config::Class {
         let target = self.target.unwrap_or(class.target);
         config::Class {
             target,
             deadline: self.deadline.unwrap_or(class.deadline).max(target),
-            // A program can protect a run, but not expose one that its class protects.
+            // A program may rule out preemption, but not allow it where the class rules it out.
             preemptible: class.preemptible && self.preemptible.unwrap_or(true),
             ..class
         }
     }
 }
 
-/// Why a program can't be used, or failed.
+/// Why a program was rejected, or failed for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(String);
 
 impl Error {
-    /// The error for a class that the service does not have.
+    /// Returns the error for a program that selects a class that the service does not have.
     pub fn unknown_class() -> Self {
         Self("it picks a class that the service does not have".into())
     }
@@ -103,7 +103,7 @@
 }
 
 impl Program {
-    /// Compiles a program's text.
+    /// Compiles a program from its source text.
     pub fn compile(text: &str) -> Result<Self, Error> {
         if text.len() > MAX_PROGRAM {
             return Err(Error(format!(
@@ -111,16 +111,19 @@
             )));
         }
         let engine = engine();
-        let ast = engine
-            .compile(text)
-            .map_err(|e| Error(format!("the program does not parse: {e}; mend it there")))?;
+        let ast = engine.compile(text).map_err(|e| {
+            Error(format!(
+                "the program does not parse: {e}; correct it at that position"
+            ))
+        })?;
         Ok(Self {
             engine: Arc::new(engine),
             ast: Arc::new(ast),
         })
     }
 
-    /// Compiles a program and tries it against each class of its service.
+    /// Compiles a program, and runs it for each class of its service with sample inputs to find
+    /// errors.
     pub fn trial(
         text: &str,
         classes: &[(&config::ClassKey, &config::Class)],
@@ -134,6 +137,8 @@
         Ok(program)
     }
 
+    /// Runs the program for a class with sample inputs, and checks that it selects a class that
+    /// the service has.
     fn try_class(
         &self,
         key: &config::ClassKey,
@@ -167,21 +172,23 @@
         scope.push_constant("class", facts.class.to_string());
         scope.push_constant("service", facts.service.to_string());
         scope.push_constant("hour", i64::from(facts.hour));
-        scope.push_constant("prompt_tokens", clamp(facts.prompt));
-        scope.push_constant("max_tokens", clamp(facts.max_output));
+        scope.push_constant("prompt_tokens", to_rhai_int(facts.prompt));
+        scope.push_constant("max_tokens", to_rhai_int(facts.max_output));
         scope.push_constant("load", facts.load);
         let result = self
             .engine
             .eval_ast_with_scope::<rhai::Map>(&mut scope, &self.ast)
             .map_err(|e| Error(format!("the program stopped: {e}")))?;
-        read(result)
+        parse_decision(result)
     }
 }
 
-fn clamp(tokens: unit::Tokens) -> i64 {
+/// Converts a number of tokens to rhai's integer type; larger ones become its maximum.
+fn to_rhai_int(tokens: unit::Tokens) -> i64 {
     i64::try_from(tokens.0).unwrap_or(i64::MAX)
 }
 
+/// Creates an interpreter that limits the resources of a program, and discards its output.
 fn engine() -> Engine {
     let mut engine = Engine::new();
     engine.set_max_operations(MAX_OPERATIONS);
@@ -197,16 +204,16 @@
     engine
 }
 
-/// Reads what a program returned; unknown keys and wrong types are errors.
-fn read(map: rhai::Map) -> Result<Decision, Error> {
+/// Converts the map that a program returned; unknown keys and wrong types are errors.
+fn parse_decision(map: rhai::Map) -> Result<Decision, Error> {
     let mut decision = Decision::default();
     for (key, value) in map {
         match key.as_str() {
-            "class" => decision.class = Some(read_class(value)?),
-            "target_ms" => decision.target = Some(read_millis(&key, &value)?),
-            "deadline_ms" => decision.deadline = Some(read_millis(&key, &value)?),
-            "preemptible" => decision.preemptible = Some(read_bool(&key, &value)?),
-            "spill" => decision.spill = Some(read_bool(&key, &value)?),
+            "class" => decision.class = Some(parse_class(value)?),
+            "target_ms" => decision.target = Some(parse_millis(&key, &value)?),
+            "deadline_ms" => decision.deadline = Some(parse_millis(&key, &value)?),
+            "preemptible" => decision.preemptible = Some(parse_bool(&key, &value)?),
+            "spill" => decision.spill = Some(parse_bool(&key, &value)?),
             other => {
                 return Err(Error(format!(
                     "it returns `{other}`; known are class, target_ms, deadline_ms, preemptible and spill"
@@ -217,14 +224,14 @@
     Ok(decision)
 }
 
-fn read_class(value: Dynamic) -> Result<name::Class, Error> {
+fn parse_class(value: Dynamic) -> Result<name::Class, Error> {
     let text = value
         .into_string()
-        .map_err(|_| Error("`class` must be a text".into()))?;
+        .map_err(|_| Error("`class` must be a string".into()))?;
     text.parse().map_err(|e: name::Error| Error(e.to_string()))
 }
 
-fn read_millis(key: &str, value: &Dynamic) -> Result<Duration, Error> {
+fn parse_millis(key: &str, value: &Dynamic) -> Result<Duration, Error> {
     let millis = value
         .as_int()
         .ok()
@@ -234,7 +241,7 @@
     Ok(Duration::from_millis(millis))
 }
 
-fn read_bool(key: &str, value: &Dynamic) -> Result<bool, Error> {
+fn parse_bool(key: &str, value: &Dynamic) -> Result<bool, Error> {
     value
         .as_bool()
         .map_err(|_| Error(format!("`{key}` must be true or false")))
--- a/src/scalewood/core/route.rs
+++ b/src/scalewood/core/route.rs
@@ -1,9 +1,9 @@
-//! Routes: which service a caller's request goes to, and under which terms.
+//! Routes: which service a request is sent to, and with which service level.
 //!
-//! A route is found by the host and the longest path prefix. It names one service, or
-//! several with weights, and carries the class of its requests: rank, target, timeout,
-//! attempts. A [`Routing`] is one whole document of them, with its teams and the limits
-//! towards callers; an operator replaces it as a whole, under a version of its own.
+//! A route is selected by the host and the longest matching path prefix. It names one service,
+//! or several with weights, and sets the service level of its requests: tier, target, timeout and
+//! attempts. A [`Routing`] is a document of all routes, with the teams and the limits on callers.
+//! An operator always replaces it as a whole, under a version number of its own.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,99 +14,102 @@
 
 use crate::core::{config, name, residency, scaling, secret, unit, warm_up};
 
-/// What may be repeated.
+/// Whether the requests of a route may be repeated, and whether they are streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A call that may run any number of times.
+    /// Idempotent calls, which may run any number of times.
     Safe,
-    /// A call that runs at most once.
+    /// Calls that may run at most once.
     Unsafe,
-    /// A stream of events; `resumable` if another endpoint may go on from an event.
+    /// Streams of events.
     Stream {
-        /// Whether it may go on elsewhere.
+        /// Whether another endpoint can continue a stream after any of its events.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether a request that may have run can be sent again from its start.
+    /// Returns whether a request that may already have run may be sent again from its start.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Kind::Safe | Kind::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream.
+    /// Returns whether the answer is a stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Kind::Stream { .. })
     }
 }
 
-/// A service with its part of a route's requests.
+/// A service with its weight in a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// The service.
+    /// The name of the service.
     pub service: name::Service,
-    /// Its weight beside the others.
+    /// Its part of the route's requests, relative to the weights of the route's other services.
     pub weight: u32,
 }
 
-/// A route.
+/// A route from a host and path prefix to one or more services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The host that it holds for, in lower case.
+    /// The host that it applies to, in lower case.
     pub host: String,
-    /// The path prefix that it holds for; starts and ends with a slash.
+    /// The path prefix that it applies to; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated, and whether they are streams.
     pub kind: Kind,
-    /// Where its requests go.
+    /// The services that its requests are distributed over.
     pub shares: Vec<Share>,
-    /// The longest that a request is held, in milliseconds.
+    /// The longest time that a request is kept before it fails, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which the answer or the first event is due, in milliseconds.
+    /// The time within which the answer, or the first event of a stream, is due, in milliseconds.
     pub target_ms: u64,
-    /// The longest pause between two events that is in time, in milliseconds.
+    /// The longest acceptable pause between two events of a stream, in milliseconds; absent for
+    /// no bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gap_ms: Option<u64>,
-    /// How long callers of a stream wait for its first or next event before they leave, in
-    /// milliseconds; without it, as long as the request is held.
+    /// How long callers of a stream wait for its first or next event before they disconnect, in
+    /// milliseconds; if absent, until the timeout.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub patience_ms: Option<u64>,
-    /// Its rank; 0 is the highest.
+    /// The priority of its requests; 0 is the highest.
     pub tier: unit::Tier,
-    /// The most endpoints that one request is sent to.
+    /// The maximum number of endpoints that one request is sent to.
     pub attempts: u32,
-    /// Whether it is open to callers without a key.
+    /// Whether callers without a key may use it.
     #[serde(default)]
     pub public: bool,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     #[serde(default, skip_serializing_if = "residency::Allowed::is_everywhere")]
     pub allowed: residency::Allowed,
 }
 
 impl Route {
-    /// The longest that a request is held.
+    /// Returns the longest time that a request is kept before it fails.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// How long callers wait for the first event, or the answer.
+    /// Returns how long callers wait for the first or next event before they disconnect;
+    /// `Duration::MAX` if the route does not say.
     pub fn patience(&self) -> Duration {
         self.patience_ms
             .map_or(Duration::MAX, Duration::from_millis)
     }
 
-    /// The time within which the answer or the first event is due.
+    /// Returns the time within which the answer, or the first event of a stream, is due.
     pub fn target(&self) -> Duration {
         Duration::from_millis(self.target_ms)
     }
 
-    /// The service for a request, by a number that is drawn evenly from `0.0..1.0`.
+    /// Returns a service for a request, chosen by weight. `drawn` is a uniformly distributed random
+    /// number in `0.0..1.0`.
     pub fn pick(&self, drawn: f64) -> Option<&name::Service> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
-        // Weights are far below 2^52, so the casts are exact enough.
+        // The weights are far below 2^52, so the casts lose no precision that matters.
         let mut point = (drawn * total as f64) as u64;
         for share in &self.shares {
             if point < u64::from(share.weight) {
@@ -120,7 +123,7 @@
             .map(|s| &s.service)
     }
 
-    /// The class that its requests are dispatched as.
+    /// Returns the class with which its requests are dispatched.
     fn class(&self) -> config::Class {
         let deadline = self.timeout().max(Duration::from_millis(1));
         config::Class {
@@ -136,49 +139,49 @@
     }
 }
 
-/// A service that routes lead to; its endpoints register themselves.
+/// A service that routes name; its endpoints register themselves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Connections that one endpoint takes from all boxes together.
+    /// The number of connections that one endpoint accepts from all boxes together.
     pub connections: u32,
     /// Whether its endpoints are model engines.
     pub model: bool,
-    /// Tokens that an endpoint's memory holds, if that is known.
+    /// The number of tokens that an endpoint's memory holds, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub memory: Option<unit::Tokens>,
-    /// How its endpoints warm up after a start, if they have to.
+    /// How fast its endpoints warm up after a start; absent if they need no warm-up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub warm_up: Option<warm_up::Rate>,
-    /// What the provider offers, if endpoints can be ordered.
+    /// What the provider offers for the service; absent if endpoints can't be ordered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offer: Option<scaling::Offer>,
 }
 
-/// A team that calls routes.
+/// A team that sends requests to routes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// The hashes of its keys.
+    /// The hashes of the keys that authenticate its callers.
     pub keys: Vec<secret::Hash>,
-    /// Its rank, which goes before that of the route; 0 is the highest.
+    /// The priority of its requests among those of one route tier; 0 is the highest.
     pub tier: unit::Tier,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     #[serde(default, skip_serializing_if = "residency::Allowed::is_everywhere")]
     pub allowed: residency::Allowed,
 }
 
-/// How callers are treated.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's head (request line and headers), in bytes.
     pub head_bytes: usize,
-    /// The most bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive, in milliseconds.
+    /// The time within which the whole head has to arrive, in milliseconds.
     pub head_ms: u64,
-    /// How long a connection may be at rest, in milliseconds.
+    /// How long a connection may stay idle, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -193,42 +196,42 @@
     }
 }
 
-/// One whole document of routes.
+/// A document of all routes, with the services and teams that they refer to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Routing {
-    /// The operator's version.
+    /// The version number that the operator gave it.
     pub version: u64,
     /// Routes by name.
     pub routes: BTreeMap<name::Class, Route>,
     /// Services by name.
     pub services: BTreeMap<name::Service, Service>,
-    /// Teams by name; if there are none, no route needs a key.
+    /// Teams by name; if there are none, no route requires a key.
     pub teams: BTreeMap<name::Team, Team>,
-    /// How callers are treated.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
 }
 
 impl Routing {
-    /// Finds everything that can't stand.
+    /// Returns all problems that make the routing invalid.
     pub fn check(&self) -> Vec<config::Problem> {
-        let mut found = Vec::new();
-        self.check_routes(&mut found);
-        self.check_services(&mut found);
-        self.check_teams(&mut found);
-        found
+        let mut problems = Vec::new();
+        self.check_routes(&mut problems);
+        self.check_services(&mut problems);
+        self.check_teams(&mut problems);
+        problems
     }
 
-    fn check_routes(&self, found: &mut Vec<config::Problem>) {
-        let mut places: BTreeMap<(&str, &str), &name::Class> = BTreeMap::new();
+    fn check_routes(&self, problems: &mut Vec<config::Problem>) {
+        let mut owners: BTreeMap<(&str, &str), &name::Class> = BTreeMap::new();
         for (name, route) in &self.routes {
             let mut problem = |why: String| {
-                found.push(config::Problem {
+                problems.push(config::Problem {
                     item: format!("route {name}"),
                     why,
                 });
             };
-            if let Some(other) = places.insert((&route.host, &route.prefix), name) {
+            if let Some(other) = owners.insert((&route.host, &route.prefix), name) {
                 problem(format!("route {other} has the same host and prefix"));
             }
             if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
@@ -251,10 +254,10 @@
         }
     }
 
-    fn check_services(&self, found: &mut Vec<config::Problem>) {
+    fn check_services(&self, problems: &mut Vec<config::Problem>) {
         for (name, service) in &self.services {
             if service.warm_up.is_some_and(|rate| !rate.is_usable()) {
-                found.push(config::Problem {
+                problems.push(config::Problem {
                     item: format!("service {name}"),
                     why: "its warm-up takes no time or bears no requests; leave it out".into(),
                 });
@@ -262,11 +265,11 @@
         }
     }
 
-    fn check_teams(&self, found: &mut Vec<config::Problem>) {
+    fn check_teams(&self, problems: &mut Vec<config::Problem>) {
         let mut owner: HashMap<&secret::Hash, &name::Team> = HashMap::new();
         for (name, team) in &self.teams {
             if team.allowed.is_nowhere() {
-                found.push(config::Problem {
+                problems.push(config::Problem {
                     item: format!("team {name}"),
                     why: residency::NOWHERE.into(),
                 });
@@ -274,7 +277,7 @@
             for key in &team.keys {
                 let other = owner.insert(key, name);
                 if let Some(other) = other.filter(|other| *other != name) {
-                    found.push(config::Problem {
+                    problems.push(config::Problem {
                         item: format!("team {name}"),
                         why: format!("it shares a key with team {other}; give each its own"),
                     });
@@ -283,7 +286,7 @@
         }
     }
 
-    /// The services of the routes in the configuration's own form.
+    /// Returns the services as they appear in the configuration document.
     pub(crate) fn configured_services(
         &self,
     ) -> impl Iterator<Item = (name::Service, config::Service)> + '_ {
@@ -296,8 +299,8 @@
             .map(move |name| (name.clone(), plain.clone()))
     }
 
-    /// The classes of the routes in the configuration's own form: one for each
-    /// service that a route leads to.
+    /// Returns the classes as they appear in the configuration document: one for each route and
+    /// each service that it names, under the route's name.
     pub(crate) fn configured_classes(
         &self,
     ) -> impl Iterator<Item = (config::ClassKey, config::Class)> + '_ {
@@ -313,26 +316,28 @@
     }
 }
 
-/// Routes indexed by host and prefix, teams by key, and the order of ranks.
+/// An index of a routing: routes by host and path prefix, teams by key, and the ranks of all
+/// pairs of tiers.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// The routes of each host, the longest prefix first.
+    /// The path prefixes and routes of each host, the longest prefix first.
     hosts: HashMap<String, Vec<(String, name::Class)>>,
+    /// The team of each key.
     keys: HashMap<secret::Hash, name::Team>,
-    /// Every pair of a route's and a team's tier that occurs, the highest first.
+    /// All pairs of a route's tier and a team's tier that can occur, in order of priority.
     ranks: Vec<(unit::Tier, unit::Tier)>,
 }
 
 impl Table {
-    /// Indexes a routing.
+    /// Creates the index of a routing.
     pub fn new(routing: &Routing) -> Self {
         let mut hosts: HashMap<String, Vec<(String, name::Class)>> = HashMap::new();
         for (name, route) in &routing.routes {
-            let of_host = hosts.entry(route.host.clone()).or_default();
-            of_host.push((route.prefix.clone(), name.clone()));
+            let host_routes = hosts.entry(route.host.clone()).or_default();
+            host_routes.push((route.prefix.clone(), name.clone()));
         }
-        for of_host in hosts.values_mut() {
-            of_host.sort_by(|a, b| b.0.len().cmp(&a.0.len()).then(a.0.cmp(&b.0)));
+        for host_routes in hosts.values_mut() {
+            host_routes.sort_by(|a, b| b.0.len().cmp(&a.0.len()).then(a.0.cmp(&b.0)));
         }
         let keys = routing
             .teams
@@ -345,45 +350,50 @@
         }
     }
 
-    /// The route for a host and path.
+    /// Returns the route for a host, with or without a port, and a path.
     pub fn route(&self, host: &str, path: &str) -> Option<&name::Class> {
         let host = host.split(':').next().unwrap_or_default();
-        let of_host = match self.hosts.get(host) {
-            Some(of_host) => of_host,
+        let host_routes = match self.hosts.get(host) {
+            Some(host_routes) => host_routes,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
         };
-        let found = of_host
+        let matching = host_routes
             .iter()
             .find(|(prefix, _)| path.starts_with(prefix.as_str()));
-        found.map(|(_, name)| name)
+        matching.map(|(_, name)| name)
     }
 
-    /// The team that a key belongs to.
+    /// Returns the team that a key belongs to.
     pub fn team(&self, key: &str) -> Option<&name::Team> {
         self.keys.get(&secret::Hash::of(key))
     }
 
-    /// The place of a route's and a team's tier among all that occur; 0 is the highest.
-    /// The route's goes first: a class is never put behind a lower one.
+    /// Returns the rank of a route's and a team's tier among all pairs that occur; 0 is the highest
+    /// priority. Pairs are ordered by the route's tier first, so a route never ranks behind one of
+    /// a lower tier.
     pub fn rank(&self, route: unit::Tier, team: unit::Tier) -> unit::Tier {
-        let place = self.ranks.partition_point(|pair| *pair < (route, team));
-        to_rank(place)
+        let position = self.ranks.partition_point(|pair| *pair < (route, team));
+        to_rank(position)
     }
 
-    /// The least urgent rank of a route: that of its requests of the least urgent teams.
+    /// Returns the lowest priority that a request of a route's tier can have: that of the teams of
+    /// the lowest tier.
     pub fn least_rank(&self, route: unit::Tier) -> unit::Tier {
-        let after = self.ranks.partition_point(|(of, _)| *of <= route);
-        to_rank(after.saturating_sub(1))
+        let end = self.ranks.partition_point(|(of, _)| *of <= route);
+        to_rank(end.saturating_sub(1))
     }
 }
 
-fn to_rank(place: usize) -> unit::Tier {
-    unit::Tier(u8::try_from(place).unwrap_or(u8::MAX).min(MAX_RANK))
+/// Converts a position in `ranks` to a rank; positions after `MAX_RANK` share it.
+fn to_rank(position: usize) -> unit::Tier {
+    unit::Tier(u8::try_from(position).unwrap_or(u8::MAX).min(MAX_RANK))
 }
 
-/// The lowest rank; endpoints tell ten apart.
+/// The number of the lowest-priority rank; endpoints distinguish ten.
 const MAX_RANK: u8 = 9;
 
+/// Returns all pairs of a route's and a team's tier that can occur, in order of priority; callers
+/// without a team have the default tier.
 fn ranks(routing: &Routing) -> Vec<(unit::Tier, unit::Tier)> {
     let mut teams: Vec<_> = routing.teams.values().map(|team| team.tier).collect();
     teams.push(unit::Tier::default());
