--- a/src/scalewood/core/dispatch/message.rs
+++ b/src/scalewood/core/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! What entry boxes and the dispatcher tell each other.
+//! The messages between entry boxes and the dispatcher.
 
 use std::time::Duration;
 
@@ -11,35 +11,36 @@
 /// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The attempt that wants the slot.
+    /// The attempt that needs the slot.
     pub attempt: attempt::Attempt,
-    /// The class that it is served as.
+    /// The class that the request is served as.
     pub class: name::Class,
     /// The tier of that class.
     pub tier: unit::Tier,
-    /// How long ago the caller's request arrived. An age, since clocks differ.
+    /// The time since the caller's request arrived. It is an age and no timestamp, since the
+    /// boxes' clocks differ.
     pub age: Duration,
     /// The time from arrival within which the first token is due.
     pub target: Duration,
     /// The time from arrival after which the request is shed.
     pub deadline: Duration,
-    /// The time from arrival after which the caller leaves if there is no first token,
-    /// where that is known to be sooner.
+    /// The time from arrival after which the caller leaves if it has no first token, if that is
+    /// known to be before the deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub patience: Option<Duration>,
-    /// Whether the caller was likely refused before and has come back.
+    /// Whether the request is likely a retry of one that was refused before.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub returned: bool,
-    /// The size of the prompt, as estimated.
+    /// The estimated size of the prompt.
     pub prompt: unit::Tokens,
     /// Tokens that earlier attempts have delivered.
     pub delivered: unit::Tokens,
-    /// The prompt's prefix, if the class profits from an engine's cache.
+    /// The prompt's prefix, if the class benefits from an engine's prefix cache.
     pub prefix: Option<Prefix>,
-    /// Where the prompt belongs, if endpoints keep what prompts share.
+    /// What decides the prompt's placement, if endpoints cache prefixes that prompts share.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub placed: Option<Placed>,
-    /// Where it may be served.
+    /// The regions in which the request may be served.
     #[serde(default, skip_serializing_if = "residency::Allowed::is_everywhere")]
     pub allowed: residency::Allowed,
     /// Whether the run can be interrupted and resumed.
@@ -48,24 +49,25 @@
     pub preempted: u32,
     /// The endpoint that the last attempt failed at.
     pub avoid: Option<name::Endpoint>,
-    /// How long the run will hold its slot, where that is known beforehand.
+    /// How long the run will hold its slot, if that is known in advance.
     pub hold: Option<Duration>,
-    /// Endpoints that rest from the box, as far as the dispatcher has not heard of them. It only
-    /// spares grants that the box would give back: a dispatcher may pass it over.
+    /// The endpoints that asked this box for a rest (`Retry-After`), if the dispatcher may not
+    /// know of it yet. It only saves grants that the box would give back: a dispatcher may
+    /// ignore it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rests: Vec<rest::Told>,
 }
 
-/// A run that an entry box holds, told to a new dispatcher.
+/// A run that an entry box holds, announced to a new dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Held {
-    /// What was asked for.
+    /// The request for the slot.
     pub ask: Ask,
-    /// The endpoint that runs it.
+    /// The endpoint that serves the run.
     pub endpoint: name::Endpoint,
     /// Tokens that this attempt has delivered.
     pub tokens: unit::Tokens,
-    /// How long ago it was granted.
+    /// The time since the slot was granted.
     pub held: Duration,
 }
 
@@ -73,65 +75,64 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum End {
-    /// The answer was delivered whole.
+    /// The whole answer was delivered.
     Done,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
-    /// It was preempted.
+    /// The run was preempted.
     Preempted,
-    /// The endpoint refused it unread.
+    /// The endpoint refused the request without processing it.
     Refused,
     /// The endpoint could not be reached.
     Unreachable,
-    /// Another endpoint answered at its address: it has gone.
+    /// Another endpoint answered at its address, so this one is gone.
     Mistaken,
     /// The connection or the stream broke.
     Broken,
-    /// The endpoint was silent for too long.
+    /// The endpoint sent nothing for too long.
     Silent,
     /// The grant came too late to be used.
     Unused,
 }
 
 impl Ask {
-    /// Whether its caller may come back after a time, if it is refused now: it has not been
-    /// here before, no endpoint has had its request, and it waits that long.
+    /// Returns whether the caller may retry after a delay if the request is refused now: it has
+    /// not been refused before, no endpoint has had it, and the caller waits that long.
     pub fn may_return(&self, after: Duration) -> bool {
         let is_first = self.attempt.number == 0 && !self.returned;
         is_first && self.age + after < self.patience.unwrap_or(self.deadline)
     }
 
-    /// Counts the caller's patience from now on, since it has got a part of its answer.
-    /// Counted from its arrival, a stream that could go on would be taken for hopeless, and
-    /// cut.
+    /// Restarts the caller's patience now, since it has received a part of its answer. Counted
+    /// from the arrival, a stream that could continue would be considered too late and cut.
     pub fn renew_patience(&mut self, patience: Option<Duration>) {
         self.patience = patience.map(|patience| patience + self.age);
     }
 }
 
-/// What an entry box tells the dispatcher.
+/// What an entry box reports to the dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Report {
-    /// All that it said before is void; what holds follows.
+    /// Everything that the box reported before is void; its current state follows.
     Hello,
-    /// It has said all that holds.
+    /// The box has reported its whole current state.
     Announced,
-    /// It wants a slot.
+    /// The box requests a slot.
     Ask(Ask),
-    /// It no longer waits for a slot.
+    /// The attempt no longer waits for a slot.
     Withdraw(attempt::Attempt),
-    /// It uses the grant.
+    /// The attempt uses its grant.
     Started(attempt::Attempt),
     /// The first token arrived.
     First(attempt::Attempt),
-    /// The stream paused for longer than its class bears.
+    /// The stream paused for longer than its class allows.
     Paused(attempt::Attempt),
-    /// Tokens that the attempt has delivered so far.
+    /// The tokens that the attempt has delivered so far.
     Progress(attempt::Attempt, unit::Tokens),
-    /// The attempt ended; the slot is free.
+    /// The attempt ended and its slot is free; with the tokens delivered.
     End(attempt::Attempt, End, unit::Tokens),
-    /// It holds a run that another dispatcher granted.
+    /// The box holds a run that another dispatcher granted.
     Held(Held),
 }
 
@@ -145,17 +146,17 @@
     Full,
     /// The service has no endpoint here.
     NoEndpoint,
-    /// All its endpoints stand in cordoned zones.
+    /// All endpoints of the service are in cordoned zones.
     Cordoned,
-    /// The service's endpoints are all outside the regions in which it may be served.
+    /// All endpoints of the service are outside the regions in which the request may be served.
     Residency,
-    /// All endpoints have so much to read that its caller would leave before the first
-    /// token.
+    /// All endpoints have so many prompt tokens to process that the caller would leave before
+    /// its first token.
     Overload,
 }
 
 impl Reason {
-    /// The reason's name in metrics and answers.
+    /// Returns the reason's name in metrics and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Deadline => "deadline",
@@ -168,24 +169,24 @@
     }
 }
 
-/// What the dispatcher tells an entry box.
+/// What the dispatcher orders an entry box to do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Order {
     /// The attempt may run at the endpoint.
     Grant(attempt::Attempt, name::Endpoint),
-    /// The request is shed; it may come back after the given time.
+    /// The request is shed; the caller may retry after the given time.
     Shed(attempt::Attempt, Reason, Duration),
-    /// The run must stop, and may ask again.
+    /// The run must stop; its request may ask for a slot again.
     Preempt(attempt::Attempt),
     /// The grant was not used in time and is void.
     Expired(attempt::Attempt),
-    /// The dispatcher of a service has gone from this box, with all that it was told.
+    /// This box no longer holds the service's dispatcher; all that was reported to it is lost.
     Gone(name::Service),
 }
 
 impl Order {
-    /// The attempt that the order is about, if it is about one.
+    /// Returns the attempt that the order is about, if any.
     pub fn attempt(&self) -> Option<attempt::Attempt> {
         match self {
             Order::Grant(attempt, _)
--- a/src/scalewood/core/dispatch/pauses.rs
+++ b/src/scalewood/core/dispatch/pauses.rs
@@ -1,30 +1,30 @@
-//! How many streams pause for longer than their class bears, by where they ran.
+//! How many streams pause for longer than their class allows, by where they run.
 //!
-//! A prompt that is read beside streams holds their tokens up. Whether that is more than
-//! they bear depends on the endpoints, the prompts and the classes, so it is counted: the
-//! part of the streams that paused too long, separately for short and long prompts, for
-//! the endpoints meant for either, and for slow and fast ones.
+//! Processing a prompt delays the tokens of the streams that run beside it. Whether the delay
+//! is too long depends on the endpoints, the prompts and the classes, so it is measured: the
+//! fraction of streams that paused too long, separately for short and long prompts, for
+//! endpoints meant for either, and for slow and fast endpoints.
 
 use std::time::Duration;
 
-/// The part that is expected before any stream was counted. Streams that run where they
-/// belong are expected to do well, others are not.
-const GUESS_HOME: f64 = 0.1;
-const GUESS_FOREIGN: f64 = 0.5;
-/// Streams that the guess counts for.
-const GUESS_WEIGHT: f64 = 4.0;
-/// The time, in seconds, in which a count fades to a third: the load beside streams changes
-/// with bursts, which last some seconds.
-const FADING: f64 = 15.0;
+/// The fraction assumed before any stream was counted: few streams pause too long at endpoints
+/// meant for their kind of prompt, more at the others.
+const PRIOR_HOME: f64 = 0.1;
+const PRIOR_FOREIGN: f64 = 0.5;
+/// The number of streams that the assumed fraction counts for.
+const PRIOR_STREAMS: f64 = 4.0;
+/// The time constant, in seconds, with which counts decay: the load beside streams changes with
+/// bursts, which last some seconds.
+const DECAY_S: f64 = 15.0;
 
 /// Where a stream runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Place {
     /// Whether its class has long prompts.
     pub(super) long: bool,
-    /// Whether the endpoint is for prompts of the other kind.
+    /// Whether the endpoint is meant for prompts of the other kind.
     pub(super) foreign: bool,
-    /// Whether the endpoint is slow beside the others.
+    /// Whether the endpoint is slower than its peers.
     pub(super) slow: bool,
 }
 
@@ -39,45 +39,45 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     paused: f64,
-    all: f64,
-    at: Duration,
+    total: f64,
+    updated_at: Duration,
 }
 
 impl Count {
-    fn faded(self, now: Duration) -> Self {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        let kept = (-passed / FADING).exp();
+    fn decayed(self, now: Duration) -> Self {
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
+        let kept = (-passed / DECAY_S).exp();
         Self {
             paused: self.paused * kept,
-            all: self.all * kept,
-            at: now,
+            total: self.total * kept,
+            updated_at: now,
         }
     }
 }
 
-/// What was counted.
+/// The decayed counts of streams, by place.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pauses {
     counts: [Count; Place::COUNT],
 }
 
 impl Pauses {
-    /// Notes a stream that has ended, and whether it paused too long.
+    /// Records a stream that has ended, and whether it paused too long.
     pub(super) fn observe(&mut self, place: Place, paused: bool, now: Duration) {
         let count = &mut self.counts[place.index()];
-        *count = count.faded(now);
-        count.all += 1.0;
+        *count = count.decayed(now);
+        count.total += 1.0;
         count.paused += f64::from(u8::from(paused));
     }
 
-    /// The part of the streams at such a place that is expected to pause too long.
+    /// Returns the fraction of streams at a place that is expected to pause too long.
     pub(super) fn part(&self, place: Place, now: Duration) -> f64 {
-        let guess = if place.foreign {
-            GUESS_FOREIGN
+        let prior = if place.foreign {
+            PRIOR_FOREIGN
         } else {
-            GUESS_HOME
+            PRIOR_HOME
         };
-        let Count { paused, all, .. } = self.counts[place.index()].faded(now);
-        (paused + guess * GUESS_WEIGHT) / (all + GUESS_WEIGHT)
+        let Count { paused, total, .. } = self.counts[place.index()].decayed(now);
+        (paused + prior * PRIOR_STREAMS) / (total + PRIOR_STREAMS)
     }
 }
--- a/src/scalewood/core/dispatch/share.rs
+++ b/src/scalewood/core/dispatch/share.rs
@@ -1,37 +1,36 @@
 //! Minimum shares of slot time for each class.
 //!
-//! Every grant earns each waiting class its share of the slot time that was
-//! granted, and costs the granted class that time. A class that has earned a whole
-//! run is owed the next free slot, whatever its tier. Counting time in place of
-//! grants keeps a class of long runs from taking more than its share.
+//! Every grant credits each waiting class with its share of the granted slot time, and charges
+//! the granted class that time. A class whose credit covers a whole run is owed the next free
+//! slot, whatever its tier. Counting time rather than grants keeps a class of long runs from
+//! taking more than its share.
 //!
-//! An owed slot orders only the handing out of slots that are free anyway: the
-//! dispatcher never preempts for it, and passes it over when a higher tier would
-//! be shed for it.
+//! An owed slot only affects the order in which free slots are granted: the dispatcher never
+//! preempts for it, and does not grant it when a higher tier would be shed as a result.
 
 use std::collections::BTreeMap;
 
 use crate::core::name;
 
-/// How many runs a class can be owed, or be ahead by.
+/// The most runs that a class can be owed, or be ahead by.
 const MAX_RUNS: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Account {
     /// The class's share, from 0 to 1.
     share: f64,
-    /// Slot-seconds owed; negative when the class is ahead.
+    /// Slot-seconds owed to the class; negative when it is ahead.
     owed: f64,
 }
 
-/// What each class is owed.
+/// The slot time owed to each class.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shares {
     accounts: BTreeMap<name::Class, Account>,
 }
 
 impl Shares {
-    /// Sets the classes and their shares; what is owed stays.
+    /// Sets the classes and their shares; what is owed remains.
     pub(super) fn configure(&mut self, shares: &BTreeMap<name::Class, f64>) {
         self.accounts.retain(|class, _| shares.contains_key(class));
         for (class, share) in shares {
@@ -39,8 +38,8 @@
         }
     }
 
-    /// Notes that `granted` got a slot for `hold` seconds. `waits` tells the classes
-    /// that wait, and `mean` the mean time of a run of a class.
+    /// Records that `granted` got a slot for `hold` seconds. `waits` returns whether a class
+    /// has waiting requests, and `mean` the mean duration of its runs in seconds.
     pub(super) fn granted(
         &mut self,
         granted: &name::Class,
@@ -60,7 +59,7 @@
         }
     }
 
-    /// The class that is owed most, of those that are owed a whole run.
+    /// Returns the class that is owed the most, of those that are owed a whole run.
     pub(super) fn owed(
         &self,
         waits: impl Fn(&name::Class) -> bool,
@@ -73,7 +72,7 @@
             .map(|(class, _)| class)
     }
 
-    /// The sum of the shares of the classes that a filter picks.
+    /// Returns the sum of the shares of the classes that a filter selects.
     pub(super) fn reserved(&self, picks: impl Fn(&name::Class) -> bool) -> f64 {
         let picked = self.accounts.iter().filter(|(class, _)| picks(class));
         picked.map(|(_, account)| account.share).sum()
--- a/src/scalewood/core/dispatch/spill.rs
+++ b/src/scalewood/core/dispatch/spill.rs
@@ -1,22 +1,23 @@
-//! Spill: whether a request asks the dispatcher of another availability zone.
+//! Spill: whether a request is sent to the dispatcher of another availability zone.
 //!
-//! Dispatchers of a service exchange summaries. A request stays at home while its
-//! target can be met there; else it goes where the predicted wait is at most half
-//! the target and half the wait at home. The halves are the hysteresis: summaries
-//! lag, and without it every box would send its requests to the same zone at once.
+//! Dispatchers of a service exchange summaries. A request stays in its own zone while its
+//! target can be met there; otherwise it goes to a zone where the predicted wait is at most
+//! half the target and less than half the wait in its own. The factor of a half is a
+//! hysteresis: summaries lag, and without it all boxes would send their requests to the same
+//! zone at once.
 
 use std::time::Duration;
 
 use crate::core::{dispatch::Summary, name, unit};
 
-/// The zone whose dispatcher a request asks, if it is not the own one.
+/// Returns the zone whose dispatcher gets a request, if it is not the box's own zone.
 ///
-/// `here` is the summary of the own zone's dispatcher, if one is known, and
-/// `served` whether the service has an endpoint in the own zone at all.
+/// `here` is the summary of the own zone's dispatcher, if one is known, and `served` whether
+/// the service has an endpoint in the own zone at all.
 pub fn choose<'a>(
     here: Option<&Summary>,
     served: bool,
-    abroad: impl Iterator<Item = (&'a name::Zone, &'a Summary)>,
+    others: impl Iterator<Item = (&'a name::Zone, &'a Summary)>,
     tier: unit::Tier,
     target: Duration,
 ) -> Option<&'a name::Zone> {
@@ -25,7 +26,7 @@
     if served && here <= target {
         return None;
     }
-    let usable = abroad.filter(|(_, summary)| summary.slots > 0);
+    let usable = others.filter(|(_, summary)| summary.slots > 0);
     let (least, zone) = usable.map(|(zone, summary)| (wait(summary), zone)).min()?;
     let better = least <= target / 2 && least < here / 2;
     (!served || better).then_some(zone)
--- a/src/scalewood/core/dispatch/work.rs
+++ b/src/scalewood/core/dispatch/work.rs
@@ -1,57 +1,57 @@
-//! How much work is due before a given time, in logarithmic time.
+//! The work that is due before a given time, in logarithmic time.
 //!
-//! A Fenwick tree over buckets of due time. Times outside of its window count in
-//! the first or last bucket; the window is moved on now and then, which visits
-//! every entry but so rarely that it does not count.
+//! A Fenwick tree over buckets of due time. Times outside of its window count in the first or
+//! last bucket. Moving the window forward visits every entry, but is rare enough to be
+//! negligible.
 
 use std::time::Duration;
 
-/// Buckets of the window; a power of two.
+/// The number of buckets in the window; a power of two.
 const BUCKETS: usize = 1024;
 /// The width of a bucket.
-const WIDTH: Duration = Duration::from_millis(100);
+const BUCKET_WIDTH: Duration = Duration::from_millis(100);
 
 /// The bucket that an entry was counted in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Bucket(usize);
 
-/// Work by due time.
+/// Work by due time, in slot-seconds.
 #[derive(Clone, Debug)]
 pub(super) struct Work {
-    /// Where the window starts.
-    origin: Duration,
-    /// The tree; index 0 is unused.
+    /// The time at which the window starts.
+    window_start: Duration,
+    /// The Fenwick tree; index 0 is unused.
     tree: Vec<f64>,
     total: f64,
 }
 
 impl Work {
-    pub(super) fn new(origin: Duration) -> Self {
+    pub(super) fn new(window_start: Duration) -> Self {
         Self {
-            origin,
+            window_start,
             tree: vec![0.0; BUCKETS + 1],
             total: 0.0,
         }
     }
 
-    /// Whether the window should be moved on.
+    /// Returns whether the window has to be moved forward.
     pub(super) fn is_stale(&self, now: Duration) -> bool {
-        now.saturating_sub(self.origin) > WIDTH * (BUCKETS as u32 / 2)
+        now.saturating_sub(self.window_start) > BUCKET_WIDTH * (BUCKETS as u32 / 2)
     }
 
     fn bucket(&self, due: Duration) -> Bucket {
-        let index = due.saturating_sub(self.origin).as_millis() / WIDTH.as_millis();
+        let index = due.saturating_sub(self.window_start).as_millis() / BUCKET_WIDTH.as_millis();
         Bucket(usize::try_from(index).unwrap_or(BUCKETS).min(BUCKETS - 1))
     }
 
-    /// Counts work that is due at a time; the bucket is needed to remove it.
+    /// Adds work that is due at a time; returns the bucket, which is needed to remove it.
     pub(super) fn add(&mut self, due: Duration, work: f64) -> Bucket {
         let bucket = self.bucket(due);
         self.update(bucket, work);
         bucket
     }
 
-    /// Removes work that was counted before.
+    /// Removes work that was added before.
     pub(super) fn remove(&mut self, bucket: Bucket, work: f64) {
         self.update(bucket, -work);
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The work that is due before a time, to the width of a bucket.
+    /// Returns the work that is due before a time, to the resolution of a bucket.
     pub(super) fn before(&self, due: Duration) -> f64 {
         let mut i = self.bucket(due).0;
         let mut sum = 0.0;
@@ -76,7 +76,7 @@
         sum.max(0.0)
     }
 
-    /// All work.
+    /// Returns the sum of all work.
     pub(super) fn total(&self) -> f64 {
         self.total.max(0.0)
     }
--- a/src/scalewood/core/dispatch/zone.rs
+++ b/src/scalewood/core/dispatch/zone.rs
@@ -1,8 +1,8 @@
-//! Zones that can't be reached.
+//! Detection of unreachable zones.
 //!
-//! When a zone is cut off, all its endpoints fall silent at once. Learning that of each by
-//! itself costs a few requests each; so once two of a zone's endpoints have failed with no
-//! answer from there in between, the whole zone is left alone for a while.
+//! When a zone is cut off, all its endpoints stop answering at once. Detecting that separately
+//! for each would cost a few requests each; so once two of a zone's endpoints have failed
+//! without an answer from the zone in between, the whole zone is avoided for a while.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,48 +11,50 @@
 
 use crate::core::name;
 
-/// Endpoints that have to fail before their zone is suspected.
-const ENDPOINTS: usize = 2;
-/// How long failures count together.
-const SPAN: Duration = Duration::from_secs(3);
-/// How long a zone is left alone.
-const SUSPICION: Duration = Duration::from_millis(1500);
+/// The number of endpoints that have to fail before their zone is suspected.
+const MIN_FAILED_ENDPOINTS: usize = 2;
+/// The time within which failures count together.
+const FAILURE_WINDOW: Duration = Duration::from_secs(3);
+/// How long a suspected zone is avoided.
+const SUSPECTED_FOR: Duration = Duration::from_millis(1500);
 
 #[derive(Debug, Default)]
 struct Zone {
     /// Endpoints that failed since the last answer.
     failed: BTreeSet<usize>,
-    first: Duration,
-    until: Duration,
+    first_failure: Duration,
+    suspected_until: Duration,
 }
 
-/// The other zones, as far as they failed to be reached.
+/// The other zones in which endpoints could not be reached.
 #[derive(Debug, Default)]
 pub(super) struct Zones {
     zones: BTreeMap<name::Zone, Zone>,
 }
 
 impl Zones {
-    /// Notes that an endpoint there was not reached.
+    /// Records that an endpoint of a zone could not be reached.
     pub(super) fn missed(&mut self, zone: &name::Zone, endpoint: usize, now: Duration) {
         let zone = self.zones.entry(zone.clone()).or_default();
-        if zone.failed.is_empty() || now > zone.first + SPAN {
+        if zone.failed.is_empty() || now > zone.first_failure + FAILURE_WINDOW {
             zone.failed.clear();
-            zone.first = now;
+            zone.first_failure = now;
         }
         zone.failed.insert(endpoint);
-        if zone.failed.len() >= ENDPOINTS {
-            zone.until = now + SUSPICION;
+        if zone.failed.len() >= MIN_FAILED_ENDPOINTS {
+            zone.suspected_until = now + SUSPECTED_FOR;
         }
     }
 
-    /// Notes an answer from there.
+    /// Records an answer from a zone.
     pub(super) fn reached(&mut self, zone: &name::Zone) {
         self.zones.remove(zone);
     }
 
-    /// Whether a zone is left alone for now.
+    /// Returns whether a zone is suspected to be unreachable.
     pub(super) fn is_suspect(&self, zone: &name::Zone, now: Duration) -> bool {
-        self.zones.get(zone).is_some_and(|zone| now < zone.until)
+        self.zones
+            .get(zone)
+            .is_some_and(|zone| now < zone.suspected_until)
     }
 }
