--- a/src/scalewood/core/dispatch/cause.rs
+++ b/src/scalewood/core/dispatch/cause.rs
@@ -1,25 +1,25 @@
-//! Why requests were refused for want of room, kept for those who ask shortly after.
+//! Causes of recent refusals for lack of capacity, kept until the entry box asks for them.
 
 use std::collections::VecDeque;
 
 use crate::core::{attempt, name};
 
-/// Refusals that are remembered at most: their boxes ask at once.
-const MOST: usize = 256;
+/// Causes kept at most: an entry box asks for one right after the refusal.
+const MAX_CAUSES: usize = 256;
 
-/// Why a request was refused for want of room.
+/// The cause of a refusal for lack of capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It could not be begun in time itself.
+    /// The request itself could not be started in time.
     Itself,
-    /// This box's own requests of a more urgent class are refused.
+    /// This box refuses requests of a more urgent class.
     Here(name::Class),
     /// All boxes together refuse requests of a more urgent class.
     Anywhere(name::Class),
 }
 
 impl Cause {
-    /// The cause's name in metrics and logs.
+    /// Returns the cause's name in metrics and logs.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Itself => "itself",
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The more urgent class that held it back, if one did.
+    /// Returns the more urgent class that the request was held back for, if any.
     pub fn class(&self) -> Option<&name::Class> {
         match self {
             Self::Itself => None,
@@ -37,20 +37,20 @@
     }
 }
 
-/// The last refusals.
+/// The causes of the most recent refusals, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct Causes(VecDeque<(attempt::Attempt, Cause)>);
 
 impl Causes {
-    /// Notes why an attempt was refused.
-    pub(super) fn note(&mut self, attempt: attempt::Attempt, cause: Cause) {
-        if self.0.len() >= MOST {
+    /// Records why an attempt was refused.
+    pub(super) fn record(&mut self, attempt: attempt::Attempt, cause: Cause) {
+        if self.0.len() >= MAX_CAUSES {
             self.0.pop_front();
         }
         self.0.push_back((attempt, cause));
     }
 
-    /// Why an attempt was refused, if it was of late.
+    /// Removes and returns the cause of an attempt's refusal, if it is still kept.
     pub(super) fn take(&mut self, attempt: attempt::Attempt) -> Option<Cause> {
         let at = self.0.iter().rposition(|(known, _)| *known == attempt)?;
         self.0.remove(at).map(|(_, cause)| cause)
--- a/src/scalewood/core/dispatch/grant.rs
+++ b/src/scalewood/core/dispatch/grant.rs
@@ -1,4 +1,4 @@
-//! Granting: who gets the next free slot, and at which endpoint.
+//! Granting: which request gets the next free slot, and at which endpoint.
 
 use std::time::Duration;
 
@@ -9,12 +9,13 @@
 };
 
 impl Dispatcher {
-    /// Hands out the free slots.
+    /// Grants the free slots to waiting requests.
     pub(super) fn grant(&mut self, now: Duration) {
         if !self.is_settled(now) {
             return;
         }
-        // The lanes that found no free slot in this step: the others don't wait for them.
+        // The lanes that found no free slot in this step: requests of other lanes don't wait
+        // for them.
         let mut full = Vec::new();
         while self.endpoints.has_free(now) {
             let Some(attempt) = self.next(&full, now) else {
@@ -30,7 +31,7 @@
             }
             let choice = match self.choose(&ask, &lane.1, now) {
                 Ok(choice) => choice,
-                Err(endpoint::Unplaced::NoSlot) if self.is_wide(&lane) => break,
+                Err(endpoint::Unplaced::NoSlot) if self.is_unrestricted(&lane) => break,
                 Err(endpoint::Unplaced::NoSlot) => {
                     full.push(lane);
                     continue;
@@ -68,26 +69,26 @@
             let chosen = self.endpoints.choose(wanted, now, &self.settings);
             return chosen.ok_or(endpoint::Unplaced::NoSlot);
         };
-        let parted = self.placement.is_parted(&self.reading);
+        let parted = self.placement.is_partitioned(&self.reading);
         let crowding = self.endpoints.crowding();
-        let crowded = self.placement.note_crowding(crowding);
+        let crowded = self.placement.update_crowding(crowding);
         let long = self.placement.is_long(&ask.class, &self.reading);
         let class = self.classes.get(&ask.class);
-        let hold = class.map_or(class::MIN_HOLD, |class| class.mean);
-        let left = |limit: Duration| limit.saturating_sub(ask.age);
+        let hold = class.map_or(class::MIN_HOLD_S, |class| class.mean_hold_s);
+        let remaining = |limit: Duration| limit.saturating_sub(ask.age);
         let prompt = endpoint::Prompt {
             seeker,
             placed,
             tokens: ask.prompt.0,
             tier: ask.tier,
             target: ask.target,
-            patience: left(ask.patience.unwrap_or(ask.deadline)),
+            patience: remaining(ask.patience.unwrap_or(ask.deadline)),
             may_return: ask.attempt.number == 0 && !ask.returned,
-            deadline: left(ask.deadline),
+            deadline: remaining(ask.deadline),
             hold: Duration::from_secs_f64(hold),
             length: class.and_then(|class| class.length.get()),
             long,
-            for_long: long || (crowded && !self.is_first_of_short(&ask.class)),
+            for_long: long || (crowded && !self.is_most_urgent_short(&ask.class)),
             parted,
         };
         let model = endpoint::Model {
@@ -97,13 +98,13 @@
         self.endpoints.choose_home(&prompt, &model, avoid, now)
     }
 
-    /// Whether a lane may use each endpoint that any other may use.
-    pub(super) fn is_wide(&self, (allowed, _): &queue::Lane) -> bool {
+    /// Returns whether no endpoint is ruled out for a lane that another lane may use.
+    pub(super) fn is_unrestricted(&self, (allowed, _): &queue::Lane) -> bool {
         allowed.is_everywhere() && !self.endpoints.has_rests()
     }
 
-    /// What holds a request back, since more urgent ones are refused. One that was sent to an
-    /// endpoint before goes on: what it has begun is not taken away.
+    /// Returns what holds a request back while more urgent ones are refused. A request that was
+    /// sent to an endpoint before is not held back: what it has started is not taken away.
     fn held_back(&self, ask: &message::Ask, now: Duration) -> Option<precedence::HeldBack> {
         if ask.attempt.number > 0 {
             return None;
@@ -111,8 +112,8 @@
         self.refusals.hold_back(ask, now)
     }
 
-    /// Whether no class with short prompts stands before this one.
-    fn is_first_of_short(&self, class: &name::Class) -> bool {
+    /// Returns whether no class with short prompts has a more urgent tier than this one.
+    fn is_most_urgent_short(&self, class: &name::Class) -> bool {
         let short = self
             .classes
             .iter()
@@ -121,10 +122,10 @@
         self.classes.get(class).map(|class| class.tier) == first
     }
 
-    /// The request that gets the next free slot, where some lanes have none.
+    /// Returns the request that gets the next free slot; the lanes in `full` have none.
     fn next(&self, full: &[queue::Lane], now: Duration) -> Option<attempt::Attempt> {
-        let first = self.queue.first_but(full)?;
-        // A slot that a preemption freed goes to the request that it was freed for.
+        let first = self.queue.first_outside(full)?;
+        // A slot freed by preemption goes to the request that it was freed for.
         if self.freed > 0 || self.runs.preempting() > 0 {
             return Some(first);
         }
@@ -136,16 +137,16 @@
             waiting.is_some_and(|waiting| !full.contains(&waiting.lane()))
         };
         let owed = owed.filter(has_room);
-        if let Some(owed) = owed.filter(|attempt| self.may_go_first(*attempt, now)) {
+        if let Some(owed) = owed.filter(|attempt| self.can_overtake(*attempt, now)) {
             return Some(owed);
         }
         let waiting = self.queue.get(first)?;
-        (!self.is_held_back(waiting)).then_some(first)
+        (!self.waits_for_reserve(waiting)).then_some(first)
     }
 
-    /// Whether a slot can be given to a request without a higher tier being shed
-    /// for it: whoever is about to be shed goes first.
-    fn may_go_first(&self, attempt: attempt::Attempt, now: Duration) -> bool {
+    /// Returns whether a request may overtake those of higher tiers. It may not if one of them
+    /// is about to be shed: that one gets the slot.
+    fn can_overtake(&self, attempt: attempt::Attempt, now: Duration) -> bool {
         let Some(waiting) = self.queue.get(attempt) else {
             return false;
         };
@@ -157,7 +158,7 @@
     fn start(&mut self, waiting: queue::Waiting, choice: endpoint::Choice, now: Duration) {
         self.freed = self.freed.saturating_sub(1);
         let attempt = waiting.ask.attempt;
-        let preceded = self.refusals.meet(&waiting.ask, true, now);
+        let preceded = self.refusals.count_precedence(&waiting.ask, true, now);
         let is_new = attempt.number == 0;
         if is_new {
             self.refusals.note_begun(&waiting.ask, now);
@@ -167,7 +168,7 @@
         });
         let class = waiting.ask.class.clone();
         let (queue, classes) = (&self.queue, &self.classes);
-        let mean = |name: &name::Class| classes.get(name).map_or(0.0, |class| class.mean);
+        let mean = |name: &name::Class| classes.get(name).map_or(0.0, |class| class.mean_hold_s);
         let waits = |name: &name::Class| queue.count(name) > 0;
         self.shares.granted(&class, waiting.hold, waits, mean);
         let slots = self.endpoints.allowed();
@@ -188,7 +189,7 @@
             place: choice.place,
             paused: false,
             started: false,
-            first: None,
+            first_token: None,
             tokens: unit::Tokens(0),
             preempting: false,
         });
--- a/src/scalewood/core/dispatch/mod.rs
+++ b/src/scalewood/core/dispatch/mod.rs
@@ -1,26 +1,25 @@
 //! The dispatcher: one queue for a service in an availability zone.
 //!
-//! One entry box holds the dispatcher of a (service, zone). It alone queues that
-//! service's requests there and hands out the endpoints' slots, so that the order
-//! of tiers holds over all entry boxes of the zone, and a slot is counted exactly.
-//! The entry boxes send the requests to the endpoints themselves and report what
-//! becomes of them; the loss of a dispatcher cuts no stream.
+//! One entry box holds the dispatcher of a (service, zone). It alone queues that service's
+//! requests in the zone and grants the endpoints' slots, so the order of tiers holds across all
+//! entry boxes of the zone, and slots are counted exactly. The entry boxes send the requests to
+//! the endpoints themselves and report the results; the loss of a dispatcher interrupts no
+//! stream.
 //!
-//! A step takes one input and the time, and appends the orders that follow. The
-//! algorithm after each input:
+//! A step takes one input and the time, and returns the orders that follow. After each input:
 //!
-//! 1. While a slot is free: the next request gets it. That is the class that is
-//!    owed a whole run by its share (`share`), else the first by tier and slack
-//!    (`queue`). The endpoint with the lowest use goes first, or the one that
-//!    likely caches the prompt's prefix (`endpoint`).
-//! 2. If requests are left that have to start now: for each of them a run of a
-//!    lower tier is preempted, the one that loses the least work (`preempt`).
+//! 1. While a slot is free, it is granted to the next request: one of the class that
+//!    its minimum share owes a whole run (`share`), else the first by tier and slack
+//!    (`queue`). The endpoint with the lowest utilisation is chosen, or one that likely
+//!    caches the prompt's prefix (`endpoint`).
+//! 2. For each remaining request that has to start now, a run of a lower tier is
+//!    preempted, the one that loses the least work (`preempt`).
 //! 3. Requests that would wait past their deadline are shed at once (`shed`).
 //!
-//! A new dispatcher settles first: it adopts the runs that the entry boxes
-//! announce, and grants nothing until all boxes that are alive have announced theirs.
-//! They take no more grants from the dispatcher before, so nothing is missing then.
-//! A box that does not announce is waited for until it no longer counts as alive.
+//! A new dispatcher settles first: it adopts the runs that the entry boxes announce, and grants
+//! nothing until all live boxes have announced theirs. From its announcement on a box uses only
+//! this dispatcher's grants, so the announced runs are complete. A box that does not announce
+//! is waited for until it no longer counts as alive.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -58,30 +57,31 @@
 /// Settings of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How long a grant lives unused.
+    /// How long an unused grant is valid.
     pub grant_life: Duration,
-    /// How long a new dispatcher waits at most for a box that is alive to announce what
-    /// it holds. A box that is dead or frozen stops counting as alive long before.
+    /// The longest that a new dispatcher waits for a live box to announce its runs. A dead or
+    /// frozen box stops counting as alive long before.
     pub settle: Duration,
-    /// The most requests that wait.
+    /// The most requests in the queue.
     pub max_waiting: usize,
-    /// How long before its due time a request may preempt.
+    /// How long before its due time a request may preempt a run.
     pub preempt_lead: Duration,
-    /// How long a run is expected to hold a slot before any was seen.
+    /// How long a run of a class is expected to hold a slot before any has ended.
     pub first_guess: Duration,
-    /// The part of the endpoints that may be ejected at once.
+    /// The largest fraction of the endpoints that may be ejected at once.
     pub max_ejected: f64,
-    /// How long an endpoint is ejected at first; it doubles.
+    /// How long an endpoint is ejected the first time; doubled each further time.
     pub ejection: Duration,
     /// The longest that an endpoint is ejected.
     pub max_ejection: Duration,
     /// Slots that a new endpoint may use before its first success.
     pub ramp: u32,
-    /// How long a prefix counts as cached.
+    /// How long a prefix is assumed to stay cached.
     pub hint_life: Duration,
-    /// How much fuller, in thousandths, an endpoint that caches the prefix may be.
+    /// How much more utilised, in thousandths of its slots, an endpoint that caches the prefix
+    /// may be and still be chosen.
     pub hint_slack: u64,
-    /// What makes this box lean to other endpoints than others do.
+    /// Seeds this box's preferences among endpoints, so that boxes prefer different ones.
     pub seed: u64,
     /// The region of this box, if it is known.
     pub region: Option<name::Region>,
@@ -107,54 +107,56 @@
     }
 }
 
-/// What a dispatcher is told.
+/// An input of a dispatcher.
 #[expect(
     clippy::large_enum_variant,
     reason = "most inputs are reports, and a box for each is an allocation a request"
 )]
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// An entry box reports.
+    /// An entry box's report.
     Report(name::Box, Report),
-    /// The endpoints and classes that are configured.
+    /// All configured endpoints and classes.
     Configure(Vec<Spec>, BTreeMap<name::Class, config::Class>),
-    /// Some endpoints are new or others than before, and some are configured no more. What depends
-    /// on all of them together stays as it was until all are configured.
+    /// Endpoints that are new or have changed, and endpoints that are no longer configured.
+    /// What depends on the whole set stays as it is until the next `Configure`.
     Changed(Vec<Spec>, Vec<name::Endpoint>),
-    /// An endpoint leaves, or came back.
+    /// Whether an endpoint is leaving.
     Leaving(name::Endpoint, bool),
-    /// An endpoint reports how many requests wait inside of it.
+    /// How many requests wait inside an endpoint, by its own report.
     Backlog(name::Endpoint, u32),
-    /// An endpoint reports that it caches a prefix, or does so no more.
+    /// Whether an endpoint caches a prefix, by its own report.
     Cached(name::Endpoint, Prefix, bool),
-    /// An entry box has lost its link for long: its requests are void.
+    /// An entry box has been disconnected for too long: its requests are void.
     Gone(name::Box),
-    /// The entry boxes of the zone that are alive. The requests of all others are
-    /// void.
+    /// The live entry boxes of the zone. The requests of all others are void.
     Boxes(BTreeSet<name::Box>),
-    /// How many boxes dispatch to the same endpoints, this one included.
+    /// How many boxes dispatch to the same endpoints, including this one.
     Sharers(u32),
-    /// What the other boxes have at the endpoints, if that is known.
+    /// The load that the other boxes put on the endpoints, if it is known.
     Others(Option<load::Loads>),
-    /// What the other boxes have at some endpoints, in place of what was told before.
+    /// The load that the other boxes put on some endpoints; replaces what was known of these.
     OthersChanged(Vec<load::Loaded>),
-    /// What other boxes have placed of late; endpoints of other services are passed over.
+    /// Prefixes that other boxes have recently placed; those at endpoints of other services are
+    /// ignored.
     Placed(Vec<load::Placement>),
-    /// How likely requests fail at endpoints, as all boxes together met it.
+    /// How likely requests fail at endpoints, as observed by all boxes together.
     Risks(Vec<load::Risk>),
-    /// The prompts of classes, as all boxes together have seen them; classes of other
-    /// services are passed over.
+    /// The prompt sizes of classes, as observed by all boxes together; classes of other
+    /// services are ignored.
     Prompts(Vec<load::Prompts>),
-    /// All bounds that refusals anywhere set to less urgent requests of this service.
+    /// All bounds on less urgent requests of this service that follow from refusals at any box.
     Bounds(Vec<load::Bound>),
-    /// This box may send to these endpoints until a time while they warm up, by a lease of one
-    /// of so many hubs.
+    /// The warming endpoints that this box may send to, the time until which it may, and the
+    /// number of hubs that issue such leases.
     Leases(Vec<name::Endpoint>, Duration, u32),
-    /// Endpoints limit the requests a second from all boxes together, or do so no more.
+    /// Endpoints' limits on the requests per second from all boxes together, where they
+    /// changed.
     Limits(Vec<LimitChange>),
-    /// This box may send so many requests to endpoints that limit them.
+    /// Permits of this box for requests to rate-limited endpoints.
     Permits(Vec<Pass>),
-    /// Since when no voter issues permits, if none does: then this box has its part of each limit.
+    /// Since when no voter issues permits, if none does: this box then uses its own part of
+    /// each limit.
     Alone(Option<Duration>),
     /// Time has passed.
     Tick,
@@ -177,48 +179,49 @@
     pauses: pauses::Pauses,
     refusals: precedence::Refusals,
     causes: cause::Causes,
-    /// Requests that ask for an endpoint.
-    asked: throttle::Meter,
+    /// The rate of requests for a slot.
+    request_rate: throttle::Meter,
     settled_at: Duration,
-    /// The entry boxes that are alive, and those that have announced what they hold.
+    /// The live entry boxes, and those that have announced their runs.
     alive: BTreeSet<name::Box>,
     announced: BTreeSet<name::Box>,
-    /// The entry boxes that are about to announce anew, and since when. Until they have,
-    /// the slots of their runs look free.
+    /// The entry boxes that have begun a new announcement, and when. Until it is complete, the
+    /// slots of their runs look free.
     announcing: BTreeMap<name::Box, Duration>,
-    /// Slots that preemptions freed and that are not handed out yet.
+    /// Slots freed by preemption that are not granted yet.
     freed: u32,
     outputs: Vec<Output>,
 }
 
-/// How busy a dispatcher is; dispatchers of a service exchange this.
+/// A dispatcher's utilisation; dispatchers of a service exchange it.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Summary {
     /// Slots that may be used.
     pub slots: u32,
     /// Slots that are held.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in the queue.
     pub waiting: usize,
     /// The predicted wait of a new request, by tier.
     pub waits: BTreeMap<unit::Tier, Duration>,
 }
 
-/// What an endpoint was chosen by.
+/// What the choice of an endpoint was based on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Basis {
-    /// Tokens of the prompt that have to be read there.
+    /// Tokens of the prompt that the endpoint has to process.
     pub unread: unit::Tokens,
-    /// Tokens that all boxes had unread there of requests no less urgent, and of others.
+    /// Prompt tokens of all boxes that the endpoint had not processed yet, of requests that are
+    /// no less urgent.
     pub ahead: unit::Tokens,
     /// The same of less urgent requests.
     pub later: unit::Tokens,
-    /// Whether the endpoint likely keeps what the prompt shares with others.
+    /// Whether the endpoint likely caches the part of the prompt that others share.
     pub kept: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher that settles first.
+    /// Creates a dispatcher that has yet to settle.
     pub fn new(settings: Settings, now: Duration) -> Self {
         let settled_at = now + settings.settle;
         Self {
@@ -233,7 +236,7 @@
             pauses: pauses::Pauses::default(),
             refusals: precedence::Refusals::default(),
             causes: cause::Causes::default(),
-            asked: throttle::Meter::default(),
+            request_rate: throttle::Meter::default(),
             settled_at,
             alive: BTreeSet::new(),
             announced: BTreeSet::new(),
@@ -243,15 +246,15 @@
         }
     }
 
-    /// Takes an input; returns the orders that follow from it.
+    /// Processes an input and returns the orders that follow from it.
     pub fn step(&mut self, input: Input, now: Duration) -> Vec<Output> {
-        self.queue.age(now);
+        self.queue.advance(now);
         match input {
             Input::Report(origin, report) => self.report(origin, report, now),
             Input::Configure(specs, classes) => self.configure(&specs, &classes, now),
             Input::Changed(specs, gone) => {
                 self.endpoints.change(&specs, &gone, now, &self.settings);
-                self.shed_hopeless();
+                self.shed_unservable();
             }
             Input::Leaving(name, leaving) => self.endpoints.set_leaving(&name, leaving, now),
             Input::Backlog(name, waiting) => self.endpoints.set_backlog(&name, waiting),
@@ -259,7 +262,7 @@
                 let until = now + self.settings.hint_life;
                 self.endpoints.set_cached(&name, prefix, cached, until);
             }
-            Input::Gone(origin) => self.lose(&origin),
+            Input::Gone(origin) => self.drop_box(&origin),
             Input::Boxes(alive) => self.set_boxes(alive),
             Input::Sharers(count) => self.endpoints.set_sharers(count),
             Input::Others(loads) => self.endpoints.set_others(loads.as_ref()),
@@ -307,7 +310,7 @@
         for (name, class) in classes {
             self.class(name, class.tier).configure(class);
         }
-        self.shed_hopeless();
+        self.shed_unservable();
     }
 
     fn class(&mut self, name: &name::Class, tier: unit::Tier) -> &mut class::Class {
@@ -320,11 +323,11 @@
     fn report(&mut self, origin: name::Box, report: Report, now: Duration) {
         match report {
             Report::Hello => {
-                self.lose(&origin);
+                self.drop_box(&origin);
                 self.announcing.insert(origin, now);
             }
             Report::Announced => {
-                // Without the beginning, some of what the box holds is missing here.
+                // An announcement whose `Hello` was missed is incomplete.
                 if self.announcing.remove(&origin).is_some() {
                     self.announced.insert(origin);
                 }
@@ -332,7 +335,7 @@
             Report::Ask(ask) => self.ask(origin, ask, now),
             Report::Withdraw(attempt) => drop(self.queue.remove(attempt)),
             Report::Started(attempt) => self.runs.set_started(attempt),
-            Report::First(attempt) => self.first(attempt, now),
+            Report::First(attempt) => self.first_token(attempt, now),
             Report::Paused(attempt) => self.runs.set_paused(attempt),
             Report::Progress(attempt, tokens) => self.runs.set_tokens(attempt, tokens),
             Report::End(attempt, end, tokens) => self.end(attempt, end, tokens, now),
@@ -345,19 +348,21 @@
         if self.queue.contains(attempt) || self.runs.get(attempt).is_some() {
             return;
         }
-        self.asked.add(1, now);
+        self.request_rate.add(1, now);
         self.endpoints.note_rests(&origin, &ask.rests, now);
         if ask.placed.is_some() {
-            self.placement.note(&ask);
+            self.placement.record(&ask);
         }
         if attempt.number == 0 {
             self.refusals.note_asked(&ask, now);
         }
         let class = self.class(&ask.class, ask.tier);
-        let hold = ask.hold.map_or(class.mean, |hold| hold.as_secs_f64());
+        let hold = ask
+            .hold
+            .map_or(class.mean_hold_s, |hold| hold.as_secs_f64());
         let lead = class.lead;
-        class.flow.add(hold, now);
-        // The arrival may lie before the clock's start, so ages are taken off last.
+        class.demand.add(hold, now);
+        // The arrival may lie before the clock's start, so ages are subtracted last.
         let due = (now + ask.target).saturating_sub(ask.age + lead);
         let give_up = (now + ask.deadline).saturating_sub(ask.age);
         let times = queue::Times { due, give_up, hold };
@@ -365,12 +370,12 @@
         self.shed_on_arrival(attempt, now);
     }
 
-    fn first(&mut self, attempt: attempt::Attempt, now: Duration) {
+    fn first_token(&mut self, attempt: attempt::Attempt, now: Duration) {
         let already = self
             .runs
             .get(attempt)
-            .is_some_and(|run| run.first.is_some());
-        self.runs.set_first(attempt, now);
+            .is_some_and(|run| run.first_token.is_some());
+        self.runs.set_first_token(attempt, now);
         let Some(run) = self.runs.get(attempt) else {
             return;
         };
@@ -380,7 +385,7 @@
         if !already && run.place.is_some_and(|place| !place.slow) {
             self.reading.observe(run.ahead, prompt.unread, waited);
         }
-        self.class(&name, tier).observe_first(waited);
+        self.class(&name, tier).observe_first_token(waited);
         if !already {
             self.endpoints.answered(endpoint, prompt, now);
         }
@@ -410,7 +415,7 @@
                     self.pauses.observe(place, true, now);
                 }
             }
-            // A rest that it asks for comes with the next request of that box.
+            // A rest that the endpoint asks for comes with the box's next request.
             End::Cancelled | End::Preempted | End::Refused | End::Unused => {}
         }
     }
@@ -421,7 +426,7 @@
             self.pauses.observe(place, run.paused, now);
         }
         let held = now.saturating_sub(run.granted);
-        let first = run.first.unwrap_or(run.granted);
+        let first = run.first_token.unwrap_or(run.granted);
         let streamed = now.saturating_sub(first).as_secs_f64();
         let pace = match tokens.0 {
             0 | 1 => held.as_secs_f64(),
@@ -462,17 +467,17 @@
             place: None,
             paused: false,
             started: true,
-            first: (held.tokens.0 > 0).then_some(now),
+            first_token: (held.tokens.0 > 0).then_some(now),
             tokens: held.tokens,
             preempting: false,
         });
     }
 
-    /// Takes a run out and frees its slot.
+    /// Removes a run and frees its slot.
     fn release(&mut self, attempt: attempt::Attempt) -> Option<run::Run> {
         let run = self.runs.remove(attempt)?;
         self.endpoints
-            .free(run.endpoint, run.prompt(), run.first.is_some());
+            .free(run.endpoint, run.prompt(), run.first_token.is_some());
         Some(run)
     }
 
@@ -484,7 +489,7 @@
             .cloned()
             .collect();
         for origin in zone.difference(&alive) {
-            self.lose(origin);
+            self.drop_box(origin);
         }
         self.announced.retain(|name| alive.contains(name));
         self.announcing
@@ -492,7 +497,7 @@
         self.alive = alive;
     }
 
-    fn lose(&mut self, origin: &name::Box) {
+    fn drop_box(&mut self, origin: &name::Box) {
         self.endpoints.forget_rests(origin);
         let waiting = self.queue.all().filter(|w| w.origin == *origin);
         let waiting: Vec<_> = waiting.map(|w| w.ask.attempt).collect();
@@ -528,20 +533,20 @@
     fn mean_hold(&self, class: &name::Class) -> f64 {
         self.classes
             .get(class)
-            .map_or(class::MIN_HOLD, |class| class.mean)
+            .map_or(class::MIN_HOLD_S, |class| class.mean_hold_s)
     }
 
-    /// The mean time between two slots that come free, in seconds.
+    /// Returns the mean time between two slots becoming free, in seconds.
     fn slot_gap(&self, now: Duration) -> f64 {
-        let holds = self.classes.values().map(|class| class.mean);
+        let holds = self.classes.values().map(|class| class.mean_hold_s);
         let hold = holds.fold(0.0, f64::max);
-        if let Some(a_second) = self.endpoints.throttled(now) {
-            return 1.0 / a_second;
+        if let Some(per_second) = self.endpoints.throttled(now) {
+            return 1.0 / per_second;
         }
         hold / f64::from(self.endpoints.allowed().max(1))
     }
 
-    /// Whether it grants already.
+    /// Returns whether the dispatcher has settled, so that it grants slots.
     pub fn is_settled(&self, now: Duration) -> bool {
         let all_announced = !self.alive.is_empty() && self.alive.is_subset(&self.announced);
         let settle = self.settings.settle;
--- a/src/scalewood/core/dispatch/precedence.rs
+++ b/src/scalewood/core/dispatch/precedence.rs
@@ -1,18 +1,18 @@
-//! Precedence under overload: what is larger and less urgent does not begin while more
-//! urgent requests get nothing.
+//! Precedence under overload: larger, less urgent requests don't start while more urgent ones
+//! are refused.
 //!
-//! Each request is measured against its own caller's patience, and less urgent classes are
-//! often the more patient ones. By patience alone they would take what the more urgent ones
-//! are refused for, and go on to. So what a class loses takes that right away from larger
-//! requests of less urgent tiers, from the least urgent class upwards (`load::Losses`). It is a
-//! guard: where predictions follow the endpoints' order (`endpoint::cost`), it rarely acts.
+//! Each request is checked against its own caller's patience, and less urgent classes are often
+//! the more patient ones. By patience alone they would take the capacity that more urgent ones
+//! are refused for. So a class's losses hold back larger requests of less urgent tiers, from
+//! the least urgent class upwards (`load::Losses`). This is a safeguard: where predictions
+//! follow the order in which endpoints process prompts (`endpoint::cost`), it rarely acts.
 //!
-//! It holds between classes. Within one, requests of less urgent teams are not held back:
-//! the endpoints' order serves them last, and to refuse them as well would add to what the
-//! class loses.
+//! It holds between classes only. Within a class, requests of less urgent teams are not held
+//! back: the endpoints serve them last anyway, and refusing them would add to the class's
+//! losses.
 //!
-//! A box goes by what it meets itself at once. What all boxes met it hears as bounds that the
-//! hubs make (`load::Bound`). A box that hears nothing goes by its own.
+//! A box applies its own losses at once. The losses of all boxes reach it as bounds that the
+//! hubs compute (`load::Bound`). Without bounds it applies its own losses alone.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -21,95 +21,96 @@
     load, name, unit,
 };
 
-/// How long a bound counts that was heard. Each exchange tells it anew while it stands; this
-/// is as long as a hub bears a box's silence.
-const HEARD: Duration = Duration::from_millis(1500);
-/// When one that is held back by this box's own losses may come back: by then they show
-/// whether the overload lasts.
-const OWN: Duration = Duration::from_millis(1500);
-/// Requests without any refusal that are told together: what they say is not urgent, and
-/// telling each would be a row in each exchange.
-const TOLD_TOGETHER: u32 = 8;
-/// In how many exchanges the fewer are told: a second for most boxes. Later, and a class of few
-/// requests would seem to lose more than it does.
-const TOLD_EVERY: u32 = 4;
-
-/// What less urgent requests may begin for the sake of a class.
+/// How long a received bound is valid. Each exchange repeats it while it holds; this is as long
+/// as a hub tolerates a box's silence.
+const BOUND_TTL: Duration = Duration::from_millis(1500);
+/// After what time a request that is held back by this box's own losses may be retried: by then
+/// they show whether the overload lasts.
+const OWN_BOUND_RETRY: Duration = Duration::from_millis(1500);
+/// The number of requests of a class that are reported even if none was refused: these are not
+/// urgent, and reporting each would add a row to every exchange.
+const MIN_REPORTED_REQUESTS: u32 = 8;
+/// The number of exchanges after which fewer requests are reported too: about a second for most
+/// boxes. With a longer delay a class of few requests would seem to lose more than it does.
+const MAX_REPORT_EXCHANGES: u32 = 4;
+
+/// The limit on less urgent requests while a class loses requests.
 #[derive(Clone, Copy, Debug)]
 struct Bound {
     limit: load::Limit,
-    /// Until when it holds.
+    /// The time until which the limit holds.
     until: Duration,
 }
 
 impl Bound {
-    /// How long it holds back a request.
-    fn left(&self, ask: &message::Ask, now: Duration) -> Option<Duration> {
+    /// Returns for how much longer the bound holds back a request, if it does.
+    fn remaining(&self, ask: &message::Ask, now: Duration) -> Option<Duration> {
         let load::Limit { tier, tokens } = self.limit;
         let holds = self.until > now && tier.outranks(ask.tier) && tokens < ask.prompt;
         holds.then(|| self.until - now)
     }
 }
 
-/// What became of this box's requests, and what other boxes' requests met.
+/// The results of this box's requests, and the bounds that follow from all boxes' losses.
 #[derive(Debug, Default)]
 pub(super) struct Refusals {
-    /// What became of this box's requests.
-    own: load::Losses,
-    /// The bounds that all boxes' losses set.
+    /// The results of this box's requests.
+    own_losses: load::Losses,
+    /// The bounds that follow from all boxes' losses, by the class that loses.
     bounds: BTreeMap<name::Class, Bound>,
-    /// What other boxes have not heard of, and in how many exchanges it was kept back.
-    news: BTreeMap<name::Class, load::Counts>,
-    kept_back: u32,
-    /// What came of less urgent requests meanwhile, by the class that loses and theirs.
-    met: BTreeMap<Pair, Met>,
+    /// Results that are not reported to other boxes yet, and the number of exchanges since the
+    /// last report.
+    unreported: BTreeMap<name::Class, load::Counts>,
+    exchanges: u32,
+    /// Less urgent requests that were held back or started meanwhile.
+    met: BTreeMap<ClassPair, Met>,
 }
 
-/// A request that must not begin.
+/// A request that must not start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct HeldBack {
     /// How long it has to wait.
-    pub(super) left: Duration,
-    /// What holds it back.
+    pub(super) wait: Duration,
+    /// Why it is held back.
     pub(super) cause: Cause,
 }
 
-/// The class that holds a request back for the longest, and how long.
-fn longest(
+/// Returns the class that holds a request back for the longest, and how long.
+fn longest_wait(
     bounds: impl Iterator<Item = (name::Class, Bound)>,
     ask: &message::Ask,
     now: Duration,
 ) -> Option<(Duration, name::Class)> {
     let others = bounds.filter(|(class, _)| *class != ask.class);
-    let left = others.filter_map(|(class, bound)| Some((bound.left(ask, now)?, class)));
+    let left = others.filter_map(|(class, bound)| Some((bound.remaining(ask, now)?, class)));
     left.max()
 }
 
 /// The class that is refused, and a less urgent one.
-type Pair = (name::Class, name::Class);
+type ClassPair = (name::Class, name::Class);
 
-/// Larger requests of a less urgent class that came while a more urgent one was refused.
+/// Larger requests of a less urgent class that arrived while a more urgent one was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Precedence {
     /// The class that was refused.
     pub refused: name::Class,
-    /// The less urgent one.
+    /// The less urgent class.
     pub class: name::Class,
-    /// What came of its requests.
+    /// What was done with its requests.
     pub met: Met,
 }
 
-/// Requests by what came of them.
+/// Counts of less urgent requests by what was done with them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Met {
-    /// Those that were held back.
+    /// Requests that were held back.
     pub held: u32,
-    /// Those that began all the same, since an endpoint had had them before.
+    /// Requests that started nevertheless, since an endpoint had had them before.
     pub begun: u32,
 }
 
 impl Refusals {
-    /// Counts a request that came.
+    /// Counts a request that arrived.
     pub(super) fn note_asked(&mut self, ask: &message::Ask, now: Duration) {
         let counts = load::Counts {
             asked: 1,
@@ -119,7 +120,7 @@
         self.count(ask, counts, now);
     }
 
-    /// Counts a request that began for the first time.
+    /// Counts a request that started for the first time.
     pub(super) fn note_begun(&mut self, ask: &message::Ask, now: Duration) {
         let counts = load::Counts {
             begun: 1,
@@ -129,7 +130,8 @@
         self.count(ask, counts, now);
     }
 
-    /// Counts a request that was refused for want of room, and told to come back.
+    /// Counts a request that was refused for lack of capacity and received to retry after `retry`;
+    /// as lost if its caller can't.
     pub(super) fn note_refused(&mut self, ask: &message::Ask, retry: Duration, now: Duration) {
         if !ask.may_return(retry) {
             return self.note_lost(ask, now);
@@ -142,7 +144,7 @@
         self.count(ask, counts, now);
     }
 
-    /// Counts a request that got nothing for good, for want of room.
+    /// Counts a request that failed for good for lack of capacity.
     pub(super) fn note_lost(&mut self, ask: &message::Ask, now: Duration) {
         let counts = load::Counts {
             lost: 1,
@@ -157,62 +159,67 @@
             tier: ask.tier,
             ..counts
         };
-        self.own.add(&ask.class, counts, now);
-        *self.news.entry(ask.class.clone()).or_default() += counts;
+        self.own_losses.add(&ask.class, counts, now);
+        *self.unreported.entry(ask.class.clone()).or_default() += counts;
     }
 
-    /// What other boxes should hear of by now.
-    pub(super) fn take_news(&mut self) -> Vec<(name::Class, load::Counts)> {
-        self.kept_back += 1;
+    /// Returns the results that are due to be reported to other boxes.
+    pub(super) fn take_unreported(&mut self) -> Vec<(name::Class, load::Counts)> {
+        self.exchanges += 1;
         let is_due = |counts: &load::Counts| {
-            counts.lost > 0 || counts.deferred > 0 || counts.asked >= TOLD_TOGETHER
+            counts.lost > 0 || counts.deferred > 0 || counts.asked >= MIN_REPORTED_REQUESTS
         };
-        if self.kept_back < TOLD_EVERY && !self.news.values().any(is_due) {
+        if self.exchanges < MAX_REPORT_EXCHANGES && !self.unreported.values().any(is_due) {
             return Vec::new();
         }
-        self.kept_back = 0;
-        std::mem::take(&mut self.news).into_iter().collect()
+        self.exchanges = 0;
+        std::mem::take(&mut self.unreported).into_iter().collect()
     }
 
-    /// Sets all bounds that all boxes' losses set.
+    /// Replaces the bounds that follow from all boxes' losses.
     pub(super) fn set_bounds(&mut self, bounds: Vec<load::Bound>, now: Duration) {
         let bound = |bound: load::Bound| {
             let limit = load::Limit {
                 tier: bound.tier,
                 tokens: bound.tokens,
             };
-            let until = now + HEARD;
+            let until = now + BOUND_TTL;
             (bound.class, Bound { limit, until })
         };
         self.bounds = bounds.into_iter().map(bound).collect();
     }
 
-    /// The bounds that this box's own losses set.
+    /// Returns the bounds that follow from this box's own losses.
     fn own_bounds(&self, now: Duration) -> impl Iterator<Item = (name::Class, Bound)> {
-        let until = now + OWN;
-        let limits = self.own.limits(now).into_iter();
+        let until = now + OWN_BOUND_RETRY;
+        let limits = self.own_losses.limits(now).into_iter();
         limits.map(move |(class, limit)| (class, Bound { limit, until }))
     }
 
-    /// What holds a request back, since smaller and more urgent ones of other classes get
-    /// nothing.
+    /// Returns what holds a request back, if smaller and more urgent ones of other classes are
+    /// refused.
     pub(super) fn hold_back(&self, ask: &message::Ask, now: Duration) -> Option<HeldBack> {
-        let own = longest(self.own_bounds(now), ask, now).map(|(left, class)| HeldBack {
-            left,
+        let own = longest_wait(self.own_bounds(now), ask, now).map(|(wait, class)| HeldBack {
+            wait,
             cause: Cause::Here(class),
         });
-        let told = self.bounds.iter();
-        let told = told.map(|(class, bound)| (class.clone(), *bound));
-        let told = longest(told, ask, now).map(|(left, class)| HeldBack {
-            left,
+        let received = self.bounds.iter();
+        let received = received.map(|(class, bound)| (class.clone(), *bound));
+        let received = longest_wait(received, ask, now).map(|(wait, class)| HeldBack {
+            wait,
             cause: Cause::Anywhere(class),
         });
-        own.into_iter().chain(told).max_by_key(|held| held.left)
+        own.into_iter().chain(received).max_by_key(|held| held.wait)
     }
 
-    /// Counts a request that is held back or begins, if a more urgent class is refused;
-    /// tells whether one is.
-    pub(super) fn meet(&mut self, ask: &message::Ask, begins: bool, now: Duration) -> bool {
+    /// Counts a request that is held back or starts while a more urgent class is refused;
+    /// returns whether one is.
+    pub(super) fn count_precedence(
+        &mut self,
+        ask: &message::Ask,
+        begins: bool,
+        now: Duration,
+    ) -> bool {
         let held = self.hold_back(ask, now);
         let Some(refused) = held.as_ref().and_then(|held| held.cause.class()) else {
             return false;
@@ -224,8 +231,8 @@
         true
     }
 
-    /// What came of less urgent requests since it was last taken.
-    pub(super) fn take_met(&mut self) -> Vec<Precedence> {
+    /// Returns what was done with less urgent requests since the last call.
+    pub(super) fn take_precedence(&mut self) -> Vec<Precedence> {
         let all = std::mem::take(&mut self.met).into_iter();
         let row = |((refused, class), met)| Precedence {
             refused,
@@ -235,10 +242,11 @@
         all.map(row).collect()
     }
 
-    /// Sets the classes that are configured, by their tiers.
+    /// Sets the configured classes and their tiers.
     pub(super) fn set_classes(&mut self, classes: &BTreeMap<name::Class, unit::Tier>) {
-        self.own.set_classes(classes);
-        self.news.retain(|class, _| classes.contains_key(class));
+        self.own_losses.set_classes(classes);
+        self.unreported
+            .retain(|class, _| classes.contains_key(class));
         self.met
             .retain(|(refused, _), _| classes.contains_key(refused));
     }
--- a/src/scalewood/core/dispatch/preempt.rs
+++ b/src/scalewood/core/dispatch/preempt.rs
@@ -1,9 +1,9 @@
-//! Preemption: runs that give way to a higher tier.
+//! Preemption: runs that give up their slot to a higher tier.
 //!
-//! A request that has to start now, and finds no free slot, takes that of a run of a
-//! lower tier: the lowest there is, and of that the run that loses the least work.
-//! Only runs that can be resumed are taken, none more than a few times, and never
-//! more of them than there are requests that need it.
+//! A request that has to start now and finds no free slot takes that of a run of a lower tier:
+//! of the runs of the lowest tier, the one that loses the least work. Only runs that can be
+//! resumed are preempted, each only a few times, and never more of them than there are requests
+//! that need a slot.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     invariant, unit,
 };
 
-/// Requests that one step preempts for at most, so that it stays short.
+/// The most requests that one step preempts for; bounds the step's duration.
 const MAX_URGENT: usize = 32;
 
 impl Dispatcher {
-    /// Preempts for the requests that have to start now.
+    /// Preempts runs for the requests that have to start now.
     pub(super) fn preempt(&mut self, now: Duration) {
         if self.queue.is_empty() || !self.is_settled(now) {
             return;
@@ -28,7 +28,7 @@
                 continue;
             }
             let Some(victim) = self.victim_for(tier, seeker, now) else {
-                if self.is_wide(&lane) {
+                if self.is_unrestricted(&lane) {
                     break;
                 }
                 continue;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The run that gives way to a request of a tier. A slot where the request may not be sent
-    /// is of no use to it.
+    /// Returns the run to preempt for a request of a tier. Only slots where the request may be
+    /// sent are considered.
     pub(super) fn victim_for(
         &self,
         tier: unit::Tier,
@@ -53,14 +53,15 @@
         self.runs.victim_where(tier, fits)
     }
 
-    /// The requests that need a slot now and have none on its way: the tier and lane of each.
+    /// Returns the tier and lane of each request that needs a slot now and has no preemption
+    /// under way for it.
     fn urgent(&self, now: Duration) -> Vec<(unit::Tier, queue::Lane)> {
         let until: Duration = now + self.settings.preempt_lead;
-        let on_their_way = self.runs.preempting();
-        let urgent = self.queue.urgent(until, MAX_URGENT + on_their_way);
+        let in_progress = self.runs.preempting();
+        let urgent = self.queue.urgent(until, MAX_URGENT + in_progress);
         urgent
             .into_iter()
-            .skip(on_their_way)
+            .skip(in_progress)
             .map(|waiting| (waiting.ask.tier, waiting.lane()))
             .collect()
     }
--- a/src/scalewood/core/dispatch/queue.rs
+++ b/src/scalewood/core/dispatch/queue.rs
@@ -1,9 +1,8 @@
-//! The requests that wait for a slot, in the order in which they get one.
+//! The queue of requests that wait for a slot, in the order in which they get one.
 //!
-//! Tiers come first. Within a tier there are two bands. Requests that can still
-//! meet their target go first, the least slack first. Requests that have missed it
-//! follow in the order of their due times: serving them first would only make the
-//! others miss theirs too, one after another.
+//! Tiers come first. Within a tier there are two bands. Requests that can still meet their
+//! target go first, by least slack. Requests that have missed it follow in the order of their
+//! due times: serving them first would only make the others miss theirs too, one after another.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -16,13 +15,14 @@
     name, residency, unit,
 };
 
-/// A position in a queue: due time, then arrival.
+/// A position in a queue: due time, then order of arrival.
 pub(super) type Position = (Duration, u64, attempt::Attempt);
 
-/// A place in the order over all tiers: tier, whether it is late, position.
-type Place = (unit::Tier, bool, Position);
+/// A rank across all tiers: tier, whether the request is late, position.
+type Rank = (unit::Tier, bool, Position);
 
-/// What rules out endpoints for a request: where it may be served, and which box would send it.
+/// What determines the endpoints that a request may use: the regions allowed, and the box that
+/// would send it. The requests of a lane may use the same endpoints.
 pub(super) type Lane = (residency::Allowed, name::Box);
 
 /// A request that waits.
@@ -30,14 +30,14 @@
 pub(super) struct Waiting {
     pub(super) origin: name::Box,
     pub(super) ask: message::Ask,
-    /// When it has to start to meet its target.
+    /// The time at which it has to start to meet its target.
     pub(super) due: Duration,
-    /// When it is shed.
+    /// The time at which it is shed.
     pub(super) give_up: Duration,
     /// How long it is expected to hold a slot, in seconds.
     pub(super) hold: f64,
     serial: u64,
-    /// The bucket that it is counted in while it is on time.
+    /// The bucket that its work is counted in while it is on time.
     bucket: Option<work::Bucket>,
 }
 
@@ -46,28 +46,28 @@
         (self.due, self.serial, self.ask.attempt)
     }
 
-    /// When its caller leaves or it is shed.
+    /// Returns the time at which its caller leaves or it is shed, whichever is first.
     pub(super) fn leaves_at(&self) -> Duration {
         let shorter = self.ask.patience.map(|patience| {
-            // Both count from the arrival.
+            // Both are measured from the arrival.
             self.ask.deadline.saturating_sub(patience)
         });
         self.give_up.saturating_sub(shorter.unwrap_or_default())
     }
 
-    /// Its lane.
+    /// Returns its lane.
     pub(super) fn lane(&self) -> Lane {
         (self.ask.allowed.clone(), self.origin.clone())
     }
 
-    fn place(&self) -> Place {
+    fn rank(&self) -> Rank {
         (self.ask.tier, self.bucket.is_none(), self.position())
     }
 }
 
-/// The requests of one tier.
+/// The requests of one tier, in two bands.
 #[derive(Debug)]
-struct Band {
+struct TierQueue {
     on_time: BTreeSet<Position>,
     late: BTreeSet<Position>,
     give_up: BTreeSet<(Duration, attempt::Attempt)>,
@@ -75,7 +75,7 @@
     late_work: f64,
 }
 
-impl Band {
+impl TierQueue {
     fn new(now: Duration) -> Self {
         Self {
             on_time: BTreeSet::new(),
@@ -103,14 +103,15 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waiting: HashMap<attempt::Attempt, Waiting>,
-    tiers: BTreeMap<unit::Tier, Band>,
+    tiers: BTreeMap<unit::Tier, TierQueue>,
     classes: HashMap<name::Class, BTreeSet<Position>>,
     /// The requests of each lane, in the order in which they get a slot.
-    lanes: BTreeMap<Lane, BTreeSet<Place>>,
+    lanes: BTreeMap<Lane, BTreeSet<Rank>>,
     serial: u64,
 }
 
-/// When a request has to start and when it is shed, and what it costs.
+/// When a request has to start and when it is shed, and how long it is expected to hold a slot,
+/// in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Times {
     pub(super) due: Duration,
@@ -139,16 +140,17 @@
         self.waiting.values()
     }
 
-    /// How long a request that waits is expected to hold a slot, in seconds, in the mean.
+    /// Returns the mean time for which a waiting request is expected to hold a slot, in
+    /// seconds.
     pub(super) fn mean_hold(&self) -> Option<f64> {
         if self.waiting.is_empty() {
             return None;
         }
-        let work: f64 = self.tiers.values().map(Band::all_work).sum();
+        let work: f64 = self.tiers.values().map(TierQueue::all_work).sum();
         Some(work / self.waiting.len() as f64)
     }
 
-    /// How many requests of a class wait.
+    /// Returns how many requests of a class wait.
     pub(super) fn count(&self, class: &name::Class) -> usize {
         self.classes.get(class).map_or(0, BTreeSet::len)
     }
@@ -172,28 +174,28 @@
             serial: self.serial,
             bucket: None,
         };
-        let band = self
+        let tier_queue = self
             .tiers
             .entry(waiting.ask.tier)
-            .or_insert_with(|| Band::new(now));
+            .or_insert_with(|| TierQueue::new(now));
         if due >= now {
-            waiting.bucket = Some(band.work.add(due, hold));
-            band.on_time.insert(waiting.position());
+            waiting.bucket = Some(tier_queue.work.add(due, hold));
+            tier_queue.on_time.insert(waiting.position());
         } else {
-            band.late_work += hold;
-            band.late.insert(waiting.position());
+            tier_queue.late_work += hold;
+            tier_queue.late.insert(waiting.position());
         }
-        band.give_up.insert((give_up, waiting.ask.attempt));
+        tier_queue.give_up.insert((give_up, waiting.ask.attempt));
         self.classes
             .entry(waiting.ask.class.clone())
             .or_default()
             .insert(waiting.position());
         let lane = self.lanes.entry(waiting.lane()).or_default();
-        lane.insert(waiting.place());
+        lane.insert(waiting.rank());
         self.waiting.insert(waiting.ask.attempt, waiting);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub(super) fn remove(&mut self, attempt: attempt::Attempt) -> Option<Waiting> {
         let waiting = self.waiting.remove(&attempt)?;
         let position = waiting.position();
@@ -202,71 +204,75 @@
         }
         let key = waiting.lane();
         if let Some(lane) = self.lanes.get_mut(&key) {
-            lane.remove(&waiting.place());
+            lane.remove(&waiting.rank());
             if lane.is_empty() {
                 self.lanes.remove(&key);
             }
         }
-        if let Some(band) = self.tiers.get_mut(&waiting.ask.tier) {
-            band.give_up.remove(&(waiting.give_up, attempt));
+        if let Some(tier_queue) = self.tiers.get_mut(&waiting.ask.tier) {
+            tier_queue.give_up.remove(&(waiting.give_up, attempt));
             match waiting.bucket {
                 Some(bucket) => {
-                    band.on_time.remove(&position);
-                    band.work.remove(bucket, waiting.hold);
+                    tier_queue.on_time.remove(&position);
+                    tier_queue.work.remove(bucket, waiting.hold);
                 }
                 None => {
-                    band.late.remove(&position);
-                    band.late_work -= waiting.hold;
+                    tier_queue.late.remove(&position);
+                    tier_queue.late_work -= waiting.hold;
                 }
             }
         }
         Some(waiting)
     }
 
-    /// Moves the requests that have missed their target to the late band, and the
-    /// windows of work on.
-    pub(super) fn age(&mut self, now: Duration) {
-        for band in self.tiers.values_mut() {
-            while band.on_time.first().is_some_and(|(due, _, _)| *due < now) {
-                let Some(position) = band.on_time.pop_first() else {
+    /// Moves the requests that have missed their target to the late band, and the windows of
+    /// work forward.
+    pub(super) fn advance(&mut self, now: Duration) {
+        for tier_queue in self.tiers.values_mut() {
+            while tier_queue
+                .on_time
+                .first()
+                .is_some_and(|(due, _, _)| *due < now)
+            {
+                let Some(position) = tier_queue.on_time.pop_first() else {
                     break;
                 };
                 let Some(waiting) = self.waiting.get_mut(&position.2) else {
                     continue;
                 };
-                let before = waiting.place();
+                let before = waiting.rank();
                 if let Some(bucket) = waiting.bucket.take() {
-                    band.work.remove(bucket, waiting.hold);
+                    tier_queue.work.remove(bucket, waiting.hold);
                 }
                 if let Some(lane) = self.lanes.get_mut(&waiting.lane()) {
                     lane.remove(&before);
-                    lane.insert(waiting.place());
+                    lane.insert(waiting.rank());
                 }
-                band.late_work += waiting.hold;
-                band.late.insert(position);
+                tier_queue.late_work += waiting.hold;
+                tier_queue.late.insert(position);
             }
-            if band.work.is_stale(now) {
-                band.work = work::Work::new(now);
-                for (due, _, attempt) in &band.on_time {
+            if tier_queue.work.is_stale(now) {
+                tier_queue.work = work::Work::new(now);
+                for (due, _, attempt) in &tier_queue.on_time {
                     let Some(waiting) = self.waiting.get_mut(attempt) else {
                         continue;
                     };
-                    waiting.bucket = Some(band.work.add(*due, waiting.hold));
+                    waiting.bucket = Some(tier_queue.work.add(*due, waiting.hold));
                 }
             }
         }
     }
 
-    /// The request that is next by tier and slack.
+    /// Returns the first request by tier and slack.
     pub(super) fn first(&self) -> Option<attempt::Attempt> {
         self.tiers
             .values()
-            .find_map(Band::first)
+            .find_map(TierQueue::first)
             .map(|position| position.2)
     }
 
-    /// The request that is next by tier and slack, but for lanes which have no free slot.
-    pub(super) fn first_but(&self, full: &[Lane]) -> Option<attempt::Attempt> {
+    /// Returns the first request by tier and slack outside the lanes that have no free slot.
+    pub(super) fn first_outside(&self, full: &[Lane]) -> Option<attempt::Attempt> {
         if full.is_empty() {
             return self.first();
         }
@@ -276,45 +282,45 @@
         Some(first.2 .2)
     }
 
-    /// The lanes in which requests wait.
+    /// Returns the lanes in which requests wait.
     pub(super) fn lanes(&self) -> impl Iterator<Item = &Lane> {
         self.lanes.keys()
     }
 
-    /// The requests of a lane that are shed until a time at the latest.
-    pub(super) fn given_up_by(&self, lane: &Lane, until: Duration) -> Vec<attempt::Attempt> {
+    /// Returns the requests of a lane whose callers leave, or that are shed, by a given time.
+    pub(super) fn leaving_by(&self, lane: &Lane, until: Duration) -> Vec<attempt::Attempt> {
         let places = self.lanes.get(lane).into_iter().flatten();
         let waiting = places.filter_map(|(_, _, position)| self.waiting.get(&position.2));
         let over = waiting.filter(|waiting| waiting.leaves_at() <= until);
         over.map(|waiting| waiting.ask.attempt).collect()
     }
 
-    /// The request of a class that is next.
+    /// Returns the first request of a class.
     pub(super) fn first_of(&self, class: &name::Class) -> Option<attempt::Attempt> {
         self.classes.get(class)?.first().map(|position| position.2)
     }
 
-    /// The request that is shed first when there are too many.
+    /// Returns the request that is shed first when the queue is full.
     pub(super) fn last(&self) -> Option<attempt::Attempt> {
         self.tiers
             .values()
             .rev()
-            .find_map(Band::last)
+            .find_map(TierQueue::last)
             .map(|position| position.2)
     }
 
-    /// The last request of each tier's late band.
+    /// Returns the last request of each tier's late band.
     pub(super) fn late_tails(&self) -> Vec<attempt::Attempt> {
         self.tiers
             .values()
-            .filter_map(|band| band.late.last())
+            .filter_map(|tier_queue| tier_queue.late.last())
             .map(|p| p.2)
             .collect()
     }
 
-    /// A request whose time to give up has come.
+    /// Returns a request whose deadline has passed.
     pub(super) fn expired(&self, now: Duration) -> Option<attempt::Attempt> {
-        let first = |band: &Band| band.give_up.first().copied();
+        let first = |tier_queue: &TierQueue| tier_queue.give_up.first().copied();
         self.tiers
             .values()
             .filter_map(first)
@@ -322,57 +328,58 @@
             .map(|(_, a)| a)
     }
 
-    /// The soonest time at which a request above a tier is shed.
+    /// Returns the earliest time at which a request above a tier is shed.
     pub(super) fn soonest_give_up_above(&self, tier: unit::Tier) -> Option<Duration> {
         let above = self.tiers.range(..tier);
         above
-            .filter_map(|(_, band)| band.give_up.first())
+            .filter_map(|(_, tier_queue)| tier_queue.give_up.first())
             .map(|(at, _)| *at)
             .min()
     }
 
-    /// The lowest tier that waits.
+    /// Returns the lowest tier in which requests wait.
     pub(super) fn lowest_tier(&self) -> Option<unit::Tier> {
         self.tiers
             .iter()
             .rev()
-            .find(|(_, band)| band.first().is_some())
+            .find(|(_, tier_queue)| tier_queue.first().is_some())
             .map(|(tier, _)| *tier)
     }
 
-    /// The requests that have to start before `until`, the first `most` in order.
+    /// Returns the requests that have to start by `until`, at most `most`, in order.
     pub(super) fn urgent(&self, until: Duration, most: usize) -> Vec<&Waiting> {
-        let in_band = |band: &'_ Band| {
-            let on_time = band
+        let in_tier = |tier_queue: &'_ TierQueue| {
+            let on_time = tier_queue
                 .on_time
                 .iter()
                 .take_while(move |(due, _, _)| *due <= until);
             on_time
-                .chain(&band.late)
+                .chain(&tier_queue.late)
                 .take(most)
                 .map(|p| p.2)
                 .collect::<Vec<_>>()
         };
-        let attempts = self.tiers.values().flat_map(in_band).take(most);
+        let attempts = self.tiers.values().flat_map(in_tier).take(most);
         attempts
             .filter_map(|attempt| self.waiting.get(&attempt))
             .collect()
     }
 
-    /// The work, in slot-seconds, that goes before a request of a tier and due time.
+    /// Returns the work, in slot-seconds, that is served before a request of a tier and due
+    /// time.
     pub(super) fn work_before(&self, tier: unit::Tier, due: Duration, now: Duration) -> f64 {
         let above: f64 = self
             .tiers
             .range(..tier)
-            .map(|(_, band)| band.all_work())
+            .map(|(_, tier_queue)| tier_queue.all_work())
             .sum();
-        let own = self.tiers.get(&tier).map_or(0.0, |band| {
+        let own = self.tiers.get(&tier).map_or(0.0, |tier_queue| {
             if due >= now {
-                band.work.before(due)
+                tier_queue.work.before(due)
             } else {
-                // A late request goes after all that are on time; its own place
-                // among the late ones is near the end when it is asked for.
-                band.all_work()
+                // A late request is served after all that are on time; its own place among the
+                // late ones is near the end when it is asked for.
+                tier_queue.all_work()
             }
         });
         above + own
--- a/src/scalewood/core/dispatch/reserve.rs
+++ b/src/scalewood/core/dispatch/reserve.rs
@@ -1,42 +1,40 @@
 //! The reserve: slots kept free for higher tiers.
 //!
-//! A run that can't be preempted keeps its slot to the end. When such runs fill all
-//! slots, a request of a higher tier has to wait for one of them to end, and misses
-//! its target whenever a few come at once. So a slot is given to such a run only
-//! while enough stay in reach of the tiers above: free ones, and those of runs that
-//! can be preempted.
+//! A run that can't be preempted keeps its slot to the end. When such runs fill all slots, a
+//! request of a higher tier has to wait for one of them to end, and misses its target whenever
+//! a few arrive at once. So such a run gets a slot only while enough remain available to the
+//! tiers above: free ones, and those of runs that can be preempted.
 //!
-//! How many are enough is learnt from what happens: each request of a class that
-//! starts too late for its target raises the class's reserve by a step, each that
-//! starts in time lowers it by so much less that it comes to rest where two in a
-//! thousand are late. A forecast from the flows was tried first; it kept slots free
-//! that spill and preemption made unnecessary.
+//! The size of the reserve is adapted: each request of a class that starts too late for its
+//! target raises the class's reserve by a step, and each that starts in time lowers it by so
+//! much less that it is stable where two in a thousand are late. A forecast from the offered
+//! load would keep slots free that spill and preemption make unnecessary.
 
 use crate::core::dispatch::{class::Class, queue, Dispatcher};
 
 /// What a late start adds to a class's reserve, in slots.
-const STEP: f64 = 1.0;
-/// The part of the starts that may be late.
-const LATE: f64 = 0.002;
-/// The part of the slots that is kept free at most.
-const MAX_PART: f64 = 0.125;
+const LATE_STEP_SLOTS: f64 = 1.0;
+/// The fraction of starts that may be late.
+const LATE_FRACTION: f64 = 0.002;
+/// The largest fraction of the slots that is kept free.
+const MAX_RESERVE_FRACTION: f64 = 0.125;
 
 impl Class {
-    /// Learns from a start.
+    /// Adjusts the reserve after a start that was late or in time.
     pub(super) fn learn_reserve(&mut self, late: bool, slots: u32) {
         let step = if late {
-            STEP
+            LATE_STEP_SLOTS
         } else {
-            -STEP * LATE / (1.0 - LATE)
+            -LATE_STEP_SLOTS * LATE_FRACTION / (1.0 - LATE_FRACTION)
         };
-        self.reserve = (self.reserve + step).clamp(0.0, f64::from(slots) * MAX_PART);
+        self.reserve = (self.reserve + step).clamp(0.0, f64::from(slots) * MAX_RESERVE_FRACTION);
     }
 }
 
 impl Dispatcher {
-    /// Whether a request has to wait so that enough slots stay in reach of higher
+    /// Returns whether a request has to wait so that enough slots remain available to higher
     /// tiers.
-    pub(super) fn is_held_back(&self, waiting: &queue::Waiting) -> bool {
+    pub(super) fn waits_for_reserve(&self, waiting: &queue::Waiting) -> bool {
         if waiting.ask.preemptible {
             return false;
         }
@@ -52,7 +50,7 @@
         need > 0.0 && f64::from(free) <= need.floor()
     }
 
-    /// Slots that a class needs free beyond those that it can get by preemption.
+    /// Returns the slots that a class needs free beyond those that it can get by preemption.
     fn need(&self, class: &Class) -> f64 {
         if class.reserve < 1.0 {
             return 0.0;
--- a/src/scalewood/core/dispatch/run.rs
+++ b/src/scalewood/core/dispatch/run.rs
@@ -19,33 +19,33 @@
     pub(super) ask: message::Ask,
     pub(super) endpoint: endpoint::Index,
     pub(super) granted: Duration,
-    /// Tokens of its prompt that count as unread until its first token, and as held.
+    /// Prompt tokens that count as unprocessed at the endpoint until the first token, and as
+    /// held in its memory until the end.
     pub(super) unread: u64,
-    /// Tokens that were unread at the endpoint before it, when it was granted.
+    /// Prompt tokens that the endpoint had yet to process before this run when it was granted.
     pub(super) ahead: reading::Ahead,
-    /// Whether its endpoint likely kept what the prompt shares with others.
+    /// Whether the endpoint likely cached the part of the prompt that others share.
     pub(super) kept: bool,
     /// Where it runs, if its prompt was placed.
     pub(super) place: Option<pauses::Place>,
-    /// Whether its stream has paused for longer than its class bears.
+    /// Whether its stream has paused for longer than its class allows.
     pub(super) paused: bool,
     pub(super) started: bool,
-    pub(super) first: Option<Duration>,
+    pub(super) first_token: Option<Duration>,
     /// Tokens that this attempt has delivered.
     pub(super) tokens: unit::Tokens,
     /// Whether it was told to stop.
     pub(super) preempting: bool,
 }
 
-/// Preemptions of one request after which it is left to finish.
+/// The number of preemptions of a request after which it is left to finish.
 const MAX_PREEMPTED: u32 = 3;
 
-/// A place among the runs that may be preempted: the lowest tier first, then the
-/// least loss.
-type Place = (Reverse<unit::Tier>, u64, attempt::Attempt);
+/// A rank among the runs that may be preempted: the lowest tier first, then the smallest loss.
+type Rank = (Reverse<unit::Tier>, u64, attempt::Attempt);
 
 impl Run {
-    /// What its prompt adds to what is unread at its endpoint.
+    /// Returns what its prompt adds to the endpoint's unprocessed tokens.
     pub(super) fn prompt(&self) -> endpoint::Tokens {
         endpoint::Tokens {
             unread: self.unread,
@@ -53,35 +53,35 @@
         }
     }
 
-    /// Whether it got no first token for so long that its endpoint may have lost it.
+    /// Returns whether its first token is so late that the endpoint may have lost the request.
     pub(super) fn is_unanswered(&self, now: Duration) -> bool {
-        /// How many targets a first token may take.
-        const TARGETS: u32 = 3;
-        /// What is added to that.
-        const SPARE: Duration = Duration::from_millis(200);
+        /// How many times its target the first token may take.
+        const MAX_TARGETS: u32 = 3;
+        /// The time allowed on top of that.
+        const EXTRA: Duration = Duration::from_millis(200);
         let waited = now.saturating_sub(self.granted);
-        self.first.is_none() && waited > self.ask.target * TARGETS + SPARE
+        self.first_token.is_none() && waited > self.ask.target * MAX_TARGETS + EXTRA
     }
 
-    /// Whether it has used nearly all the time that its caller waits: a caller that leaves
+    /// Returns whether it has used nearly all of its caller's deadline: a caller that leaves
     /// now leaves because the answer took too long.
     pub(super) fn is_overdue(&self, now: Duration) -> bool {
-        /// The part of the time that counts as nearly all.
-        const NEARLY: f64 = 0.9;
+        /// The fraction of the deadline from which on a run is overdue.
+        const OVERDUE_FRACTION: f64 = 0.9;
         let took = self.ask.age + now.saturating_sub(self.granted);
-        took >= self.ask.deadline.mul_f64(NEARLY)
+        took >= self.ask.deadline.mul_f64(OVERDUE_FRACTION)
     }
 
     fn may_be_preempted(&self) -> bool {
         self.ask.preemptible && !self.preempting && self.ask.preempted < MAX_PREEMPTED
     }
 
-    /// What a preemption costs: tokens that have to be processed once more.
+    /// Returns the cost of a preemption: tokens that have to be processed again.
     fn loss(&self) -> u64 {
         self.ask.prompt.0 + self.ask.delivered.0 + self.tokens.0
     }
 
-    fn place(&self) -> Place {
+    fn rank(&self) -> Rank {
         (Reverse(self.ask.tier), self.loss(), self.ask.attempt)
     }
 }
@@ -90,7 +90,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Runs {
     runs: HashMap<attempt::Attempt, Run>,
-    victims: BTreeSet<Place>,
+    victims: BTreeSet<Rank>,
     unstarted: BTreeSet<(Duration, attempt::Attempt)>,
     preempting: usize,
 }
@@ -104,14 +104,14 @@
         self.runs.values()
     }
 
-    /// Runs that were told to stop and still hold their slot.
+    /// Returns the number of runs that were told to stop and still hold their slot.
     pub(super) fn preempting(&self) -> usize {
         self.preempting
     }
 
     pub(super) fn insert(&mut self, run: Run) {
         if run.may_be_preempted() {
-            self.victims.insert(run.place());
+            self.victims.insert(run.rank());
         }
         if !run.started {
             self.unstarted.insert((run.granted, run.ask.attempt));
@@ -121,7 +121,7 @@
 
     pub(super) fn remove(&mut self, attempt: attempt::Attempt) -> Option<Run> {
         let run = self.runs.remove(&attempt)?;
-        self.victims.remove(&run.place());
+        self.victims.remove(&run.rank());
         self.unstarted.remove(&(run.granted, attempt));
         if run.preempting {
             self.preempting -= 1;
@@ -137,9 +137,9 @@
         self.unstarted.remove(&(run.granted, attempt));
     }
 
-    pub(super) fn set_first(&mut self, attempt: attempt::Attempt, now: Duration) {
+    pub(super) fn set_first_token(&mut self, attempt: attempt::Attempt, now: Duration) {
         if let Some(run) = self.runs.get_mut(&attempt) {
-            run.first.get_or_insert(now);
+            run.first_token.get_or_insert(now);
         }
     }
 
@@ -153,14 +153,15 @@
         let Some(run) = self.runs.get_mut(&attempt) else {
             return;
         };
-        let listed = self.victims.remove(&run.place());
+        let listed = self.victims.remove(&run.rank());
         run.tokens = run.tokens.max(tokens);
         if listed {
-            self.victims.insert(run.place());
+            self.victims.insert(run.rank());
         }
     }
 
-    /// The run to preempt for a tier: of a lower one, with the least loss, of those that fit.
+    /// Returns the run to preempt for a tier: of the lower tiers' runs that fit, the lowest
+    /// tier first, then the smallest loss.
     pub(super) fn victim_where(
         &self,
         tier: unit::Tier,
@@ -172,28 +173,28 @@
         runs.find(|run| fits(run))
     }
 
-    /// How many runs of lower tiers may be preempted for a tier, as far as it matters.
+    /// Returns how many runs of lower tiers may be preempted for a tier, up to a bound.
     pub(super) fn victims_below(&self, tier: unit::Tier) -> u32 {
-        /// More than this are not counted.
-        const ENOUGH: usize = 32;
+        /// The bound of the count; a larger one makes no difference.
+        const MAX_COUNTED: usize = 32;
         let below = self
             .victims
             .iter()
             .take_while(|(Reverse(t), _, _)| tier.outranks(*t));
-        // The count is at most `ENOUGH`, so the cast is exact.
-        below.take(ENOUGH).count() as u32
+        // The count is at most `MAX_COUNTED`, so the cast is exact.
+        below.take(MAX_COUNTED).count() as u32
     }
 
     pub(super) fn set_preempting(&mut self, attempt: attempt::Attempt) {
         let Some(run) = self.runs.get_mut(&attempt) else {
             return;
         };
-        self.victims.remove(&run.place());
+        self.victims.remove(&run.rank());
         run.preempting = true;
         self.preempting += 1;
     }
 
-    /// A grant that was not used until `before`.
+    /// Returns a grant from before `before` that is not used yet.
     pub(super) fn unused(&self, before: Duration) -> Option<attempt::Attempt> {
         self.unstarted
             .first()
--- a/src/scalewood/core/dispatch/shed.rs
+++ b/src/scalewood/core/dispatch/shed.rs
@@ -1,10 +1,10 @@
-//! Shedding: who is given up on, and when to come back.
+//! Shedding: which requests are refused, and when their callers should retry.
 //!
-//! A request is shed at once when it is predicted to wait past its deadline: the
-//! caller learns it early enough to do something else. The prediction is the work
-//! that goes first, over the slots that are left once the flow of higher tiers and
-//! the shares of others are taken off. When the queue is full, the last request of
-//! the lowest tier that waits is shed, never a higher one.
+//! A request is shed at once when it is predicted to wait past its deadline, so that its caller
+//! learns it early enough to do something else. The predicted wait is the work that is served
+//! first, divided by the slots that remain after the offered load of higher tiers and the minimum
+//! shares of lower classes. When the queue is full, the last request of the lowest waiting tier
+//! is shed, never one of a higher tier.
 
 use std::time::Duration;
 
@@ -14,32 +14,32 @@
     invariant, residency, unit,
 };
 
-/// The part of the slots that a tier can count on at least.
+/// The smallest fraction of the slots that a tier can count on.
 const MIN_CAPACITY: f64 = 0.05;
-/// The soonest that a caller is told to come back.
+/// The shortest retry delay that a caller is told.
 const MIN_RETRY: Duration = Duration::from_secs(1);
-/// The latest that a caller is told to come back.
+/// The longest retry delay that a caller is told.
 const MAX_RETRY: Duration = Duration::from_secs(60);
-/// Requests that one tick sheds at most for a prediction, so that it stays short.
+/// The most requests that one tick sheds by prediction; bounds the tick's duration.
 const MAX_LATE_SHEDS: usize = 64;
 
-/// The part of its time after which a request that was held back comes back, at least and
-/// at most. An overload lasts longer than a second or two, and whoever comes back while it does is
-/// lost; the patient have the time to outlast it. They are spread, so that they don't make the
-/// next one.
-const RETURN: std::ops::Range<f64> = 0.25..0.5;
+/// The fraction of its remaining time after which a request that was held back is retried. An
+/// overload lasts longer than a second or two, and a retry during it is refused for good;
+/// patient callers have the time to outlast it. Retries are spread, so that they don't cause
+/// the next overload.
+const RETRY_FRACTION: std::ops::Range<f64> = 0.25..0.5;
 
-/// When a request that is held back had better come back: later than others by chance, and in
-/// time to be begun.
-fn return_of(ask: &message::Ask) -> Duration {
+/// Returns the retry delay of a request that is held back: random within the range, and early
+/// enough to start in time.
+fn retry_delay(ask: &message::Ask) -> Duration {
     let left = ask.patience.unwrap_or(ask.deadline).saturating_sub(ask.age);
-    // Requests are numbered at random.
-    let chance = f64::from(ask.attempt.request.0 as u8) / f64::from(u8::MAX);
-    left.mul_f64(RETURN.start + (RETURN.end - RETURN.start) * chance)
+    // Request numbers are random.
+    let random = f64::from(ask.attempt.request.0 as u8) / f64::from(u8::MAX);
+    left.mul_f64(RETRY_FRACTION.start + (RETRY_FRACTION.end - RETRY_FRACTION.start) * random)
 }
 
 impl Dispatcher {
-    /// The predicted wait of a request of a tier that has to start by `due`.
+    /// Returns the predicted wait of a request of a tier that has to start by `due`.
     pub(super) fn predicted_wait(
         &self,
         tier: unit::Tier,
@@ -58,25 +58,25 @@
             .classes
             .values()
             .filter(|class| class.tier.outranks(tier));
-        let taken: f64 = above.map(|class| class.flow.rate(now)).sum();
+        let taken: f64 = above.map(|class| class.demand.rate(now)).sum();
         let reserved = slots * self.reserved_below(tier);
-        let left = (slots - taken - reserved).max(slots * MIN_CAPACITY);
-        let wait = self.slot_gap(now) + before / left;
+        let available = (slots - taken - reserved).max(slots * MIN_CAPACITY);
+        let wait = self.slot_gap(now) + before / available;
         Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX)
     }
 
-    /// The slots that requests can use: where all endpoints limit their requests, as many as those
-    /// hold that may begin.
+    /// Returns the number of slots that requests can use. If all endpoints limit their request
+    /// rate, it is at most what requests started at that rate hold.
     pub(super) fn usable_slots(&self, now: Duration) -> f64 {
         let slots = f64::from(self.endpoints.allowed());
         match (self.endpoints.throttled(now), self.queue.mean_hold()) {
-            (Some(a_second), Some(hold)) => slots.min(a_second * hold),
+            (Some(per_second), Some(hold)) => slots.min(per_second * hold),
             _ => slots,
         }
     }
 
-    /// The shares of the classes below a tier that wait: slots that a request of the
-    /// tier can't count on.
+    /// Returns the sum of the shares of the waiting classes below a tier: slots that a request
+    /// of the tier can't count on.
     fn reserved_below(&self, tier: unit::Tier) -> f64 {
         self.shares.reserved(|name| {
             let below = self
@@ -87,10 +87,10 @@
         })
     }
 
-    /// Sheds what an arrival makes hopeless: the arrival itself, if it would wait
-    /// past its deadline, or the last of the lowest tier, if the queue is full.
+    /// Sheds what can't be served after an arrival: the arrival itself, if it would wait past
+    /// its deadline, or the last request of the lowest tier, if the queue is full.
     pub(super) fn shed_on_arrival(&mut self, attempt: attempt::Attempt, now: Duration) {
-        if let Some(reason) = self.hopeless(attempt) {
+        if let Some(reason) = self.unservable_reason(attempt) {
             return self.shed(attempt, reason, now);
         }
         if self.queue.len() > self.settings.max_waiting {
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Until when all endpoints rest that may serve a request, if its caller leaves before.
+    /// Returns until when all endpoints that may serve a request rest, if its caller leaves
+    /// before.
     fn rests_too_long(&self, attempt: attempt::Attempt) -> Option<Duration> {
         let waiting = self.queue.get(attempt)?;
         let lane = waiting.lane();
@@ -125,14 +126,14 @@
             let Some(until) = self.endpoints.rest_until((&lane).into()) else {
                 continue;
             };
-            for attempt in self.queue.given_up_by(&lane, until) {
+            for attempt in self.queue.leaving_by(&lane, until) {
                 self.shed_resting(attempt, until, now);
             }
         }
     }
 
-    /// Sheds a request for which all endpoints rest; it may come back once the first has ended
-    /// its rest.
+    /// Sheds a request for which all endpoints rest; it may be retried once the first rest has
+    /// ended.
     fn shed_resting(&mut self, attempt: attempt::Attempt, until: Duration, now: Duration) {
         let Some(waiting) = self.queue.remove(attempt) else {
             return;
@@ -143,15 +144,15 @@
         self.outputs.push((waiting.origin, shed));
     }
 
-    /// Sheds the requests whose time is over.
+    /// Sheds the requests whose deadline has passed.
     pub(super) fn shed_expired(&mut self, now: Duration) {
         while let Some(attempt) = self.queue.expired(now) {
             self.shed(attempt, message::Reason::Deadline, now);
         }
     }
 
-    /// Sheds late requests that are predicted to wait past their deadline, from the
-    /// end of each tier's late band.
+    /// Sheds late requests that are predicted to wait past their deadline, from the end of each
+    /// tier's late band.
     pub(super) fn shed_late(&mut self, now: Duration) {
         for _ in 0..MAX_LATE_SHEDS {
             let tails = self.queue.late_tails();
@@ -164,18 +165,19 @@
         }
     }
 
-    /// Sheds the requests that no endpoint is left for.
-    pub(super) fn shed_hopeless(&mut self) {
+    /// Sheds the requests that no endpoint can serve any more.
+    pub(super) fn shed_unservable(&mut self) {
         let waiting = self.queue.all().map(|waiting| waiting.ask.attempt);
-        let hopeless = waiting.filter_map(|attempt| Some((attempt, self.hopeless(attempt)?)));
-        let hopeless: Vec<_> = hopeless.collect();
-        for (attempt, reason) in hopeless {
+        let unservable =
+            waiting.filter_map(|attempt| Some((attempt, self.unservable_reason(attempt)?)));
+        let unservable: Vec<_> = unservable.collect();
+        for (attempt, reason) in unservable {
             self.shed(attempt, reason, Duration::ZERO);
         }
     }
 
-    /// Why no endpoint is left that a request may be sent to, if none is.
-    fn hopeless(&self, attempt: attempt::Attempt) -> Option<message::Reason> {
+    /// Returns why no endpoint can serve a request, if none can.
+    fn unservable_reason(&self, attempt: attempt::Attempt) -> Option<message::Reason> {
         let allowed = &self.queue.get(attempt)?.ask.allowed;
         if !self.endpoints.is_hopeless(allowed) {
             return None;
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Sheds a request that must not begin before more urgent ones.
+    /// Sheds a request that must not start before more urgent ones.
     pub(super) fn shed_held_back(
         &mut self,
         attempt: attempt::Attempt,
@@ -200,8 +202,8 @@
         let Some(waiting) = self.queue.get(attempt) else {
             return;
         };
-        self.refusals.meet(&waiting.ask, false, now);
-        let wait = return_of(&waiting.ask).max(held.left);
+        self.refusals.count_precedence(&waiting.ask, false, now);
+        let wait = retry_delay(&waiting.ask).max(held.wait);
         let overload = endpoint::Overload {
             first: wait,
             over: wait,
@@ -209,8 +211,8 @@
         self.shed_overload(attempt, overload, held.cause, now);
     }
 
-    /// Sheds a request whose caller would leave before endpoints come to read it; it may
-    /// come back once that much has been read.
+    /// Sheds a request whose caller would leave before an endpoint processes its prompt; it may
+    /// be retried after the time that its first token would take.
     pub(super) fn shed_overload(
         &mut self,
         attempt: attempt::Attempt,
@@ -221,7 +223,7 @@
         let Some(waiting) = self.queue.remove(attempt) else {
             return;
         };
-        self.causes.note(attempt, cause);
+        self.causes.record(attempt, cause);
         let reason = message::Reason::Overload;
         let retry = overload.first.clamp(MIN_RETRY, MAX_RETRY);
         self.refusals.note_refused(&waiting.ask, retry, now);
@@ -234,26 +236,27 @@
             return false;
         };
         if self.endpoints.allowed() == 0 || !self.is_settled(now) {
-            // Endpoints that are ejected may come back before the deadline.
+            // Ejected endpoints may come back before the deadline.
             return false;
         }
         let (tier, lane) = (waiting.ask.tier, waiting.lane());
         let seeker = endpoint::Seeker::from(&lane);
         if self.victim_for(tier, seeker, now).is_some() {
-            // A lower tier gives way before this one is given up on.
+            // A run of a lower tier is preempted before this request is shed.
             return false;
         }
         if self.queue.first() == Some(attempt) && self.endpoints.has_free_for(seeker, now) {
-            // Nothing goes before it. Refused for its own work and for what may come, it
-            // would never run, and what is known of its class would never get better.
+            // No request is served before it. If it were refused for its own work and for
+            // predicted arrivals, its class would never run, and the estimates for the class
+            // would never improve.
             return false;
         }
         let wait = self.predicted_wait(tier, waiting.due, now);
-        now.saturating_add(wait.saturating_sub(self.own_part(waiting, now))) > waiting.give_up
+        now.saturating_add(wait.saturating_sub(self.own_wait(waiting, now))) > waiting.give_up
     }
 
-    /// The part of a predicted wait that is the request's own work.
-    fn own_part(&self, waiting: &queue::Waiting, now: Duration) -> Duration {
+    /// Returns the part of a predicted wait that is the request's own work.
+    fn own_wait(&self, waiting: &queue::Waiting, now: Duration) -> Duration {
         let part = waiting.hold / self.usable_slots(now);
         Duration::try_from_secs_f64(part).unwrap_or(Duration::MAX)
     }
@@ -273,27 +276,28 @@
         let Some(waiting) = self.queue.remove(attempt) else {
             return;
         };
-        // An uncordon is in force within the shortest time, like an endpoint that starts.
-        let is_for_room = !matches!(
+        // An uncordon takes effect within the shortest retry delay, like the start of an
+        // endpoint.
+        let is_for_capacity = !matches!(
             reason,
             message::Reason::NoEndpoint | message::Reason::Cordoned | message::Reason::Residency
         );
-        let retry = if is_for_room {
+        let retry = if is_for_capacity {
             let due = now + waiting.ask.target;
             let wait = self.predicted_wait(waiting.ask.tier, due, now);
             wait.clamp(MIN_RETRY, MAX_RETRY)
         } else {
             MIN_RETRY
         };
-        if is_for_room {
+        if is_for_capacity {
             self.refusals.note_refused(&waiting.ask, retry, now);
         }
         self.outputs
             .push((waiting.origin, message::Order::Shed(attempt, reason, retry)));
     }
 
-    /// A request that is not over its time is shed only where no run of a lower tier
-    /// could give way to it.
+    /// Checks that a request is shed before its deadline only if no run of a lower tier could
+    /// be preempted for it.
     fn check_deadline_shed(&self, attempt: attempt::Attempt, now: Duration) {
         let Some(waiting) = self.queue.get(attempt) else {
             return;
--- a/src/scalewood/core/dispatch/shown.rs
+++ b/src/scalewood/core/dispatch/shown.rs
@@ -1,15 +1,15 @@
-//! What a dispatcher shows of itself, and what other boxes have to hear of it.
+//! What a dispatcher reports about itself to status pages, metrics and other boxes.
 
 use std::time::Duration;
 
 use super::{Basis, Cause, Dispatcher, Precedence, Summary, View};
 use crate::core::{attempt, load, name, throttle, unit};
 
-/// How far ahead the due time of a summary's imagined request lies.
+/// How long after now the due time of a summary's hypothetical request lies.
 const SUMMARY_DUE: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    /// How busy the dispatcher is.
+    /// Returns the dispatcher's utilisation.
     pub fn summary(&self, now: Duration) -> Summary {
         let tiers = self.classes.values().map(|class| class.tier);
         let wait = |tier| (tier, self.predicted_wait(tier, now + SUMMARY_DUE, now));
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Whether no request waits or runs.
+    /// Returns whether no request waits or runs.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.endpoints.running() == 0
     }
 
-    /// What a run's endpoint was chosen by, if the run is known.
+    /// Returns what the choice of a run's endpoint was based on, if the run is known.
     pub fn basis(&self, attempt: attempt::Attempt) -> Option<Basis> {
         let run = self.runs.get(attempt)?;
         Some(Basis {
@@ -37,84 +37,85 @@
         })
     }
 
-    /// How long an endpoint may be silent towards a request, `least` where nothing waits.
+    /// Returns how long an endpoint may be silent towards a request: `least` if nothing waits
+    /// there.
     pub fn patience(&self, endpoint: &name::Endpoint, least: Duration, now: Duration) -> Duration {
         self.endpoints.patience(endpoint, least, &self.reading, now)
     }
 
-    /// How its endpoints stand.
+    /// Returns the status of its endpoints.
     pub fn endpoints(&self) -> Vec<View> {
         self.endpoints.views().collect()
     }
 
-    /// What this box has at its endpoints.
+    /// Returns the load that this box puts on its endpoints.
     pub fn loads(&self) -> impl Iterator<Item = (name::Endpoint, load::Load)> + '_ {
         self.endpoints.loads()
     }
 
-    /// What was placed here since it was last taken.
+    /// Returns the prefixes that were placed here since the last call.
     pub fn take_placements(&mut self) -> Vec<load::Placement> {
         self.endpoints.take_placements()
     }
 
-    /// The prompts that were seen here since they were last taken.
+    /// Returns the prompts that were seen here since the last call.
     pub fn take_prompts(&mut self) -> Vec<load::Prompts> {
-        self.placement.take_news()
+        self.placement.take_unreported()
     }
 
-    /// What became of requests here, by class, as far as other boxes should hear of it by now.
+    /// Returns the results of requests here, by class, that are due to be reported to other
+    /// boxes.
     pub fn take_counts(&mut self) -> Vec<(name::Class, load::Counts)> {
-        self.refusals.take_news()
+        self.refusals.take_unreported()
     }
 
-    /// Why an attempt was refused for want of room, if that was a moment ago and was not taken
-    /// before.
+    /// Removes and returns why an attempt was recently refused for lack of capacity.
     pub fn take_cause(&mut self, attempt: attempt::Attempt) -> Option<Cause> {
         self.causes.take(attempt)
     }
 
-    /// What came of less urgent requests while more urgent ones were refused, since it was
-    /// last taken.
+    /// Returns what was done with less urgent requests while more urgent ones were refused,
+    /// since the last call.
     pub fn take_precedence(&mut self) -> Vec<Precedence> {
-        self.refusals.take_met()
+        self.refusals.take_precedence()
     }
 
-    /// What came of requests here since it was last taken.
+    /// Returns the results of requests here, by endpoint, since the last call.
     pub fn take_outcomes(&mut self) -> Vec<load::Outcome> {
         self.endpoints.take_outcomes()
     }
 
-    /// The endpoints that warm up and that this dispatcher would send to, each with how many
-    /// requests were kept from it of late.
+    /// Returns the warming endpoints that this dispatcher would send to, each with the number
+    /// of requests that were recently kept from it.
     pub fn wants(&mut self, now: Duration) -> Vec<(u32, name::Endpoint)> {
         self.endpoints.wants(now)
     }
 
-    /// Requests that were granted to endpoints that warm up, and that were kept from their home
-    /// since it warms up, since this was last taken.
+    /// Returns the numbers of requests granted to warming endpoints, and of those kept from
+    /// their home since it is warming, both since the last call.
     pub fn take_warm_up(&mut self) -> (u32, u32) {
         self.endpoints.take_warm_up()
     }
 
-    /// The permits that this dispatcher wants for endpoints that limit their requests.
+    /// Returns the permits that this dispatcher needs for rate-limited endpoints.
     pub fn wanted_permits(&mut self, now: Duration) -> Vec<throttle::Wanted> {
-        let a_second = self.asked.rate(now);
+        let per_second = self.request_rate.rate(now);
         let waiting = self.queue.len();
-        self.endpoints.wanted_permits(a_second, waiting, now)
+        self.endpoints.wanted_permits(per_second, waiting, now)
     }
 
-    /// Requests that were kept from their home since it limits its requests, since this was last
-    /// taken.
+    /// Returns the number of requests kept from their home by its rate limit since the last
+    /// call.
     pub fn take_limited(&mut self) -> u32 {
         self.endpoints.take_limited()
     }
 
-    /// How many requests wait.
+    /// Returns the number of requests in the queue.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// How many runs hold a slot.
+    /// Returns the number of runs that hold a slot.
     pub fn running(&self) -> usize {
         self.runs.all().count()
     }
