--- a/src/scalewood/core/dispatch/pauses.rs
+++ b/src/scalewood/core/dispatch/pauses.rs
@@ -13,8 +13,8 @@
 const PRIOR_FOREIGN: f64 = 0.5;
 /// The number of streams that the assumed fraction counts for.
 const PRIOR_STREAMS: f64 = 4.0;
-/// The time constant, in seconds, with which counts decay: the load beside streams changes with
-/// bursts, which last some seconds.
+/// The time, in seconds, in which counts decay to about a third (1/e): the load beside streams
+/// changes with bursts, which last some seconds.
 const DECAY_S: f64 = 15.0;
 
 /// Where a stream runs.
