--- a/src/scalewood/core/ledger.rs
+++ b/src/scalewood/core/ledger.rs
@@ -1,12 +1,12 @@
-//! The ledger: the configuration's revisions, the answers given, the audit trail.
+//! The replicated state machine of the voters: the configuration and its revisions, the answers
+//! given, and the audit trail.
 //!
-//! It is the state that the voters agree on: a deterministic machine over
-//! [`Command`]s. Whoever applies the same commands in the same order has the same
-//! ledger, and gives the same answers.
+//! The state machine is deterministic over [`Command`]s: all replicas that apply the same commands
+//! in the same order hold the same state and give the same answers.
 //!
-//! An answer is remembered where a resend could otherwise get another one: an
-//! acceptance, and a refusal whose base lies ahead. The other refusals stay refusals,
-//! since the revision only rises.
+//! An answer is remembered if a resent change could otherwise get a different one: that holds for
+//! acceptances, and for refusals of a change whose base is ahead of the revision in force. Other
+//! refusals are repeated anyway, because the revision only rises.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -19,131 +19,134 @@
     agree, audit, change, config, cordon, name, route, scaling, tenure, unit, usage,
 };
 
-/// How many answers are remembered for resends: 20 days at 500 changes a day.
+/// The number of answers remembered for resends: 20 days at 500 changes a day.
 pub const MAX_ANSWERS: usize = 10_000;
 
-/// How many audit records are kept.
+/// The number of audit records kept.
 pub const MAX_RECORDS: usize = 10_000;
 
-/// How many revisions back a box may be and still get the differences.
+/// The number of revisions that a box may be behind and still get differences instead of the whole
+/// document.
 pub const MAX_DIFFERENCES: usize = 256;
 
-/// What the log holds.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Command {
-    /// A change against a revision.
+    /// A change of the configuration, made against a revision.
     Change(Proposal),
-    /// A whole routing under the operator's own version.
+    /// A new routing, under the operator's own version.
     Publish(Publication),
-    /// A voter takes over what only one process may do.
+    /// A voter becomes the holder of the tasks that only one process may do at a time.
     Hold(agree::Node),
-    /// The counts of a window of usage.
+    /// The counts of a closed usage window.
     Usage(usage::Closed),
-    /// An order of endpoints.
+    /// An order that scales endpoints.
     Scale(Scale),
-    /// A zone is cordoned or uncordoned.
+    /// An order that cordons or uncordons a zone.
     Cordon(cordon::Order),
 }
 
-/// A whole routing under the operator's own version. The highest version wins; one that
-/// is not above the version held is accepted and changes nothing.
+/// A whole routing under the operator's own version. The highest version wins: one that is not
+/// above the version in force is accepted without effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Publication {
     /// The routing.
     pub routing: Arc<route::Routing>,
-    /// The text that the operator sent, to be given back as it was.
+    /// The operator's text, which is returned verbatim on request.
     pub source: Arc<str>,
     /// Who published it.
     pub operator: name::Operator,
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of publication, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
-/// An order of endpoints that is about to be given.
+/// A scaling order that is about to be sent to the provider.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scale {
     /// The service.
     pub service: name::Service,
     /// The order.
     pub order: scaling::Order,
-    /// What it rests on, in words.
+    /// The reason for the order, for the audit trail.
     pub why: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of the order, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
-/// A change as the log holds it.
+/// A proposed change of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
     /// The change.
     pub change: change::Change,
     /// Who made it.
     pub operator: name::Operator,
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of the proposal, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
-/// An answer that was given, with what it answered.
+/// A change with the answer that it got.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Given {
+struct Decision {
     change: change::Change,
     operator: name::Operator,
     answer: change::Answer,
 }
 
-/// The configuration's revisions, the answers given, the audit trail.
+/// The replicated state: the configuration and its revisions, the answers given, and the audit
+/// trail.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Ledger {
     revision: unit::Revision,
     document: Arc<config::Document>,
-    /// The text of the routing in force.
+    /// The operator's text of the routing in force.
     source: Option<Arc<str>>,
-    // Shared, since the state is copied for each snapshot and for each reader.
-    answers: VecDeque<Arc<Given>>,
+    // Shared, because the state is cloned for each snapshot and for each reader.
+    answers: VecDeque<Arc<Decision>>,
     records: VecDeque<Arc<audit::Record>>,
-    /// Who does what only one process may do.
+    /// The holder of the tasks that only one process may do at a time.
     #[serde(default)]
     holder: Option<tenure::Holder>,
-    /// The windows of usage that were agreed on.
+    /// The closed usage windows.
     #[serde(default)]
     usage: usage::Log,
-    /// The endpoints that were ordered last.
+    /// The count in the last scaling order for each service, zone and kind.
     #[serde(default)]
     ordered: BTreeMap<String, u32>,
-    /// What is remembered of cordons.
+    /// The state of cordons that is kept outside the document.
     #[serde(default)]
     cordons: cordon::Memory,
 }
 
 impl Ledger {
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> unit::Revision {
         self.revision
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     pub fn document(&self) -> &Arc<config::Document> {
         &self.document
     }
 
-    /// Who does what only one process may do, if anybody has.
+    /// Returns the holder of the tasks that only one process may do at a time, if there has been
+    /// any.
     pub fn holder(&self) -> Option<&tenure::Holder> {
         self.holder.as_ref()
     }
 
-    /// The windows of usage that were agreed on.
+    /// Returns the closed usage windows.
     pub fn usage(&self) -> &usage::Log {
         &self.usage
     }
 
-    /// The audit trail, the oldest record first.
+    /// Returns the audit trail, the oldest record first.
     pub fn records(&self) -> impl DoubleEndedIterator<Item = &audit::Record> {
         self.records.iter().map(Arc::as_ref)
     }
 
-    /// The steps of each revision after `from`, if they are all remembered; a routing that
-    /// was published is none.
+    /// Returns the steps of all revisions after `from`, or `None` if not all of them can be given:
+    /// they may be too old, and a published routing has no step.
     pub fn since(&self, from: unit::Revision) -> Option<Vec<change::Step>> {
         let missing = usize::try_from(self.revision.0.checked_sub(from.0)?).ok()?;
         if missing > MAX_DIFFERENCES {
@@ -153,9 +156,9 @@
             .answers
             .iter()
             .rev()
-            .filter_map(|given| match given.answer {
+            .filter_map(|decision| match decision.answer {
                 change::Answer::Accepted { revision } if revision > from => {
-                    let edits = given.change.edits.clone();
+                    let edits = decision.change.edits.clone();
                     Some(change::Step::of_edits(revision, edits))
                 }
                 change::Answer::Accepted { .. } | change::Answer::NotApplied { .. } => None,
@@ -166,22 +169,23 @@
         (steps.len() == missing).then_some(steps)
     }
 
-    /// The answer that a change got before, if it did.
+    /// Returns the earlier answer to a change, if it is a resend. A known id with other contents or
+    /// from another operator is refused.
     pub fn answered(
         &self,
         change: &change::Change,
         operator: &name::Operator,
     ) -> Option<change::Answer> {
-        let given = self
+        let decision = self
             .answers
             .iter()
             .rev()
-            .find(|given| given.change.id == change.id)?;
-        if given.change == *change && given.operator == *operator {
-            return Some(given.answer.clone());
+            .find(|decision| decision.change.id == change.id)?;
+        if decision.change == *change && decision.operator == *operator {
+            return Some(decision.answer.clone());
         }
         let why = format!(
-            "change id {} was used for another change; take a new id",
+            "change id {} was already used for a different change; use a new id",
             change.id
         );
         Some(self.refuse(vec![why]))
@@ -194,28 +198,28 @@
         }
     }
 
-    /// The answer to a new change, and the document if it is accepted.
-    fn weigh(&self, change: &change::Change) -> Result<config::Document, change::Answer> {
+    /// Returns the document that a new change results in, or the answer that refuses it.
+    fn evaluate(&self, change: &change::Change) -> Result<config::Document, change::Answer> {
         if change.base != self.revision {
             let why = format!(
-                "it was made against revision {}, and {} is in force; look at what changed and try again",
+                "the change was made against revision {}, and {} is in force; review the changes since then and retry",
                 change.base, self.revision
             );
             return Err(self.refuse(vec![why]));
         }
-        self.edited(change).map_err(|why| self.refuse(why))
+        self.apply_edits(change).map_err(|why| self.refuse(why))
     }
 
-    /// The document after a change, or all that is wrong with it.
-    fn edited(&self, change: &change::Change) -> Result<config::Document, Vec<String>> {
+    /// Returns the document with the edits applied, or all problems with it.
+    fn apply_edits(&self, change: &change::Change) -> Result<config::Document, Vec<String>> {
         if change.edits.is_empty() {
-            return Err(vec!["it has no edits; name at least one".into()]);
+            return Err(vec!["the change has no edits; give at least one".into()]);
         }
         let mut document = config::Document::clone(&self.document);
-        let mut wrong = Vec::new();
+        let mut problems = Vec::new();
         for edit in &change.edits {
             if !edit.apply(&mut document) {
-                wrong.push(format!(
+                problems.push(format!(
                     "{} does not exist, so it can't be removed",
                     edit.key()
                 ));
@@ -227,19 +231,20 @@
             .keys()
             .filter(|b| !document.boxes.contains_key(*b));
         if removed.count() > 1 {
-            // Each key's claims stand at two boxes at least; see `claim`.
-            wrong.push("it removes more than one box; remove them one change at a time".into());
+            // Each claim is held by at least two boxes, so removing one box at a time loses none;
+            // see `claim`.
+            problems.push("the change removes more than one box; remove one box per change".into());
         }
-        wrong.extend(document.check().iter().map(ToString::to_string));
-        if wrong.is_empty() {
+        problems.extend(document.check().iter().map(ToString::to_string));
+        if problems.is_empty() {
             Ok(document)
         } else {
-            Err(wrong)
+            Err(problems)
         }
     }
 
     fn remember(&mut self, command: &Proposal, answer: change::Answer) {
-        self.answers.push_back(Arc::new(Given {
+        self.answers.push_back(Arc::new(Decision {
             change: command.change.clone(),
             operator: command.operator.clone(),
             answer,
@@ -252,7 +257,7 @@
     fn accept(&mut self, command: &Proposal, document: config::Document) -> change::Answer {
         let change = &command.change;
         self.revision = self.revision.next();
-        self.keep_record(audit::Record {
+        self.push_record(audit::Record {
             revision: self.revision,
             base: change.base,
             id: change.id.clone(),
@@ -268,8 +273,8 @@
     }
 }
 
-/// Who is named in the audit trail for orders of endpoints.
-fn scaler() -> name::Operator {
+/// The operator named in the audit trail for scaling orders.
+fn scaling_operator() -> name::Operator {
     "scaling".parse().expect("the name is valid")
 }
 
@@ -283,28 +288,28 @@
             Command::Publish(publication) => self.publish(publication),
             Command::Hold(node) => {
                 self.holder = Some(tenure::Holder::next(self.holder.as_ref(), node.clone()));
-                self.done()
+                self.accepted()
             }
             Command::Scale(scale) => {
                 self.scale(scale);
-                self.done()
+                self.accepted()
             }
             Command::Cordon(order) => self.cordon(order),
             Command::Usage(closed) => {
                 self.usage.close(closed);
-                self.done()
+                self.accepted()
             }
         }
     }
 }
 
 impl Ledger {
-    /// The text of the routing in force, as its operator sent it.
+    /// Returns the operator's text of the routing in force.
     pub fn source(&self) -> Option<&Arc<str>> {
         self.source.as_ref()
     }
 
-    /// The operator's version of the routing in force; 0 if there is none.
+    /// Returns the operator's version of the routing in force, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.document.routing.as_ref().map_or(0, |r| r.version)
     }
@@ -324,7 +329,7 @@
         }
         let base = self.revision;
         self.revision = self.revision.next();
-        self.keep_record(audit::Record {
+        self.push_record(audit::Record {
             revision: self.revision,
             base,
             id: change::Id::of_version(routing.version),
@@ -340,7 +345,8 @@
         }
     }
 
-    /// The answer that an order to cordon or uncordon got before under its id, if it did.
+    /// Returns the earlier answer to an order to cordon or uncordon with the same id, if there is
+    /// one.
     pub fn cordon_answered(&self, order: &cordon::Order) -> Option<change::Answer> {
         self.cordons.answered(order, self.revision)
     }
@@ -351,7 +357,7 @@
         }
         let answer = match cordon::weigh(&order.mark, &self.document.cordoned) {
             Ok(Some(cordoned)) => self.accept_cordon(order, cordoned),
-            Ok(None) => self.done(),
+            Ok(None) => self.accepted(),
             Err(why) => self.refuse(vec![why]),
         };
         self.cordons.remember(order, &answer);
@@ -366,7 +372,7 @@
         let base = self.revision;
         self.revision = self.revision.next();
         let id = order.id.clone();
-        self.keep_record(audit::Record {
+        self.push_record(audit::Record {
             revision: self.revision,
             base,
             id: id.unwrap_or_else(|| change::Id::of_cordon(self.revision)),
@@ -379,10 +385,10 @@
         document.cordoned = cordoned;
         self.document = Arc::new(document);
         self.cordons.note(self.revision, order.mark.clone());
-        self.done()
+        self.accepted()
     }
 
-    /// Notes an order of endpoints, with a record if it is another than the last one.
+    /// Records a scaling order, with an audit record if its count differs from the last one.
     fn scale(&mut self, scale: &Scale) {
         let scaling::Order { zone, kind, count } = &scale.order;
         let item = format!("endpoints of {} in {zone}, {kind}", scale.service);
@@ -390,11 +396,11 @@
         if before == Some(*count) {
             return;
         }
-        self.keep_record(audit::Record {
+        self.push_record(audit::Record {
             revision: self.revision,
             base: self.revision,
             id: change::Id::of_scaling(scale.at_unix_ms),
-            operator: scaler(),
+            operator: scaling_operator(),
             at_unix_ms: scale.at_unix_ms,
             why: scale.why.clone(),
             differences: vec![audit::Difference {
@@ -405,19 +411,19 @@
         });
     }
 
-    /// The endpoints that were ordered last, by service, zone and kind.
+    /// Returns the counts in the last scaling orders, by service, zone and kind.
     pub fn ordered(&self) -> &BTreeMap<String, u32> {
         &self.ordered
     }
 
-    /// The answer to a command that leaves the configuration as it is.
-    fn done(&self) -> change::Answer {
+    /// Returns an acceptance at the revision in force.
+    fn accepted(&self) -> change::Answer {
         change::Answer::Accepted {
             revision: self.revision,
         }
     }
 
-    fn keep_record(&mut self, record: audit::Record) {
+    fn push_record(&mut self, record: audit::Record) {
         self.records.push_back(Arc::new(record));
         if self.records.len() > MAX_RECORDS {
             self.records.pop_front();
@@ -428,12 +434,12 @@
         if let Some(answer) = self.answered(&command.change, &command.operator) {
             return answer;
         }
-        let ahead = command.change.base > self.revision;
-        let (answer, lasting) = match self.weigh(&command.change) {
+        let is_base_ahead = command.change.base > self.revision;
+        let (answer, must_remember) = match self.evaluate(&command.change) {
             Ok(document) => (self.accept(command, document), true),
-            Err(answer) => (answer, ahead),
+            Err(answer) => (answer, is_base_ahead),
         };
-        if lasting {
+        if must_remember {
             self.remember(command, answer.clone());
         }
         answer
