--- a/src/scalewood/core/estimate.rs
+++ b/src/scalewood/core/estimate.rs
@@ -1,21 +1,22 @@
-//! Online estimates of quantities that are known only afterwards.
+//! Online estimates of quantities that are known only once they are over, such as how long a
+//! request holds a slot.
 //!
-//! [`Histogram`] keeps a decaying histogram over geometric buckets: it gives a
-//! mean, any quantile, and the mean of what is left once some part has passed, in
-//! constant space and time. Older observations fade, so that the estimate follows
-//! a class whose answers grow longer.
+//! [`Histogram`] is a decaying histogram over geometric buckets. In constant space and time it
+//! gives the mean, any quantile, and the mean remainder of a quantity that has already run for some
+//! time. The weight of older observations decays, so that the estimate follows a class whose
+//! answers grow longer.
 
 use std::time::Duration;
 
-/// Buckets of a histogram.
+/// The number of buckets of a histogram.
 const BUCKETS: usize = 64;
 /// The upper bound of the first bucket, in seconds.
-const FIRST: f64 = 0.001;
-/// The ratio of neighbouring bounds: 64 buckets reach from 1 ms to about 13 h.
-const RATIO: f64 = 1.32;
-/// What an older observation keeps of its weight with each new one.
-const FADE: f64 = 0.995;
-/// The weight that the first guess has.
+const FIRST_BOUND_SECONDS: f64 = 0.001;
+/// The ratio of the upper bounds of neighbouring buckets: 64 buckets reach from 1 ms to about 13 h.
+const BOUND_RATIO: f64 = 1.32;
+/// The factor by which each new observation scales the weight of all older ones.
+const DECAY_PER_OBSERVATION: f64 = 0.995;
+/// The weight of the initial guess, in observations.
 const GUESS_WEIGHT: f64 = 2.0;
 
 /// A decaying histogram of durations.
@@ -23,27 +24,28 @@
 pub struct Histogram {
     weights: [f64; BUCKETS],
     sums: [f64; BUCKETS],
-    /// The weight of the next observation; it grows, so that older ones fade.
-    unit: f64,
+    /// The weight of the next observation. It grows instead of scaling down all older ones each
+    /// time.
+    next_weight: f64,
 }
 
 impl Histogram {
-    /// A histogram that knows only a first guess.
+    /// Creates a histogram that holds only an initial guess.
     pub fn with_guess(guess: Duration) -> Self {
-        let mut fresh = Self {
+        let mut histogram = Self {
             weights: [0.0; BUCKETS],
             sums: [0.0; BUCKETS],
-            unit: 1.0,
+            next_weight: 1.0,
         };
-        fresh.add(guess.as_secs_f64(), GUESS_WEIGHT);
-        fresh
+        histogram.add(guess.as_secs_f64(), GUESS_WEIGHT);
+        histogram
     }
 
-    /// Notes an observation.
+    /// Records an observation.
     pub fn observe(&mut self, value: Duration) {
-        self.unit /= FADE;
-        self.add(value.as_secs_f64(), self.unit);
-        if self.unit > 1e100 {
+        self.next_weight /= DECAY_PER_OBSERVATION;
+        self.add(value.as_secs_f64(), self.next_weight);
+        if self.next_weight > 1e100 {
             self.rescale();
         }
     }
@@ -55,34 +57,38 @@
     }
 
     fn rescale(&mut self) {
-        let unit = self.unit;
+        let next_weight = self.next_weight;
         self.weights
             .iter_mut()
             .chain(&mut self.sums)
-            .for_each(|w| *w /= unit);
-        self.unit = 1.0;
+            .for_each(|value| *value /= next_weight);
+        self.next_weight = 1.0;
     }
 
-    /// The mean.
+    /// Returns the mean.
     pub fn mean(&self) -> Duration {
         self.mean_left(Duration::ZERO)
     }
 
-    /// The mean of what is left of a quantity of which `passed` has passed.
-    pub fn mean_left(&self, passed: Duration) -> Duration {
-        let passed = passed.as_secs_f64();
-        let from = if passed > 0.0 { bucket(passed) + 1 } else { 0 };
-        let from = from.min(BUCKETS);
-        let weight: f64 = self.weights[from..].iter().sum();
+    /// Returns the mean remainder of a quantity that has already run for `elapsed`.
+    pub fn mean_left(&self, elapsed: Duration) -> Duration {
+        let elapsed = elapsed.as_secs_f64();
+        let first_bucket = if elapsed > 0.0 {
+            bucket(elapsed) + 1
+        } else {
+            0
+        };
+        let first_bucket = first_bucket.min(BUCKETS);
+        let weight: f64 = self.weights[first_bucket..].iter().sum();
         if weight <= 0.0 {
-            // Past everything seen so far: expect as much again.
-            return Duration::from_secs_f64(passed);
+            // No observation was longer: expect it to run for as long again.
+            return Duration::from_secs_f64(elapsed);
         }
-        let sum: f64 = self.sums[from..].iter().sum();
-        Duration::from_secs_f64((sum / weight - passed).max(0.0))
+        let sum: f64 = self.sums[first_bucket..].iter().sum();
+        Duration::from_secs_f64((sum / weight - elapsed).max(0.0))
     }
 
-    /// The quantile `q`, from 0 to 1, to the precision of a bucket.
+    /// Returns the quantile `q`, from 0 to 1, to the precision of a bucket.
     pub fn quantile(&self, q: f64) -> Duration {
         let total: f64 = self.weights.iter().sum();
         let mut left = total * q.clamp(0.0, 1.0);
@@ -97,22 +103,22 @@
 }
 
 fn bucket(seconds: f64) -> usize {
-    if seconds <= FIRST {
+    if seconds <= FIRST_BOUND_SECONDS {
         return 0;
     }
-    let index = ((seconds / FIRST).ln() / RATIO.ln()).ceil();
+    let index = ((seconds / FIRST_BOUND_SECONDS).ln() / BOUND_RATIO.ln()).ceil();
     // The value is positive and clamped, so the cast is exact.
     (index.min((BUCKETS - 1) as f64)) as usize
 }
 
-/// An exponentially weighted mean.
+/// An exponentially weighted moving average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ewma {
     value: Option<f64>,
 }
 
 impl Ewma {
-    /// Notes an observation with a weight from 0 to 1.
+    /// Records an observation with a weight from 0 to 1.
     pub fn observe(&mut self, value: f64, weight: f64) {
         self.value = Some(match self.value {
             Some(old) => old + (value - old) * weight,
@@ -120,7 +126,7 @@
         });
     }
 
-    /// The mean, if anything was observed.
+    /// Returns the average, or `None` before the first observation.
     pub fn get(self) -> Option<f64> {
         self.value
     }
--- a/src/scalewood/core/pace.rs
+++ b/src/scalewood/core/pace.rs
@@ -1,11 +1,11 @@
-//! How fast endpoints go, compared with each other.
+//! The relative speed of the endpoints of a service.
 //!
-//! Endpoints of one service differ in speed, and only some bear a prompt that is read
-//! beside a stream without a pause that is too long. An endpoint's pace is the time
-//! between two events of a stream while it is little used: a low quantile of many
-//! measurements, and the best of the last half minute. So it tells how fast the endpoint
-//! is, and not how busy. Boxes measure by themselves and tell the voters, which give out
-//! the median; all boxes thus grade the endpoints alike.
+//! Endpoints of one service differ in speed. On the slower ones, prefilling a prompt beside a
+//! stream pauses that stream for too long. An endpoint's pace is the time between two events of a
+//! stream while the endpoint is little used: a low quantile of several samples, and the best such
+//! estimate of the last minute. It therefore reflects the endpoint's speed rather than its load.
+//! Each box measures on its own and reports to the voters, which publish the median; all boxes thus
+//! classify the endpoints alike.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -16,23 +16,24 @@
 
 use crate::core::name;
 
-/// Events of one measurement: over several, what arrives together counts once.
-const SPAN: u32 = 4;
-/// Measurements from which one estimate is made: few, since until an endpoint is known to
-/// be slow it gets streams that it can't serve in time.
-const SAMPLES: usize = 6;
-/// The place of the estimate among its sorted measurements.
-const LOW: usize = 1;
-/// How long an estimate counts.
-const MEMORY: Duration = Duration::from_secs(60);
-/// The part, in hundredths, by which a pace has to change to be worth telling.
-const WORTH_TELLING: u32 = 3;
-/// How much slower than the fast endpoints one has to be to count as slow, in hundredths.
-const SLOW: u32 = 116;
-/// How much slower it may be to count as fast again.
-const FAST: u32 = 109;
-/// Endpoints that have to be measured before any is compared.
-const COMPARED: usize = 3;
+/// Stream events per sample. Averaging over several keeps events that arrive in one batch from
+/// looking like a pace of zero.
+const EVENTS_PER_SAMPLE: u32 = 4;
+/// Samples per estimate. There are few, because an endpoint that is not yet known to be slow gets
+/// streams that it cannot serve in time.
+const SAMPLES_PER_ESTIMATE: usize = 6;
+/// The index of the estimate among its sorted samples: a low quantile.
+const ESTIMATE_RANK: usize = 1;
+/// How long an estimate is kept.
+const ESTIMATE_LIFETIME: Duration = Duration::from_secs(60);
+/// The smallest change of a pace, in percent, that is reported to other processes.
+const MIN_REPORTED_CHANGE_PERCENT: u32 = 3;
+/// The pace, in percent of a fast endpoint's, above which an endpoint becomes slow.
+const SLOW_PERCENT: u32 = 116;
+/// The pace, in percent of a fast endpoint's, up to which a slow endpoint becomes fast again.
+const FAST_PERCENT: u32 = 109;
+/// The number of endpoints of a service whose pace must be known before any is classified.
+const MIN_KNOWN_PACES: usize = 3;
 
 /// The time between two events of a stream, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -40,9 +41,9 @@
 pub struct Pace(pub u32);
 
 impl Pace {
-    /// Whether it differs so much from what was told before that it is worth telling.
-    pub fn is_news(self, told: Option<Self>) -> bool {
-        told.is_none_or(|told| self.0.abs_diff(told.0) * 100 > told.0 * WORTH_TELLING)
+    /// Returns whether the pace differs enough from the last reported one to be reported again.
+    pub fn is_news(self, last: Option<Self>) -> bool {
+        last.is_none_or(|last| self.0.abs_diff(last.0) * 100 > last.0 * MIN_REPORTED_CHANGE_PERCENT)
     }
 }
 
@@ -64,90 +65,92 @@
 /// Measures the pace of one stream.
 #[derive(Clone, Debug, Default)]
 pub struct Stream {
-    /// Events since the measurement began, and when that was.
+    /// The events since the sample began at `since`, including the one that began it.
     events: u32,
     since: Duration,
 }
 
 impl Stream {
-    /// Notes an event; tells the pace after every few.
+    /// Records an event; returns the pace each time a sample is complete.
     pub fn event(&mut self, now: Duration) -> Option<Pace> {
         if self.events == 0 {
             self.since = now;
         }
         self.events += 1;
-        if self.events <= SPAN {
+        if self.events <= EVENTS_PER_SAMPLE {
             return None;
         }
-        let pace = now.saturating_sub(self.since) / SPAN;
+        let pace = now.saturating_sub(self.since) / EVENTS_PER_SAMPLE;
         self.events = 1;
         self.since = now;
         Some(pace.into())
     }
 }
 
-/// What one box measures of one endpoint.
+/// The samples and estimates of one endpoint at one box.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     samples: Vec<Pace>,
     estimates: VecDeque<(Duration, Pace)>,
-    /// The pace that was measured here and is to be told, and the stamp of that.
-    told: Option<(Pace, u64)>,
-    /// Whether any estimate was made here.
-    is_own: bool,
+    /// The pace measured here that is to be reported, and the stamp of its last change.
+    reported: Option<(Pace, u64)>,
+    /// Whether any estimate was measured here rather than adopted from other boxes.
+    is_measured_here: bool,
 }
 
 impl Meter {
-    /// Takes a measurement.
+    /// Records a sample.
     pub fn observe(&mut self, pace: Pace, now: Duration) {
         self.samples.push(pace);
-        if self.samples.len() < SAMPLES {
+        if self.samples.len() < SAMPLES_PER_ESTIMATE {
             return;
         }
         self.samples.sort_unstable();
-        let estimate = self.samples[LOW];
+        let estimate = self.samples[ESTIMATE_RANK];
         self.samples.clear();
         while self
             .estimates
             .front()
-            .is_some_and(|(at, _)| *at + MEMORY < now)
+            .is_some_and(|(at, _)| *at + ESTIMATE_LIFETIME < now)
         {
             self.estimates.pop_front();
         }
-        // Only what is better than all that came before it matters.
+        // Drops older estimates that are not lower than this one, so that the front is the minimum
+        // of the window.
         while self.estimates.back().is_some_and(|(_, p)| *p >= estimate) {
             self.estimates.pop_back();
         }
         self.estimates.push_back((now, estimate));
-        self.is_own = true;
+        self.is_measured_here = true;
     }
 
-    /// The endpoint's pace, if it is known.
+    /// Returns the endpoint's pace, if it is known.
     pub fn pace(&self) -> Option<Pace> {
         self.estimates.front().map(|(_, pace)| *pace)
     }
 }
 
-/// How much longer than the best of its service, in hundredths, the stream of a long prompt
-/// may pause before its pace tells more of the prompts beside it than of the endpoint.
-const BUSY: u64 = 150;
+/// The pace, in percent of the best one of its service, above which a sample from a stream with a
+/// long prompt is discarded: it then reflects the prompts that are prefilled beside it rather than
+/// the endpoint.
+const MAX_LONG_PERCENT: u64 = 150;
 
-/// What one box measures of all endpoints.
+/// The meters of all endpoints at one box.
 #[derive(Clone, Debug, Default)]
 pub struct Meters {
     endpoints: HashMap<name::Endpoint, Meter>,
-    /// The best pace of each service.
+    /// The best pace measured for each service.
     best: HashMap<name::Service, Pace>,
-    /// The endpoints that were measured here, by the stamps of when their pace changed.
+    /// The endpoints that were measured here, by the stamp of their last change.
     changed: BTreeMap<u64, name::Endpoint>,
     stamp: u64,
 }
 
 impl Meters {
-    /// Takes a measurement, of a stream with a `long` prompt or another.
+    /// Records a sample from a stream; `long` tells whether its prompt is long.
     ///
-    /// Long prompts have others beside them that are read nearly all the time; what is
-    /// measured there counts only where it was quiet.
+    /// Other long prompts are prefilled beside a stream with a long prompt nearly all the time, so
+    /// its samples count only where the endpoint was nearly undisturbed.
     pub fn observe(
         &mut self,
         service: &name::Service,
@@ -158,8 +161,9 @@
     ) {
         if long {
             let best = self.best.get(service);
-            let busy = |best: &Pace| u64::from(pace.0) * 100 > u64::from(best.0) * BUSY;
-            if best.is_none_or(busy) {
+            let is_disturbed =
+                |best: &Pace| u64::from(pace.0) * 100 > u64::from(best.0) * MAX_LONG_PERCENT;
+            if best.is_none_or(is_disturbed) {
                 return;
             }
         }
@@ -168,16 +172,16 @@
         if let Some(pace) = meter.pace() {
             let best = self.best.entry(service.clone()).or_insert(pace);
             *best = pace.min(*best);
-            self.note_measured(endpoint, pace);
+            self.update_reported(endpoint, pace);
         }
     }
 
-    fn note_measured(&mut self, endpoint: &name::Endpoint, pace: Pace) {
+    fn update_reported(&mut self, endpoint: &name::Endpoint, pace: Pace) {
         let Some(meter) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        let before = meter.told;
-        let is_measured = !meter.estimates.is_empty() && meter.is_own;
+        let before = meter.reported;
+        let is_measured = !meter.estimates.is_empty() && meter.is_measured_here;
         if !is_measured || !pace.is_news(before.map(|(pace, _)| pace)) {
             return;
         }
@@ -185,25 +189,25 @@
             self.changed.remove(&stamp);
         }
         self.stamp += 1;
-        meter.told = Some((pace, self.stamp));
+        meter.reported = Some((pace, self.stamp));
         self.changed.insert(self.stamp, endpoint.clone());
     }
 
-    /// The paces of which a measurement here changed after a stamp, and the stamp to ask after next.
-    /// What other boxes measured is not among them.
+    /// Returns the paces measured here that changed after a stamp, and the stamp to pass next time.
+    /// Paces adopted from other boxes are not included.
     pub fn measured_since(&self, stamp: u64) -> (Vec<Paced>, u64) {
         let changed = self.changed.range(stamp.saturating_add(1)..);
         let paced = changed.filter_map(|(_, name)| {
             Some(Paced {
                 endpoint: name.clone(),
-                pace: self.endpoints.get(name)?.told?.0,
+                pace: self.endpoints.get(name)?.reported?.0,
             })
         });
         (paced.collect(), self.stamp)
     }
 
-    /// Takes over what other boxes have measured, where nothing was measured here yet: a
-    /// box that has just started would else take busy endpoints for slow ones.
+    /// Adopts the pace that other boxes measured, unless one is known here already. Without it, a
+    /// box that has just started would classify busy endpoints as slow.
     pub fn adopt(&mut self, endpoint: &name::Endpoint, pace: Pace, now: Duration) {
         let meter = self.endpoints.entry(endpoint.clone()).or_default();
         if meter.estimates.is_empty() {
@@ -211,27 +215,27 @@
         }
     }
 
-    /// The paces that are known.
+    /// Returns all known paces.
     pub fn known(&self) -> impl Iterator<Item = (&name::Endpoint, Pace)> {
         self.endpoints
             .iter()
             .filter_map(|(name, meter)| Some((name, meter.pace()?)))
     }
 
-    /// Forgets an endpoint that started anew.
+    /// Removes an endpoint that has restarted.
     pub fn forget(&mut self, endpoint: &name::Endpoint) {
         let meter = self.endpoints.remove(endpoint);
-        if let Some((_, stamp)) = meter.and_then(|meter| meter.told) {
+        if let Some((_, stamp)) = meter.and_then(|meter| meter.reported) {
             self.changed.remove(&stamp);
         }
     }
 
-    /// Forgets the endpoints that are not known any more.
+    /// Removes the endpoints for which `known` is false.
     pub fn retain(&mut self, known: impl Fn(&name::Endpoint) -> bool) {
         let changed = &mut self.changed;
         self.endpoints.retain(|name, meter| {
             let stays = known(name);
-            if let Some((_, stamp)) = meter.told.filter(|_| !stays) {
+            if let Some((_, stamp)) = meter.reported.filter(|_| !stays) {
                 changed.remove(&stamp);
             }
             stays
@@ -239,12 +243,13 @@
     }
 }
 
-/// What several boxes measured of one endpoint.
+/// The paces that several boxes measured for one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Reports(BTreeMap<name::Box, Pace>);
 
 impl Reports {
-    /// Takes what a box measured; returns the median of all boxes.
+    /// Records a box's measurement and returns the median over all boxes; of an even number, the
+    /// lower one.
     pub fn take(&mut self, from: name::Box, pace: Pace) -> Pace {
         self.0.insert(from, pace);
         let mut paces: Vec<_> = self.0.values().copied().collect();
@@ -253,45 +258,46 @@
     }
 }
 
-/// Which of a service's endpoints are slow: `graded` holds the pace of each, where it is
-/// known, and whether it counted as slow before.
+/// Classifies the endpoints of a service as slow or fast. `graded` holds, for each, its pace if
+/// known and whether it is slow; the flag is updated in place.
 pub fn grade(graded: &mut [(Option<Pace>, bool)]) {
     let mut known: Vec<_> = graded.iter().filter_map(|(pace, _)| *pace).collect();
     known.sort_unstable();
-    let Some(place) = fast_place(known.len()) else {
+    let Some(rank) = fast_place(known.len()) else {
         return;
     };
     for (pace, slow) in graded {
         if let Some(pace) = pace {
-            *slow = is_slow(*pace, known[place], *slow);
+            *slow = is_slow(*pace, known[rank], *slow);
         }
     }
 }
 
-/// The place, among the sorted paces of a service, of the one that all are compared with; none where
-/// too few are known.
+/// Returns the index, among the sorted paces of a service, of the fast endpoint that all are
+/// compared with, or `None` where too few paces are known.
 pub fn fast_place(known: usize) -> Option<usize> {
-    (known >= COMPARED).then(|| (known - 1) / 3)
+    (known >= MIN_KNOWN_PACES).then(|| (known - 1) / 3)
 }
 
-/// Whether an endpoint is slow beside a fast one.
+/// Returns whether an endpoint is slow compared with a fast one. The limit is lower for one that
+/// was slow before, so that it does not alternate.
 pub fn is_slow(pace: Pace, fast: Pace, was_slow: bool) -> bool {
-    let limit = if was_slow { FAST } else { SLOW };
+    let limit = if was_slow { FAST_PERCENT } else { SLOW_PERCENT };
     u64::from(pace.0) * 100 > u64::from(fast.0) * u64::from(limit)
 }
 
-/// The least and the greatest pace of an endpoint that may be on another side now that a fast one has
-/// another pace than `before`.
+/// Returns the range of paces whose classification may differ now that the fast endpoint's pace has
+/// changed from `before` to `fast`.
 pub fn sides_between(before: Option<Pace>, fast: Pace) -> (Pace, Pace) {
     let Some(before) = before else {
         return (Pace(0), Pace(u32::MAX));
     };
-    let least = before.min(fast);
-    let most = before.max(fast);
-    let hundredths = |pace: Pace, part: u32| {
+    let lower = before.min(fast);
+    let upper = before.max(fast);
+    let percent = |pace: Pace, part: u32| {
         let scaled = u64::from(pace.0) * u64::from(part) / 100;
         u32::try_from(scaled).unwrap_or(u32::MAX)
     };
-    let most = hundredths(most, SLOW).saturating_add(1);
-    (Pace(hundredths(least, FAST)), Pace(most))
+    let upper = percent(upper, SLOW_PERCENT).saturating_add(1);
+    (Pace(percent(lower, FAST_PERCENT)), Pace(upper))
 }
--- a/src/scalewood/core/risk.rs
+++ b/src/scalewood/core/risk.rs
@@ -1,39 +1,42 @@
-//! How likely the next request at an endpoint fails, from what was met there of late.
+//! The probability that the next request at an endpoint fails, estimated from recent outcomes
+//! there.
 //!
-//! It rises with a failure, falls with an answer and fades with time, so that an endpoint
-//! which fails a part of its requests shows, and one that has recovered is used.
+//! The estimate rises with each failure, falls with each answer and decays with time. It stays
+//! visible for an endpoint that fails only some of its requests, and an endpoint that has recovered
+//! is used again.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The time, in seconds, in which the risk of a failure fades to a third: most faults last
-/// for a few seconds.
-const FADING: f64 = 4.0;
-/// The risk below which an endpoint counts as sound, so that the memory of a fault that has
-/// ended does not keep prompts from where they are kept.
-const LEAST: f64 = 0.25;
-/// The part of what is missing to certainty that a failure adds to the risk of the next.
-const FAILED: f64 = 0.6;
-/// The part of the risk that an answer leaves: it takes several to make up for a failure,
-/// since an endpoint may fail a part of its requests.
-const ANSWERED: f64 = 0.75;
-/// The change of a chance, in thousandths, that is worth telling.
-const NEWS: u16 = 125;
+/// The time constant, in seconds, of the decay: after it the risk has fallen to 1/e, about a third.
+/// Most faults last for a few seconds.
+const DECAY_SECONDS: f64 = 4.0;
+/// A lower risk is reported as zero, so that a fault that is over does not keep prompts away from
+/// the endpoint that caches their prefix.
+const MIN_RISK: f64 = 0.25;
+/// The fraction of the remaining distance to 1 that a failure of full weight adds to the risk.
+const FAILURE_STEP: f64 = 0.6;
+/// The factor that an answer applies to the risk. Several answers make up for one failure, since an
+/// endpoint may fail only some of its requests.
+const ANSWER_FACTOR: f64 = 0.75;
+/// The smallest change of a probability, in thousandths, that is reported to other processes.
+const MIN_REPORTED_CHANGE: u16 = 125;
 
-/// A chance, in thousandths.
+/// A probability, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Chance(pub u16);
 
 impl Chance {
-    /// Whether it differs so much from what was told that it is worth telling.
-    pub fn is_news(self, told: Self) -> bool {
-        self.0.abs_diff(told.0) >= NEWS || (self.0 == 0) != (told.0 == 0)
+    /// Returns whether the probability differs enough from the last reported one to be reported
+    /// again. A change to or from zero always does.
+    pub fn is_news(self, last: Self) -> bool {
+        self.0.abs_diff(last.0) >= MIN_REPORTED_CHANGE || (self.0 == 0) != (last.0 == 0)
     }
 }
 
-/// The risk at an endpoint, as of a time.
+/// The risk of failure at an endpoint, as of the time `at`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Risk {
     value: f64,
@@ -41,7 +44,7 @@
 }
 
 impl Risk {
-    /// A risk that was told.
+    /// Creates a risk from a probability that another process reported.
     pub fn told(chance: Chance, now: Duration) -> Self {
         Self {
             value: f64::from(chance.0) / 1000.0,
@@ -49,42 +52,42 @@
         }
     }
 
-    /// How likely the next request fails; nothing if that is unlikely.
+    /// Returns the probability that the next request fails, or zero if it is below `MIN_RISK`.
     pub fn get(self, now: Duration) -> f64 {
-        let risk = self.faded(now);
-        if risk < LEAST {
+        let risk = self.decayed(now);
+        if risk < MIN_RISK {
             0.0
         } else {
             risk
         }
     }
 
-    /// The same as a chance.
+    /// Returns the same probability in thousandths.
     pub fn chance(self, now: Duration) -> Chance {
         // The product is at most 1000, so the cast is exact.
         Chance((self.get(now) * 1000.0).round() as u16)
     }
 
-    /// Whether it counts for nothing any more.
+    /// Returns whether the risk has decayed so far that it is reported as zero.
     pub fn has_faded(self, now: Duration) -> bool {
         self.get(now) == 0.0
     }
 
-    fn faded(self, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.value * (-passed / FADING).exp()
+    fn decayed(self, now: Duration) -> f64 {
+        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        self.value * (-elapsed / DECAY_SECONDS).exp()
     }
 
-    /// Notes that a request failed, with a weight from 0 to 1.
+    /// Records a failed request; `weight`, from 0 to 1, scales its effect.
     pub fn raise(&mut self, weight: f64, now: Duration) {
         let risk = self.get(now);
-        self.value = risk + (1.0 - risk) * FAILED * weight;
+        self.value = risk + (1.0 - risk) * FAILURE_STEP * weight;
         self.at = now;
     }
 
-    /// Notes that a request got its first token.
+    /// Records a request that got its first token.
     pub fn lower(&mut self, now: Duration) {
-        self.value = self.get(now) * ANSWERED;
+        self.value = self.get(now) * ANSWER_FACTOR;
         self.at = now;
     }
 }
