--- a/src/scalewood/core/dispatch/endpoint.rs
+++ b/src/scalewood/core/dispatch/endpoint.rs
@@ -1,13 +1,12 @@
-//! The endpoints of a service, and which of them gets the next request.
+//! The endpoints of a service, and the choice of one for each request.
 //!
-//! What was granted is known exactly; that is what slots are counted by. Load
-//! reports lag, so they only lower the weight of an endpoint that is slower than
-//! its peers. Endpoints with a free slot stand in an ordered index, so that a
-//! choice takes logarithmic time however many there are.
+//! Slots are counted by what was granted, which is known exactly. Load reports lag behind, so they
+//! only lower the preference for an endpoint that is slower than its peers. Endpoints with a free
+//! slot are kept in an ordered index, so that a choice takes logarithmic time in their number.
 //!
-//! An endpoint that fails again and again is ejected for a while, then probed with
-//! a single request, then given more as it succeeds. Only a bounded part of the set
-//! is ejected at once: if more than that fails, the fault is likely elsewhere.
+//! An endpoint that fails repeatedly is ejected for a while, then probed with a single request,
+//! then given more requests as it succeeds. Only a bounded fraction of the endpoints is ejected at
+//! once: if more of them fail, the cause is likely elsewhere.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -41,67 +40,68 @@
     slots::Wanted,
 };
 
-/// Where an endpoint stands.
+/// The state of an endpoint's outlier ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Active,
-    /// Gets nothing until the time given.
+    /// Gets no requests until this time.
     Ejected(Duration),
-    /// Gets one request, which decides.
+    /// Gets a single request, whose outcome decides whether it becomes active or is ejected again.
     Probing,
 }
 
-/// An index into the set; stable while the endpoint is configured.
+/// An index into a [`Set`], stable until unconfigured endpoints are removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Index(usize);
 
-/// What a run's prompt adds to what is unread at its endpoint.
+/// The prompt of a run as it is counted at its endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Tokens {
-    /// Its tokens that have to be read there.
+    /// The tokens to be prefilled there: those that are not cached.
     pub(super) unread: u64,
-    /// The tier of its request.
+    /// The tier of the request.
     pub(super) tier: unit::Tier,
 }
 
-/// An endpoint that was chosen, with a slot of it.
+/// A chosen endpoint, with a slot taken there.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Choice {
     pub(super) endpoint: Index,
-    /// Tokens of the prompt that have to be read there.
+    /// The tokens of the prompt to be prefilled there.
     pub(super) unread: u64,
-    /// Tokens that are unread there before it.
+    /// The tokens of other prompts waiting for prefill there when the prompt was placed.
     pub(super) ahead: reading::Ahead,
-    /// Whether the endpoint likely keeps what the prompt shares with others.
+    /// Whether the endpoint likely caches the prompt's shared prefix.
     pub(super) kept: bool,
-    /// Where it runs, if its prompt was placed.
+    /// The kind of placement, if the prompt was placed by its shared prefix.
     pub(super) place: Option<pauses::Place>,
 }
 
-/// Why no endpoint was chosen.
+/// The reason why no endpoint was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unplaced {
     /// No slot is free.
     NoSlot,
-    /// It would be late, or its caller would leave before its first token.
+    /// The request would be late, or its caller would leave before the first token.
     Overload(Overload),
 }
 
-/// How far a request is from being begun in time.
+/// By how much a request misses the time within which it must start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Overload {
-    /// How long its first token would take.
+    /// The predicted time to its first token.
     pub(super) first: Duration,
-    /// How long it would have to come back later to be begun.
+    /// By how much that exceeds the limit, so how much later the caller should retry.
     pub(super) over: Duration,
 }
 
-/// The zone of an endpoint that is not configured.
-fn own_zone() -> name::Zone {
+/// Returns the placeholder zone of an endpoint that is not configured.
+fn unknown_zone() -> name::Zone {
     "unknown".parse().expect("the name is valid")
 }
 
-/// An endpoint's place in the order of choice; the lowest goes first.
+/// The rank of an endpoint in the order of choice, in thousandths of its slots; the lowest comes
+/// first.
 type Score = u64;
 
 #[derive(Debug)]
@@ -110,97 +110,98 @@
     slots: u32,
     running: u32,
     state: State,
-    /// Since when it is known to leave.
-    leaving: Option<Duration>,
-    /// Whether it is still configured; runs may outlast that.
+    /// Since when it has been known to leave.
+    leaving_since: Option<Duration>,
+    /// Whether it is configured. Runs may continue at an endpoint that no longer is.
     configured: bool,
-    /// Failures since the last success, by weight.
+    /// The sum of the weights of failures since the last success.
     failures: u32,
-    /// How often it was ejected since it last did well.
+    /// The number of ejections since it last succeeded with its full number of slots.
     ejections: u32,
-    /// Slots that it may use while it proves itself.
+    /// The slots that it may use during slow start.
     ramp: u32,
-    /// Seconds for each token, or for each call of a plain service.
-    pace: estimate::Ewma,
-    /// Its speed beside its peers, from above 0 to 1.
+    /// The mean seconds per token, or per call of a plain service.
+    seconds_per_unit: estimate::Ewma,
+    /// Its speed relative to the median of its peers, above 0 and at most 1.
     speed: f64,
-    /// What its load reports say of requests that wait inside of it.
+    /// The requests queued inside the endpoint, by its load reports.
     backlog: u32,
-    /// Whether it stands in another zone.
-    away: bool,
-    /// Whether it stands in another region.
-    far: bool,
-    /// Its place in the order that all boxes know.
-    place: usize,
-    /// Its weight's share in rendezvous hashing.
+    /// Whether it is in another zone than this box.
+    in_other_zone: bool,
+    /// Whether it is in another region than this box.
+    in_other_region: bool,
+    /// Its rank in the order of endpoints that is the same at all boxes.
+    rank: usize,
+    /// The hash of its name, which enters its rendezvous weights.
     hash: u64,
-    /// Where it stands.
+    /// Its zone.
     zone: name::Zone,
-    /// What is said of sending it new work.
+    /// Restrictions on sending it new requests.
     standing: Standing,
-    /// Which start of it this is, once it was configured.
+    /// The start (incarnation) that this entry stands for, once it has been configured.
     start: Option<registry::Start>,
-    /// The boxes that it wants nothing from, and until when.
+    /// The boxes that it asked to back off (`Retry-After`), with the end of each back-off.
     rests: BTreeMap<name::Box, Duration>,
-    /// This box's right to send to it while it warms up.
+    /// This box's lease to send to it while it warms up.
     pass: warm_up::Pass,
-    /// This box's right to send to it while it limits its requests.
+    /// This box's permits to send to it while it limits its request rate.
     permits: Permits,
-    /// Requests that belonged to it of late and went elsewhere for want of such a right.
-    kept_from: u32,
-    /// Whether it is slow beside the others.
+    /// Recent requests whose home it is but that went elsewhere for lack of a lease or permit.
+    diverted: u32,
+    /// Whether it is slow compared with its peers.
     slow: bool,
-    /// Whether it is for short prompts, where endpoints are parted.
+    /// Whether it belongs to the group for short prompts when the endpoints are split by prompt
+    /// length.
     for_short: bool,
-    /// Tokens that its memory holds, if that is known.
+    /// The capacity of its KV cache in tokens, if known.
     memory: Option<unit::Tokens>,
-    /// Tokens of this box's prompts that have no first token yet.
+    /// The tokens of this box's prompts there that have no first token yet.
     unread: u64,
-    /// How much of that is of less urgent requests than those of each tier.
+    /// For each tier, the part of `unread` that belongs to less urgent requests.
     later: load::Later,
-    /// Tokens of this box's prompts that it holds.
+    /// The tokens of this box's prompts that it holds in memory.
     held: u64,
-    /// What the other boxes have there.
+    /// The load of the other boxes there.
     others: Load,
-    /// Runs that have no first token yet.
+    /// The runs of this box there that have no first token yet.
     pending: u32,
-    /// How likely the next request fails.
+    /// The probability that the next request fails.
     risk: risk::Risk,
-    /// What that risk adds to its place in the index.
-    doubt: u64,
-    /// What came of requests here and other boxes have not heard of.
+    /// The part of the score that is due to the risk, in thousandths of its slots.
+    risk_penalty: u64,
+    /// The outcomes of requests of this box that are not reported to other boxes yet.
     outcomes: load::Count,
-    /// This box's leaning to it, in thousandths of its slots.
-    leaning: u64,
-    /// Since when there is such a run, or when the last first token came.
-    quiet_since: Duration,
-    /// Its place in the index, if it stands there.
+    /// This box's constant penalty for it, in thousandths of its slots; see [`MAX_BIAS`].
+    bias: u64,
+    /// When the last first token came or, if that is later, when `pending` last rose from 0.
+    waiting_since: Duration,
+    /// Its key in `ready`, if it is in there.
     score: Option<Score>,
-    /// What it adds to the set's count of allowed requests.
-    counted: u32,
+    /// Its contribution to `Set::allowed`.
+    counted_allowed: u32,
 }
 
 impl Endpoint {
-    /// How many requests it may run at once.
+    /// Returns how many requests it may run at once.
     fn allowed(&self) -> u32 {
-        if !self.configured || self.leaving.is_some() || self.standing.cordoned {
+        if !self.configured || self.leaving_since.is_some() || self.standing.cordoned {
             return 0;
         }
         match self.state {
             State::Ejected(_) => 0,
             State::Probing => 1,
-            State::Active => self.paced().min(self.ramp).max(1),
+            State::Active => self.effective_slots().min(self.ramp).max(1),
         }
     }
 
-    /// Its slots, lowered for slowness.
-    fn paced(&self) -> u32 {
+    /// Returns its slots, scaled down by its relative speed.
+    fn effective_slots(&self) -> u32 {
         // The product is at most `slots`, so the cast is exact.
         (f64::from(self.slots) * self.speed).ceil() as u32
     }
 
-    /// Takes off a prompt whose first token has come, or never will.
-    fn no_longer_unread(&mut self, prompt: Tokens) {
+    /// Subtracts a prompt whose first token has come or will never come.
+    fn subtract_unread(&mut self, prompt: Tokens) {
         self.unread = self.unread.saturating_sub(prompt.unread);
         self.later.remove(prompt.tier, prompt.unread);
     }
@@ -212,32 +213,35 @@
         }
         let running = self.running + self.others.running;
         let used = u64::from(running + 1) * 1000 / u64::from(allowed);
-        let distance = u64::from(self.away) * AWAY + u64::from(self.far) * FAR + self.leaning;
+        let distance = u64::from(self.in_other_zone) * OTHER_ZONE_PENALTY
+            + u64::from(self.in_other_region) * OTHER_REGION_PENALTY
+            + self.bias;
         let waits = u64::from(self.backlog);
-        Some(u64::from(self.failures) * 1_000_000 + self.doubt + used + distance + waits)
+        Some(u64::from(self.failures) * 1_000_000 + self.risk_penalty + used + distance + waits)
     }
 }
 
-/// A configured endpoint, as the set needs it.
+/// The configuration of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
     /// Its name.
     pub name: name::Endpoint,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it is configured to leave.
+    /// Whether it is marked as leaving.
     pub leaving: bool,
-    /// Whether it stands in another zone, so that one of this zone goes first.
+    /// Whether it is in another zone than this box; endpoints of this zone are preferred.
     pub away: bool,
-    /// Its place in an order that is the same for all boxes and takes zones in turn.
+    /// Its rank in an order of endpoints that is the same at all boxes and alternates between
+    /// zones.
     pub place: usize,
-    /// Where it stands.
+    /// Its zone.
     pub zone: name::Zone,
-    /// Whether it is slow beside the others of its service.
+    /// Whether it is slow compared with the other endpoints of its service.
     pub slow: bool,
-    /// Tokens that its memory holds, if that is known.
+    /// The capacity of its KV cache in tokens, if known.
     pub memory: Option<unit::Tokens>,
-    /// What is said of sending it new work.
+    /// Restrictions on sending it new requests.
     pub standing: Standing,
 }
 
@@ -245,77 +249,80 @@
 #[derive(Debug, Default)]
 pub(super) struct Set {
     endpoints: Vec<Endpoint>,
+    /// The latest start of each endpoint.
     names: HashMap<name::Endpoint, Index>,
+    /// The endpoints with a free slot, in the order of choice.
     ready: BTreeSet<(Score, Index)>,
     ring: ring::Ring,
-    /// The endpoints where this box has requests.
+    /// The endpoints where this box has running requests.
     busy: BTreeSet<Index>,
-    /// The endpoints of which other boxes have not heard what came of requests here.
-    met: BTreeSet<Index>,
-    /// Whether any endpoint may warm up.
-    warming: bool,
+    /// The endpoints with outcomes that are not reported to other boxes yet.
+    unreported: BTreeSet<Index>,
+    /// Whether any endpoint may be warming up.
+    any_warming: bool,
     hints: HashMap<message::Prefix, slots::Hint>,
-    kept: home::Kept,
+    cached: home::Cached,
     allowed: u32,
     running: u32,
-    refreshed: Duration,
-    /// How many boxes use the endpoints beside this one.
-    sharers: u32,
-    /// Whether it is known what these have at the endpoints.
+    last_refresh: Duration,
+    /// The number of boxes that use the endpoints, besides this one.
+    other_boxes: u32,
+    /// Whether the load of those boxes is known.
     others_known: bool,
-    /// Failures to reach other zones.
+    /// Recent failures to reach other zones.
     zones: zone::Zones,
-    /// Requests that were granted to endpoints that warm up, and that were kept from them, since
-    /// these were last taken.
-    sent_cold: u32,
-    kept_back: u32,
-    /// The region of this box, if it is known.
+    /// Requests granted to endpoints that warm up, and requests diverted from their home because it
+    /// warms up; both since they were last taken.
+    sent_to_warming: u32,
+    diverted_by_warm_up: u32,
+    /// The region of this box, if known.
     region: Option<name::Region>,
-    /// Whether any endpoint may rest from any box.
-    resting: bool,
-    /// Whether any endpoint may limit its requests.
-    limited: bool,
-    /// The sum of all limits, if all endpoints that serve have one.
-    limits: Option<f64>,
-    /// The permits that this box is issued.
-    issued: Meter,
-    /// Requests that were kept from their home by its limit, since this was last taken.
-    limit_kept: u32,
-    /// Since when it is issued none, and has its part of each limit.
-    alone: Option<Duration>,
-    /// How many endpoints are not configured.
+    /// Whether any endpoint may have asked any box to back off.
+    any_resting: bool,
+    /// Whether any endpoint may limit its request rate.
+    any_limited: bool,
+    /// The sum of all limits, in requests per second, if all serving endpoints have one.
+    limit_sum: Option<f64>,
+    /// The rate at which this box is issued permits.
+    issue_rate: Meter,
+    /// Requests diverted from their home by its limit, since this was last taken.
+    diverted_by_limit: u32,
+    /// Since when this box has been issued no permits and has used an equal share of each limit
+    /// instead.
+    alone_since: Option<Duration>,
+    /// The number of endpoints that are not configured.
     unconfigured: usize,
-    /// When the first ejected endpoint is to be probed.
+    /// When the next ejected endpoint is to be probed.
     probe_at: Option<Duration>,
-    /// What other boxes have at endpoints that are not known here.
-    strangers: HashMap<name::Endpoint, Load>,
+    /// The load of other boxes at endpoints that are not known here yet.
+    unknown_loads: HashMap<name::Endpoint, Load>,
 }
 
-/// How much fuller, in thousandths, an endpoint of this zone may be than one of
-/// another zone and still go first.
-const AWAY: u64 = 300;
-/// The same beside one of another region, on top of that: the way there and back takes about as
-/// long as a short call's work, so all but the last slots nearby are taken first.
-const FAR: u64 = 700;
-/// How far, in thousandths of the slots, a box leans to some endpoints of a zone more than
-/// to others. What boxes know of each other is older than many calls, so without it all of
-/// them would send to the endpoint that was the least used a moment ago. Less than `AWAY`,
-/// so that it decides within a zone only.
-const LEANING: u64 = 200;
-/// What certain failure adds to the place in the index, in thousandths of the slots: an
-/// endpoint in doubt is used once the others have twice as many requests as slots.
-const DOUBT: f64 = 2000.0;
-
-/// The part of the endpoints that has to have gone before they are forgotten.
-const GONE_PART: usize = 64;
-
-/// Whether two regions are known to be different ones.
-fn is_far(own: Option<&name::Region>, other: Option<&name::Region>) -> bool {
+/// The score penalty, in thousandths of the slots, of an endpoint in another zone: how much fuller
+/// one of this zone may be and still come first.
+const OTHER_ZONE_PENALTY: u64 = 300;
+/// The additional penalty of an endpoint in another region. The round trip there takes about as
+/// long as a short call's work, so nearly all slots nearby are used first.
+const OTHER_REGION_PENALTY: u64 = 700;
+/// The upper bound of a box's constant penalty for an endpoint, in thousandths of the slots. What
+/// boxes know of each other is older than many calls take, so without different preferences all of
+/// them would send to the endpoint that was least used a moment ago. It is below
+/// `OTHER_ZONE_PENALTY`, so that it decides only within a zone.
+const MAX_BIAS: u64 = 200;
+/// The score penalty, in thousandths of the slots, of an endpoint that is certain to fail: it is
+/// used only once the others have twice as many requests as slots.
+const MAX_RISK_PENALTY: f64 = 2000.0;
+
+/// Unconfigured endpoints are removed once they are at least one in this many.
+const REMOVAL_DIVISOR: usize = 64;
+
+/// Returns whether two regions are known and differ.
+fn is_other_region(own: Option<&name::Region>, other: Option<&name::Region>) -> bool {
     own.zip(other).is_some_and(|(own, other)| own != other)
 }
 
 impl Set {
-    /// A set of no endpoints, for a box in a region.
+    /// Creates an empty set for a box in a region.
     pub(super) fn new(region: Option<name::Region>) -> Self {
         Self {
             region,
@@ -323,25 +330,25 @@
         }
     }
 
-    /// Sets what is configured. Endpoints that are gone keep their runs.
+    /// Replaces the configuration. Endpoints that are no longer configured keep their runs.
     pub(super) fn configure(&mut self, specs: &[Spec], now: Duration, settings: &Settings) {
         for endpoint in &mut self.endpoints {
             endpoint.configured = false;
         }
-        self.warming = false;
+        self.any_warming = false;
         for spec in specs {
             let index = self.set_spec(spec, now, settings);
-            self.endpoints[index.0].place = spec.place;
+            self.endpoints[index.0].rank = spec.place;
         }
         let unconfigured = self.endpoints.iter().filter(|e| !e.configured);
         self.unconfigured = unconfigured.count();
-        self.part();
+        self.assign_prompt_groups();
         self.rescore_all();
         self.sum_limits();
     }
 
-    /// Sets what is configured of some endpoints, and which are configured no more. A new one stands
-    /// last in the order that all boxes know until all are configured.
+    /// Changes the configuration of some endpoints and removes others from it. A new endpoint ranks
+    /// last in the common order until the next full configuration.
     pub(super) fn change(
         &mut self,
         specs: &[Spec],
@@ -372,27 +379,28 @@
         }
         endpoint.configured = true;
         endpoint.slots = spec.slots;
-        endpoint.away = spec.away;
+        endpoint.in_other_zone = spec.away;
         endpoint.zone = spec.zone.clone();
         endpoint.standing = spec.standing.clone();
-        endpoint.far = is_far(self.region.as_ref(), spec.standing.region.as_ref());
+        endpoint.in_other_region =
+            is_other_region(self.region.as_ref(), spec.standing.region.as_ref());
         endpoint.slow = spec.slow;
         endpoint.memory = spec.memory;
-        self.warming |= spec.standing.warming.is_some();
-        self.limited |= spec.standing.limit.is_some();
-        match (spec.leaving, endpoint.leaving) {
-            (true, None) => endpoint.leaving = Some(now),
-            (false, Some(_)) => endpoint.leaving = None,
+        self.any_warming |= spec.standing.warming.is_some();
+        self.any_limited |= spec.standing.limit.is_some();
+        match (spec.leaving, endpoint.leaving_since) {
+            (true, None) => endpoint.leaving_since = Some(now),
+            (false, Some(_)) => endpoint.leaving_since = None,
             _ => {}
         }
         index
     }
 
-    /// Parts the endpoints between short and long prompts.
-    fn part(&mut self) {
+    /// Assigns the endpoints to the groups for short and for long prompts.
+    fn assign_prompt_groups(&mut self) {
         let configured = self.endpoints.iter_mut().filter(|e| e.configured);
         let mut in_order: Vec<_> = configured.collect();
-        in_order.sort_by_key(|endpoint| endpoint.place);
+        in_order.sort_by_key(|endpoint| endpoint.rank);
         let slow: Vec<_> = in_order.iter().map(|endpoint| endpoint.slow).collect();
         for (endpoint, short) in in_order.into_iter().zip(placement::part(&slow)) {
             endpoint.for_short = short;
@@ -406,36 +414,40 @@
         let index = Index(self.endpoints.len());
         self.names.insert(name.clone(), index);
         self.unconfigured += 1;
-        let others = self.strangers.remove(name).unwrap_or_default();
+        let others = self.unknown_loads.remove(name).unwrap_or_default();
         let hash = rendezvous::hash(&[name.as_str()]);
         self.ring.add(hash, index);
-        let leaning = rendezvous::hash(&[&settings.seed.to_string(), name.as_str()]) % LEANING;
+        let bias = rendezvous::hash(&[&settings.seed.to_string(), name.as_str()]) % MAX_BIAS;
         let mut permits = Permits::default();
-        permits.set_alone(throttle::alone(self.alone, self.sharers, leaning));
+        permits.set_alone(throttle::own_share(
+            self.alone_since,
+            self.other_boxes,
+            bias,
+        ));
         self.endpoints.push(Endpoint {
             name: name.clone(),
             slots: 0,
             running: 0,
             state: State::Active,
-            leaving: None,
+            leaving_since: None,
             configured: false,
             failures: 0,
             ejections: 0,
             ramp: settings.ramp,
-            pace: estimate::Ewma::default(),
+            seconds_per_unit: estimate::Ewma::default(),
             speed: 1.0,
             backlog: 0,
-            away: false,
-            far: false,
-            place: usize::MAX,
+            in_other_zone: false,
+            in_other_region: false,
+            rank: usize::MAX,
             hash,
-            zone: own_zone(),
+            zone: unknown_zone(),
             standing: Standing::default(),
             start: None,
             rests: BTreeMap::new(),
             pass: warm_up::Pass::default(),
             permits,
-            kept_from: 0,
+            diverted: 0,
             slow: false,
             for_short: true,
             memory: None,
@@ -445,31 +457,31 @@
             others,
             pending: 0,
             risk: risk::Risk::default(),
-            doubt: 0,
+            risk_penalty: 0,
             outcomes: load::Count::default(),
-            leaning,
-            quiet_since: Duration::ZERO,
+            bias,
+            waiting_since: Duration::ZERO,
             score: None,
-            counted: 0,
+            counted_allowed: 0,
         });
         index
     }
 
-    /// Notes the first sign that an endpoint leaves, or that it came back.
+    /// Records the first sign that an endpoint leaves, or that it no longer does.
     pub(super) fn set_leaving(&mut self, name: &name::Endpoint, leaving: bool, now: Duration) {
         let Some(index) = self.names.get(name).copied() else {
             return;
         };
         let endpoint = &mut self.endpoints[index.0];
         if leaving {
-            endpoint.leaving.get_or_insert(now);
+            endpoint.leaving_since.get_or_insert(now);
         } else {
-            endpoint.leaving = None;
+            endpoint.leaving_since = None;
         }
         self.rescore(index);
     }
 
-    /// Notes a load report: requests that wait inside of the endpoint.
+    /// Records a load report: the number of requests queued inside the endpoint.
     pub(super) fn set_backlog(&mut self, name: &name::Endpoint, waiting: u32) {
         let Some(index) = self.names.get(name).copied() else {
             return;
@@ -478,12 +490,12 @@
         self.rescore(index);
     }
 
-    /// How many requests may run at once in all.
+    /// Returns how many requests may run at once at all endpoints together.
     pub(super) fn allowed(&self) -> u32 {
         self.allowed
     }
 
-    /// How many run.
+    /// Returns how many requests run.
     pub(super) fn running(&self) -> u32 {
         self.running
     }
@@ -492,18 +504,19 @@
         &self.endpoints[index.0].name
     }
 
-    /// Sets how many boxes use the endpoints, this one included.
+    /// Sets the number of boxes that use the endpoints, including this one.
     pub(super) fn set_sharers(&mut self, count: u32) {
-        self.sharers = count.saturating_sub(1);
+        self.other_boxes = count.saturating_sub(1);
     }
 
-    /// Frees a slot with the tokens of a prompt, of a run that was `answered` or not.
+    /// Releases the slot and the prompt tokens of a run; `answered` tells whether it got its first
+    /// token.
     pub(super) fn free(&mut self, index: Index, prompt: Tokens, answered: bool) {
         let endpoint = &mut self.endpoints[index.0];
         endpoint.held = endpoint.held.saturating_sub(prompt.unread);
         if !answered {
             endpoint.pending = endpoint.pending.saturating_sub(1);
-            endpoint.no_longer_unread(prompt);
+            endpoint.subtract_unread(prompt);
         }
         endpoint.running = endpoint.running.saturating_sub(1);
         if endpoint.running == 0 {
@@ -519,7 +532,7 @@
         }
     }
 
-    /// Brings an endpoint's place in the index up to date.
+    /// Recomputes an endpoint's score and its contribution to the allowed requests.
     fn rescore(&mut self, index: Index) {
         let endpoint = &mut self.endpoints[index.0];
         if let Some(score) = endpoint.score.take() {
@@ -530,11 +543,11 @@
             self.ready.insert((score, index));
         }
         let allowed = endpoint.allowed();
-        self.allowed = self.allowed - endpoint.counted + allowed;
-        endpoint.counted = allowed;
+        self.allowed = self.allowed - endpoint.counted_allowed + allowed;
+        endpoint.counted_allowed = allowed;
     }
 
-    /// A view of each endpoint that is configured or still runs something.
+    /// Returns a view of each endpoint that is configured or still runs a request.
     pub(super) fn views(&self) -> impl Iterator<Item = View> + '_ {
         self.endpoints
             .iter()
@@ -546,16 +559,16 @@
                 others: e.others.running,
                 allowed: e.allowed(),
                 ejected: matches!(e.state, State::Ejected(_)),
-                leaving: e.leaving.is_some(),
+                leaving: e.leaving_since.is_some(),
                 warming: e.standing.warming.map(|warming| warming.until),
             })
     }
 
-    /// Forgets the endpoints that are gone, at a time when nothing runs. It looks at all of them, so
-    /// it waits until a part of them has gone.
+    /// Removes the unconfigured endpoints, if nothing runs. This takes linear time, so it waits
+    /// until they are a fair part of all.
     pub(super) fn forget_gone(&mut self) {
-        let few = self.unconfigured * GONE_PART < self.endpoints.len();
-        if self.running > 0 || self.unconfigured == 0 || few {
+        let is_below_threshold = self.unconfigured * REMOVAL_DIVISOR < self.endpoints.len();
+        if self.running > 0 || self.unconfigured == 0 || is_below_threshold {
             return;
         }
         self.unconfigured = 0;
@@ -566,10 +579,14 @@
             endpoint.configured.then_some(index)
         });
         let new: Vec<Option<Index>> = stays.collect();
-        // A box with few requests is often at rest. If it forgot by this where prompts are
-        // kept, each endpoint that goes would have all of them read again.
-        self.kept.reindex(|old| new[old.0]);
-        self.met = self.met.iter().filter_map(|old| new[old.0]).collect();
+        // Keeps the record of cached prefixes: a box with few requests often runs none, and without
+        // the record each removal would have all prefixes prefilled again elsewhere.
+        self.cached.reindex(|old| new[old.0]);
+        self.unreported = self
+            .unreported
+            .iter()
+            .filter_map(|old| new[old.0])
+            .collect();
         self.hints.retain(|_, hint| {
             let moved = new[hint.index.0];
             hint.index = moved.unwrap_or(hint.index);
@@ -578,36 +595,36 @@
         self.ready.clear();
         self.allowed = 0;
         self.endpoints.retain(|e| e.configured);
-        // At rest none is left of those that a later start took the place of.
+        // With nothing running, no entries of earlier starts are left, so names are unique.
         let names = self.endpoints.iter().enumerate();
         self.names = names.map(|(i, e)| (e.name.clone(), Index(i))).collect();
         self.ring.clear();
         for (i, endpoint) in self.endpoints.iter_mut().enumerate() {
             endpoint.score = None;
-            endpoint.counted = 0;
+            endpoint.counted_allowed = 0;
             self.ring.add(endpoint.hash, Index(i));
         }
         self.rescore_all();
     }
 }
 
-/// How an endpoint stands, for status pages.
+/// The state of an endpoint, for status pages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// Its name.
     pub name: name::Endpoint,
-    /// Configured slots.
+    /// Its configured slots.
     pub slots: u32,
-    /// Slots that are held.
+    /// The slots held by this box.
     pub running: u32,
-    /// Slots that other boxes hold, as far as that is known.
+    /// The slots held by other boxes, as far as known.
     pub others: u32,
-    /// Slots that may be used now.
+    /// The slots that may be used now.
     pub allowed: u32,
     /// Whether it is ejected.
     pub ejected: bool,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// Until when it warms up, if it did when it was configured last.
+    /// The end of its warm-up, if it was warming up when it was last configured.
     pub warming: Option<Duration>,
 }
--- a/src/scalewood/core/dispatch/endpoint/cost.rs
+++ b/src/scalewood/core/dispatch/endpoint/cost.rs
@@ -1,10 +1,10 @@
-//! What it costs to send a prompt to an endpoint.
+//! The cost of sending a prompt to an endpoint.
 //!
-//! A cost is the time that the first token is put off, plus what is likely lost: a request
-//! that is lost counts as much as waiting for some targets, and what the prompt does to the
-//! streams that run there counts like its own loss. All that it rests on is observed: the
-//! rate at which prompts are read, the streams that paused too long, the requests that
-//! failed, and what all boxes have at each endpoint.
+//! A cost is the time by which the first token is delayed plus the expected loss: losing a request
+//! counts as much as waiting for several times its target, and each stream that the prompt makes
+//! pause too long counts like a lost request. Everything is estimated from observations: the
+//! rate at which prompts are prefilled, the fraction of streams that paused too long, the failures
+//! of requests, and the load of all boxes at each endpoint.
 
 use std::time::Duration;
 
@@ -14,96 +14,97 @@
     name, unit,
 };
 
-/// A cost, in microseconds that a first token is put off.
+/// A cost, in microseconds by which a first token is delayed.
 pub(super) type Cost = u64;
 
-/// What a lost request costs, in targets of waiting. A wait of one target makes a request
-/// late, which is worth a part of the whole; none that waits for three is served in time.
+/// The cost of a lost request, in multiples of its target. A wait of one target makes a request
+/// late, which forfeits a part of its value; none that waits for three is served in time.
 const LOSS_TARGETS: f64 = 3.0;
-/// What reading a shared part once more costs, in times that it takes: it is work that
-/// others wait for too, and memory that others lose.
-const AGAIN: f64 = 3.0;
-/// How much longer a slow endpoint takes to read. It counts as slow from 1.16 on, where
-/// most that do are far from that bound.
-const SLOW: f64 = 1.3;
-/// How likely a request is lost at an endpoint that leaves runs unanswered.
-const STALLED: f64 = 0.7;
-/// How long an endpoint may leave runs unanswered beyond the time that reading what is
-/// there takes, and how many times that it may take.
-const QUIET: Duration = Duration::from_millis(1000);
-const QUIET_TIMES: u32 = 3;
-/// How many times as long as reading what is there takes a sound endpoint may keep a request
-/// waiting: more requests come while it waits, and the more urgent ones go first.
-const BUSY_TIMES: u32 = 2;
-/// How likely a request is lost where memory or all slots are taken: it waits until others
-/// have ended, and those that are more urgent go first.
-const FULL: f64 = 0.5;
-/// The part of an endpoint's memory from which on it fills up: what is kept for prompts
-/// to come is lost first.
-const FILLING: f64 = 0.65;
-/// How likely a short prompt is taken to be lost at an endpoint for long ones at least, so
-/// that prompts do not mix for the sake of small differences.
-const MIXED: f64 = 0.25;
+/// The cost of prefilling a shared prefix once more, in multiples of the time that it takes: other
+/// requests wait for that work too, and other prefixes are evicted from memory.
+const PREFILL_AGAIN_FACTOR: f64 = 3.0;
+/// The factor by which a slow endpoint prefills more slowly. An endpoint counts as slow from 1.16
+/// times the pace of a fast one on, and most slow ones are well above that.
+const SLOW_FACTOR: f64 = 1.3;
+/// The risk of losing a request at an endpoint that leaves runs unanswered.
+const STALLED_RISK: f64 = 0.7;
+/// An endpoint with unanswered runs counts as stalled when it has given no first token for
+/// `STALL_GRACE` plus `STALL_BACKLOG_FACTOR` times the time that prefilling its backlog takes.
+const STALL_GRACE: Duration = Duration::from_millis(1000);
+const STALL_BACKLOG_FACTOR: u32 = 3;
+/// A sound endpoint may keep a request waiting for this many times the time that prefilling its
+/// backlog takes: more requests come meanwhile, and the more urgent ones go first.
+const SILENCE_BACKLOG_FACTOR: u32 = 2;
+/// The risk of losing a request where memory or all slots are taken: it waits until others have
+/// ended, and more urgent ones go first.
+const FULL_RISK: f64 = 0.5;
+/// The fraction of an endpoint's memory in use above which the risk rises: cached prefixes that
+/// later prompts need are evicted first.
+const MEMORY_RISK_FROM: f64 = 0.65;
+/// The least risk assumed for a stream at an endpoint of the other group, so that short and long
+/// prompts are not mixed for the sake of small differences.
+const MIN_FOREIGN_RISK: f64 = 0.25;
 
-/// From how many targets on a first token is predicted to be late so surely that its caller
-/// had better come back: above 1, since predictions err, and one that is refused in vain
-/// loses as much as one that is late.
-const LATE: f64 = 1.25;
+/// The multiple of the target above which a predicted first token is so surely late that the caller
+/// should retry later. It is above 1 because predictions err, and refusing a request needlessly
+/// loses as much as serving it late.
+const REFUSAL_TARGETS: f64 = 1.25;
 
-/// What was learnt from observation.
+/// The models learnt from observations.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Model<'a> {
-    /// How fast prompts are read.
+    /// The rate at which prompts are prefilled.
     pub(in crate::core::dispatch) reading: &'a reading::Reading,
-    /// How many streams pause too long.
+    /// The fraction of streams that pause too long.
     pub(in crate::core::dispatch) pauses: &'a pauses::Pauses,
 }
 
-/// A prompt that is to be placed.
+/// A prompt for which an endpoint is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Prompt<'a> {
-    /// Who asks.
+    /// The constraints of its request.
     pub(in crate::core::dispatch) seeker: Seeker<'a>,
-    /// What it shares with others.
+    /// Its shared prefix.
     pub(in crate::core::dispatch) placed: message::Placed,
-    /// All its tokens.
+    /// Its length in tokens, with the shared prefix.
     pub(in crate::core::dispatch) tokens: u64,
     /// The tier of its request.
     pub(in crate::core::dispatch) tier: unit::Tier,
-    /// The time within which the first token is due.
+    /// The target for the time to the first token.
     pub(in crate::core::dispatch) target: Duration,
-    /// The time within which the first token has to come, or the caller leaves.
+    /// The time after which the caller leaves if no first token has come.
     pub(in crate::core::dispatch) patience: Duration,
-    /// Whether the caller may come back if it is refused at once: it was not refused
-    /// before, and no endpoint has had its request.
+    /// Whether the caller may retry if the request is refused at once: it was not refused before
+    /// and has not been sent to any endpoint.
     pub(in crate::core::dispatch) may_return: bool,
-    /// The time within which the answer has to be whole.
+    /// The time within which the answer must be complete.
     pub(in crate::core::dispatch) deadline: Duration,
-    /// How long a request of its class holds a slot in the mean.
+    /// The mean time for which a request of its class holds a slot.
     pub(in crate::core::dispatch) hold: Duration,
-    /// Tokens, or events, of an answer of its class in the mean, once any was seen.
+    /// The mean length of an answer of its class, in tokens or events, once one was seen.
     pub(in crate::core::dispatch) length: Option<f64>,
-    /// Whether its class has long prompts.
+    /// Whether prompts of its class are long.
     pub(in crate::core::dispatch) long: bool,
-    /// Whether it belongs to the endpoints for long prompts.
+    /// Whether it belongs to the endpoints for long prompts. Short prompts of the lower classes do,
+    /// too, while the endpoints for short ones are nearly full.
     pub(in crate::core::dispatch) for_long: bool,
-    /// Whether endpoints are parted between short and long prompts.
+    /// Whether the endpoints are split into a group for short and one for long prompts.
     pub(in crate::core::dispatch) parted: bool,
 }
 
 impl Prompt<'_> {
-    /// Tokens that are read where the shared part is kept or not.
-    pub(super) fn unread(&self, kept: bool) -> u64 {
-        let shared = if kept { self.placed.shared.0 } else { 0 };
+    /// Returns the tokens to be prefilled, depending on whether the shared prefix is cached.
+    pub(super) fn unread(&self, is_cached: bool) -> u64 {
+        let shared = if is_cached { self.placed.shared.0 } else { 0 };
         self.tokens.saturating_sub(shared)
     }
 
-    /// Whether an endpoint is for prompts of the other kind.
+    /// Returns whether an endpoint belongs to the other group of prompt lengths.
     pub(super) fn is_foreign(&self, endpoint: &Endpoint) -> bool {
         self.parted && endpoint.for_short == self.for_long
     }
 
-    /// Where it would run at an endpoint.
+    /// Returns the kind of placement at an endpoint, by which pauses are counted.
     pub(super) fn place(&self, endpoint: &Endpoint) -> pauses::Place {
         pauses::Place {
             long: self.long,
@@ -112,43 +113,47 @@
         }
     }
 
-    /// The longest that its first token may be predicted to take, or it is refused.
-    pub(super) fn longest_first(&self) -> Duration {
+    /// Returns the longest predicted time to the first token with which it is not refused.
+    pub(super) fn max_first_token(&self) -> Duration {
         if self.may_return {
-            self.patience.min(self.target.mul_f64(LATE))
+            self.patience.min(self.target.mul_f64(REFUSAL_TARGETS))
         } else {
             self.patience
         }
     }
 
-    /// What a certain loss costs.
+    /// Returns the cost of certainly losing the request, as a time.
     fn loss(&self) -> Duration {
         self.target.mul_f64(LOSS_TARGETS)
     }
 }
 
-/// What a place further from home costs where the shared part is not kept: reading it once
-/// more, and as much as makes a request late at least, so that prompts stay together.
-pub(super) fn step(prompt: &Prompt<'_>, model: &Model<'_>) -> Cost {
-    let again = model.reading.time(prompt.placed.shared.0).mul_f64(AGAIN);
+/// Returns the cost of each step away from home for an endpoint that does not cache the shared
+/// prefix: that of prefilling it once more, and at least the target, a wait that makes a request
+/// late, so that prompts with the same prefix stay together.
+pub(super) fn step_cost(prompt: &Prompt<'_>, model: &Model<'_>) -> Cost {
+    let again = model
+        .reading
+        .time(prompt.placed.shared.0)
+        .mul_f64(PREFILL_AGAIN_FACTOR);
     micros(again.max(prompt.target))
 }
 
-/// How long a prompt's first token takes at an endpoint.
-pub(super) fn first(
+/// Returns the predicted time to a prompt's first token at an endpoint.
+pub(super) fn first_token(
     endpoint: &Endpoint,
     prompt: &Prompt<'_>,
-    kept: bool,
+    is_cached: bool,
     model: &Model<'_>,
 ) -> Duration {
-    let own = model.reading.time(prompt.unread(kept));
-    turn(endpoint, prompt, model.reading)
+    let own = model.reading.time(prompt.unread(is_cached));
+    prefill_wait(endpoint, prompt, model.reading)
         + slot_wait(endpoint, prompt)
         + own.mul_f64(slowness(endpoint))
 }
 
 impl Set {
-    /// What it costs to send a prompt to an endpoint that keeps its shared part.
+    /// Returns the cost of sending a prompt to an endpoint that caches its shared prefix.
     pub(super) fn cost(
         &self,
         endpoint: &Endpoint,
@@ -158,46 +163,52 @@
     ) -> Cost {
         let risks = [
             endpoint.risk.get(now),
-            stalled(endpoint, model.reading, now),
-            filled(endpoint, prompt.tokens),
-            if slots_over(endpoint) > 0 { FULL } else { 0.0 },
-            unfinished(endpoint, prompt),
-            paused(endpoint, prompt, model, now),
+            stalled_risk(endpoint, model.reading, now),
+            memory_risk(endpoint, prompt.tokens),
+            if missing_slots(endpoint) > 0 {
+                FULL_RISK
+            } else {
+                0.0
+            },
+            deadline_risk(endpoint, prompt),
+            pause_risk(endpoint, prompt, model, now),
         ];
-        let sound = risks.iter().fold(1.0, |sound, risk| sound * (1.0 - risk));
-        let lost = 1.0 - sound + harm(endpoint, prompt, model, now);
-        let wait = turn(endpoint, prompt, model.reading) + slot_wait(endpoint, prompt);
-        micros(wait + prompt.loss().mul_f64(lost))
+        let success = risks
+            .iter()
+            .fold(1.0, |success, risk| success * (1.0 - risk));
+        let losses = 1.0 - success + stream_harm(endpoint, prompt, model, now);
+        let wait = prefill_wait(endpoint, prompt, model.reading) + slot_wait(endpoint, prompt);
+        micros(wait + prompt.loss().mul_f64(losses))
     }
 }
 
-/// How many times as long as at a fast endpoint reading takes.
+/// Returns the factor by which prefill takes longer than at a fast endpoint.
 fn slowness(endpoint: &Endpoint) -> f64 {
     if endpoint.slow {
-        SLOW
+        SLOW_FACTOR
     } else {
         1.0
     }
 }
 
-/// How long it takes until a slot comes free, where all boxes together have taken all.
+/// Returns the expected wait for a slot, if all boxes together hold all slots.
 fn slot_wait(endpoint: &Endpoint, prompt: &Prompt<'_>) -> Duration {
-    prompt.hold * slots_over(endpoint) / endpoint.slots.max(1)
+    prompt.hold * missing_slots(endpoint) / endpoint.slots.max(1)
 }
 
-/// How many slots are missing for all boxes' runs and one more.
-fn slots_over(endpoint: &Endpoint) -> u32 {
+/// Returns the number of slots missing for the runs of all boxes and one more.
+fn missing_slots(endpoint: &Endpoint) -> u32 {
     let taken = endpoint.running + endpoint.others.running;
     (taken + 1).saturating_sub(endpoint.slots)
 }
 
 impl Set {
-    /// How long an endpoint may be silent towards a request before it counts as lost there,
-    /// which is `least` where nothing else waits: what is to be read there puts it off. An
-    /// endpoint in doubt gets no more time.
+    /// Returns how long an endpoint may be silent about a request before the request is given up
+    /// there: `least`, plus time for the prefill backlog. An endpoint at risk of failure gets no
+    /// extra time.
     ///
-    /// Without it requests leave endpoints that are merely busy, and are read once more at
-    /// others: under overload that is more work for less.
+    /// Without the extra time, requests leave endpoints that are merely busy and are prefilled once
+    /// more at others, which under overload is more work for fewer answers.
     pub(in crate::core::dispatch) fn patience(
         &self,
         name: &name::Endpoint,
@@ -209,19 +220,19 @@
             return least;
         };
         let endpoint = &self.endpoints[index.0];
-        let is_sound = endpoint.risk.get(now) == 0.0 && stalled(endpoint, reading, now) == 0.0;
+        let is_sound = endpoint.risk.get(now) == 0.0 && stalled_risk(endpoint, reading, now) == 0.0;
         if is_sound && endpoint.configured {
-            least + wait(endpoint, reading) * BUSY_TIMES
+            least + backlog_time(endpoint, reading) * SILENCE_BACKLOG_FACTOR
         } else {
             least
         }
     }
 }
 
-/// How likely the answer is not whole by the deadline, at the pace that answers had there
-/// of late. Lengths are taken to be spread exponentially, as those of most answers are.
-fn unfinished(endpoint: &Endpoint, prompt: &Prompt<'_>) -> f64 {
-    let (Some(pace), Some(length)) = (endpoint.pace.get(), prompt.length) else {
+/// Returns the probability that the answer is not complete by the deadline, at the recent pace of
+/// the endpoint. Answer lengths are assumed to be exponentially distributed, as most are.
+fn deadline_risk(endpoint: &Endpoint, prompt: &Prompt<'_>) -> f64 {
+    let (Some(pace), Some(length)) = (endpoint.seconds_per_unit.get(), prompt.length) else {
         return 0.0;
     };
     let expected = pace * length;
@@ -232,7 +243,7 @@
 }
 
 impl Endpoint {
-    /// What all boxes have unread there before a request of a tier.
+    /// Returns the tokens of all boxes waiting for prefill there when a request of a tier arrives.
     pub(super) fn ahead(&self, tier: unit::Tier) -> reading::Ahead {
         let later = self.later.than(tier) + self.others.later.than(tier);
         let unread = self.unread + self.others.unread;
@@ -243,53 +254,52 @@
     }
 }
 
-/// How long a prompt waits until its own reading begins.
-fn turn(endpoint: &Endpoint, prompt: &Prompt<'_>, reading: &reading::Reading) -> Duration {
+/// Returns the time until the prefill of a prompt begins.
+fn prefill_wait(endpoint: &Endpoint, prompt: &Prompt<'_>, reading: &reading::Reading) -> Duration {
     let ahead = endpoint.ahead(prompt.tier);
     reading.wait(ahead).mul_f64(slowness(endpoint))
 }
 
-/// How long reading what all boxes have there takes.
-fn wait(endpoint: &Endpoint, reading: &reading::Reading) -> Duration {
+/// Returns the time to prefill everything that all boxes have waiting there.
+fn backlog_time(endpoint: &Endpoint, reading: &reading::Reading) -> Duration {
     let backlog = endpoint.unread + endpoint.others.unread;
     reading.time(backlog).mul_f64(slowness(endpoint))
 }
 
-/// How likely a request is lost since the endpoint leaves runs unanswered.
-fn stalled(endpoint: &Endpoint, reading: &reading::Reading, now: Duration) -> f64 {
-    let expected = wait(endpoint, reading) * QUIET_TIMES + QUIET;
-    let stalled = endpoint.pending > 0 && now > endpoint.quiet_since + expected;
+/// Returns the risk of losing a request because the endpoint has stalled.
+fn stalled_risk(endpoint: &Endpoint, reading: &reading::Reading, now: Duration) -> f64 {
+    let expected = backlog_time(endpoint, reading) * STALL_BACKLOG_FACTOR + STALL_GRACE;
+    let stalled = endpoint.pending > 0 && now > endpoint.waiting_since + expected;
     if stalled {
-        STALLED
+        STALLED_RISK
     } else {
         0.0
     }
 }
 
-/// How likely a request is lost since the endpoint's memory is full with its prompt.
-fn filled(endpoint: &Endpoint, tokens: u64) -> f64 {
+/// Returns the risk of losing a request because the prompt would fill the endpoint's memory.
+fn memory_risk(endpoint: &Endpoint, tokens: u64) -> f64 {
     let Some(memory) = endpoint.memory else {
         return 0.0;
     };
     let held = endpoint.held + endpoint.others.held + tokens;
     // Both are far below 2^52, so the casts are exact.
     let part = held as f64 / memory.0.max(1) as f64;
-    ((part - FILLING) / (1.0 - FILLING)).clamp(0.0, 1.0) * FULL
+    ((part - MEMORY_RISK_FROM) / (1.0 - MEMORY_RISK_FROM)).clamp(0.0, 1.0) * FULL_RISK
 }
 
-/// How likely the prompt's own stream pauses too long there.
-fn paused(endpoint: &Endpoint, prompt: &Prompt<'_>, model: &Model<'_>, now: Duration) -> f64 {
+/// Returns the probability that the prompt's own stream pauses too long there.
+fn pause_risk(endpoint: &Endpoint, prompt: &Prompt<'_>, model: &Model<'_>, now: Duration) -> f64 {
     let part = model.pauses.part(prompt.place(endpoint), now);
     if prompt.is_foreign(endpoint) {
-        part.max(MIXED)
+        part.max(MIN_FOREIGN_RISK)
     } else {
         part
     }
 }
 
-/// How many streams there are lost by a long prompt: those that would not have paused too
-/// long without it.
-fn harm(endpoint: &Endpoint, prompt: &Prompt<'_>, model: &Model<'_>, now: Duration) -> f64 {
+/// Returns the expected number of streams there that pause too long only because of a long prompt.
+fn stream_harm(endpoint: &Endpoint, prompt: &Prompt<'_>, model: &Model<'_>, now: Duration) -> f64 {
     if !(prompt.long && prompt.is_foreign(endpoint)) {
         return 0.0;
     }
--- a/src/scalewood/core/dispatch/endpoint/eligible.rs
+++ b/src/scalewood/core/dispatch/endpoint/eligible.rs
@@ -1,8 +1,8 @@
-//! Which endpoints a request may be sent to, and the slots that it gets there.
+//! Eligibility of endpoints for a request, and the granting of slots.
 //!
-//! Each way to a slot goes through here: [`Set::eligible`] alone makes an [`Eligible`], and
-//! [`Set::grant`] gives a slot for nothing else. So what rules an endpoint out is asked in one
-//! place, and no way of choosing can forget it.
+//! All slots are granted through this module: only [`Set::eligible`] and [`Set::eligible_at`]
+//! create an [`Eligible`], and [`Set::grant`] takes nothing else. So all conditions that rule out
+//! an endpoint are checked in one place, whichever way it is chosen.
 
 use std::time::Duration;
 
@@ -12,30 +12,30 @@
     invariant, name, registry, residency, throttle, warm_up,
 };
 
-/// How long after the first sign a leaving endpoint may still get work.
-const LEAVING_LIMIT: Duration = Duration::from_secs(3);
+/// How long after the first sign that an endpoint leaves a grant to it is tolerated.
+const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
-/// What an operator's orders and an endpoint's own state say of sending it new work.
+/// The operator's orders and the endpoint's own state that restrict new requests to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Standing {
-    /// Whether its zone is cordoned: it gets no new work.
+    /// Whether its zone is cordoned, so that it gets no new requests.
     pub cordoned: bool,
-    /// Its zone's region, if that is known.
+    /// The region of its zone, if known.
     pub region: Option<name::Region>,
-    /// Which start of it this is, if it tells.
+    /// Its current start, if it reports one.
     pub incarnation: registry::Start,
-    /// Its warm-up, if it may not have ended.
+    /// Its warm-up, unless that is known to be over.
     pub warming: Option<warm_up::Warming>,
-    /// The requests a second that it takes from all boxes together, if it limits them.
+    /// The requests per second that it accepts from all boxes together, if it limits them.
     pub limit: Option<throttle::Limit>,
 }
 
-/// Who a slot is for, as far as that rules endpoints out.
+/// The properties of a request that rule out endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Seeker<'a> {
-    /// Where the request may be served.
+    /// The regions where the request may be served.
     pub(in crate::core::dispatch) allowed: &'a residency::Allowed,
-    /// The box that would send it.
+    /// The box that would send the request.
     pub(in crate::core::dispatch) origin: &'a name::Box,
 }
 
@@ -53,35 +53,36 @@
 }
 
 impl Eligible {
-    /// The endpoint.
+    /// Returns the endpoint.
     pub(super) fn index(&self) -> Index {
         self.index
     }
 
-    /// Its place in the order of choice; the lowest goes first.
+    /// Returns its rank in the order of choice; the lowest comes first.
     pub(super) fn score(&self) -> Score {
         self.score
     }
 }
 
 impl Endpoint {
-    /// Whether a request that may be served in some regions may be sent there, in the end.
+    /// Returns whether a request with these allowed regions may be sent there, now or later.
     pub(super) fn may_serve(&self, allowed: &residency::Allowed) -> bool {
         !self.standing.cordoned && allowed.permits(self.standing.region.as_ref())
     }
 
-    /// Whether a request may be sent there now.
+    /// Returns whether a request may be sent there now, regardless of warm-up, rate limit and
+    /// slots.
     fn is_eligible(&self, seeker: Seeker<'_>) -> bool {
         self.may_serve(seeker.allowed) && !self.rests.contains_key(seeker.origin)
     }
 
-    /// Its warm-up, while it lasts.
+    /// Returns its warm-up, while that lasts.
     pub(super) fn warming(&self, now: Duration) -> Option<warm_up::Warming> {
         self.standing.warming.filter(|warming| warming.lasts(now))
     }
 
-    /// Whether this box may send to it now, as far as its warm-up and its limit are concerned.
-    pub(super) fn bears(&self, now: Duration) -> bool {
+    /// Returns whether its warm-up and its rate limit allow this box to send to it now.
+    pub(super) fn may_send(&self, now: Duration) -> bool {
         let warming = self.warming(now);
         let is_warm = warming.is_none_or(|warming| self.pass.permits(&warming, now));
         is_warm && self.is_within_limit(now)
@@ -89,7 +90,8 @@
 }
 
 impl Set {
-    /// The endpoints with a free slot that a request may be sent to, in the order of choice.
+    /// Returns the endpoints with a free slot that a request may be sent to, in the order of
+    /// choice.
     pub(super) fn eligible<'a>(
         &'a self,
         seeker: Seeker<'a>,
@@ -102,11 +104,11 @@
         });
         free.filter(move |free| {
             let endpoint = &self.endpoints[free.index.0];
-            endpoint.is_eligible(seeker) && endpoint.bears(now)
+            endpoint.is_eligible(seeker) && endpoint.may_send(now)
         })
     }
 
-    /// An endpoint, if it has a free slot and a request may be sent to it.
+    /// Returns an endpoint if it has a free slot and a request may be sent to it.
     pub(super) fn eligible_at(
         &self,
         index: Index,
@@ -115,26 +117,26 @@
     ) -> Option<Eligible> {
         let endpoint = &self.endpoints[index.0];
         let score = endpoint.score?;
-        let may = endpoint.is_eligible(seeker) && endpoint.bears(now);
+        let may = endpoint.is_eligible(seeker) && endpoint.may_send(now);
         may.then_some(Eligible { index, score })
     }
 
-    /// Whether any endpoint has a free slot that this box may use now.
+    /// Returns whether any endpoint has a free slot that this box may use now.
     pub(in crate::core::dispatch) fn has_free(&self, now: Duration) -> bool {
         let mut ready = self.ready.iter();
-        ready.any(|(_, index)| self.endpoints[index.0].bears(now))
+        ready.any(|(_, index)| self.endpoints[index.0].may_send(now))
     }
 
-    /// Requests that were granted to endpoints that warm up, and that were kept from their home
-    /// since it warms up, since this was last taken.
+    /// Returns and resets two counts: requests granted to endpoints that warm up, and requests
+    /// diverted from their home because it warms up.
     pub(in crate::core::dispatch) fn take_warm_up(&mut self) -> (u32, u32) {
         (
-            std::mem::take(&mut self.sent_cold),
-            std::mem::take(&mut self.kept_back),
+            std::mem::take(&mut self.sent_to_warming),
+            std::mem::take(&mut self.diverted_by_warm_up),
         )
     }
 
-    /// Takes leases of endpoints that warm up, of one of so many hubs that give them.
+    /// Records leases of endpoints that warm up, given by one of `hubs` hubs.
     pub(in crate::core::dispatch) fn set_leases(
         &mut self,
         leased: &[name::Endpoint],
@@ -149,19 +151,20 @@
         }
     }
 
-    /// The endpoints of this zone that warm up, the one first that most requests were kept from.
+    /// Returns the endpoints of this zone that warm up with their recent diverted requests, the
+    /// highest count first.
     pub(in crate::core::dispatch) fn wants(&mut self, now: Duration) -> Vec<(u32, name::Endpoint)> {
-        if !self.warming {
+        if !self.any_warming {
             return Vec::new();
         }
         let near = self.endpoints.iter_mut();
-        let near = near.filter(|e| e.configured && !e.away && e.leaving.is_none());
+        let near = near.filter(|e| e.configured && !e.in_other_zone && e.leaving_since.is_none());
         let warming = near.filter(|e| e.warming(now).is_some());
-        let wanted = warming.map(|endpoint| (endpoint.kept_from / 2, endpoint));
+        let wanted = warming.map(|endpoint| (endpoint.diverted / 2, endpoint));
         let mut wanted: Vec<_> = wanted
-            .map(|(kept_from, endpoint)| {
-                endpoint.kept_from = kept_from;
-                (kept_from, endpoint.leaning, endpoint.name.clone())
+            .map(|(diverted, endpoint)| {
+                endpoint.diverted = diverted;
+                (diverted, endpoint.bias, endpoint.name.clone())
             })
             .collect();
         wanted.sort_by(|a, b| (b.0, a.1).cmp(&(a.0, b.1)));
@@ -169,7 +172,7 @@
         wanted.map(|(count, _, name)| (count, name)).collect()
     }
 
-    /// Whether an endpoint with a free slot is there that a request may be sent to.
+    /// Returns whether a request may be sent to some endpoint with a free slot.
     pub(in crate::core::dispatch) fn has_free_for(
         &self,
         seeker: Seeker<'_>,
@@ -178,8 +181,8 @@
         self.eligible(seeker, now).next().is_some()
     }
 
-    /// Whether a request may be sent to an endpoint once a slot comes free there. Where the endpoint
-    /// limits its requests, a slot alone is of no use.
+    /// Returns whether a request may be sent to an endpoint as soon as a slot becomes free there.
+    /// At an endpoint that limits its request rate, a free slot alone is not enough.
     pub(in crate::core::dispatch) fn permits(
         &self,
         index: Index,
@@ -190,27 +193,27 @@
         endpoint.is_eligible(seeker) && endpoint.is_within_limit(now)
     }
 
-    /// Whether a request may be sent to any endpoint, now or once a slot comes free there.
+    /// Returns whether no endpoint may serve a request, even once slots become free.
     pub(in crate::core::dispatch) fn is_hopeless(&self, allowed: &residency::Allowed) -> bool {
-        let serving = |e: &&Endpoint| e.configured && e.leaving.is_none();
+        let serving = |e: &&Endpoint| e.configured && e.leaving_since.is_none();
         let mut serving = self.endpoints.iter().filter(serving);
         !serving.any(|endpoint| endpoint.may_serve(allowed))
     }
 
-    /// Whether it could be sent to an endpoint that serves, but for a cordon.
+    /// Returns whether only a cordon keeps a request from some serving endpoint.
     pub(in crate::core::dispatch) fn has_cordoned(&self, allowed: &residency::Allowed) -> bool {
-        let serving = |e: &&Endpoint| e.configured && e.leaving.is_none();
+        let serving = |e: &&Endpoint| e.configured && e.leaving_since.is_none();
         let mut serving = self.endpoints.iter().filter(serving);
         serving.any(|e| e.standing.cordoned && allowed.permits(e.standing.region.as_ref()))
     }
 
-    /// Gives a slot for a prompt.
+    /// Takes a slot for a prompt.
     pub(super) fn grant(&mut self, to: Eligible, prompt: Tokens, now: Duration) {
         self.check_grant(to.index, now);
         let endpoint = &mut self.endpoints[to.index.0];
         if let Some(warming) = endpoint.warming(now) {
             endpoint.pass.take(&warming, now);
-            self.sent_cold += 1;
+            self.sent_to_warming += 1;
         }
         if let Some(limit) = endpoint.standing.limit {
             endpoint.permits.take(limit, now);
@@ -218,8 +221,8 @@
         self.take(to.index, prompt, now);
     }
 
-    /// Adds a run that was granted elsewhere, with the tokens of its prompt; its endpoint
-    /// may be unknown here.
+    /// Adds a run that another dispatcher granted, with its prompt's tokens. Its endpoint may be
+    /// unknown here.
     pub(in crate::core::dispatch) fn adopt(
         &mut self,
         name: &name::Endpoint,
@@ -240,8 +243,8 @@
         let endpoint = &self.endpoints[index.0];
         invariant::check(
             endpoint
-                .leaving
-                .is_none_or(|since| now.saturating_sub(since) <= LEAVING_LIMIT),
+                .leaving_since
+                .is_none_or(|since| now.saturating_sub(since) <= LEAVING_GRACE),
             invariant::Rule::LeavingGrant,
             || format!("grant to leaving endpoint {}", endpoint.name),
         );
@@ -255,12 +258,16 @@
                 )
             },
         );
-        invariant::check(endpoint.bears(now), invariant::Rule::WarmingGrant, || {
-            format!(
-                "grant to {}, which warms up or limits its requests, without a right to it",
-                endpoint.name
-            )
-        });
+        invariant::check(
+            endpoint.may_send(now),
+            invariant::Rule::WarmingGrant,
+            || {
+                format!(
+                    "grant to {}, which warms up or limits its requests, without a lease or permit",
+                    endpoint.name
+                )
+            },
+        );
         invariant::check(
             endpoint.running < endpoint.slots,
             invariant::Rule::SlotHolder,
@@ -276,7 +283,7 @@
     fn take(&mut self, index: Index, prompt: Tokens, now: Duration) {
         let endpoint = &mut self.endpoints[index.0];
         if endpoint.pending == 0 {
-            endpoint.quiet_since = now;
+            endpoint.waiting_since = now;
         }
         endpoint.pending += 1;
         endpoint.unread += prompt.unread;
--- a/src/scalewood/core/dispatch/endpoint/health.rs
+++ b/src/scalewood/core/dispatch/endpoint/health.rs
@@ -1,52 +1,55 @@
-//! How an endpoint does: failures, risk, ejection and speed.
+//! The health of endpoints: failures, risk, ejection and speed.
 //!
-//! Two memories stand side by side. Failures without a success in between eject an endpoint,
-//! which is probed after a while. The risk is what the next request there is expected to
-//! meet, from what all boxes met there.
+//! Two measures exist side by side. Consecutive failures eject an endpoint, which is probed after a
+//! while. The risk is the probability that the next request fails, estimated from the outcomes at
+//! all boxes.
 
 use std::time::Duration;
 
-use super::{Endpoint, Index, Set, State, Tokens, DOUBT};
+use super::{Endpoint, Index, Set, State, Tokens, MAX_RISK_PENALTY};
 use crate::core::{dispatch::Settings, load, rendezvous, risk};
 
-/// Failures, by weight, after which an endpoint is ejected.
-const EJECT_AT: u32 = 3;
-/// How often the speeds are compared.
-const REFRESH: Duration = Duration::from_millis(500);
-/// The speed under which an endpoint counts as slow: noise stays above it.
-const SLOW: f64 = 0.67;
-/// The least weight of a slow endpoint.
+/// The sum of weights of consecutive failures at which an endpoint is ejected.
+const EJECTION_WEIGHT: u32 = 3;
+/// The interval at which speeds are compared and risk penalties updated.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// The relative speed below which an endpoint gets fewer slots; noise stays above it.
+const SLOW_BELOW: f64 = 0.67;
+/// The lowest relative speed that is applied.
 const MIN_SPEED: f64 = 0.1;
+
 impl Endpoint {
-    /// Notes that a request failed, with a weight from 0 to 1.
+    /// Records a failed request; `weight`, from 0 to 1, scales its effect on the risk.
     fn raise_risk(&mut self, weight: f64, now: Duration) {
         self.risk.raise(weight, now);
         self.outcomes.failed += 1;
-        self.refresh_doubt(now);
+        self.refresh_risk_penalty(now);
     }
 
-    /// Notes that a request got its first token.
+    /// Records a request that got its first token.
     fn lower_risk(&mut self, now: Duration) {
         self.risk.lower(now);
         self.outcomes.answered += 1;
-        self.refresh_doubt(now);
+        self.refresh_risk_penalty(now);
     }
 
-    fn refresh_doubt(&mut self, now: Duration) {
-        // The product is at most `DOUBT`, so the cast is exact.
-        self.doubt = (self.risk.get(now) * DOUBT) as u64;
+    fn refresh_risk_penalty(&mut self, now: Duration) {
+        // The product is at most `MAX_RISK_PENALTY`, so the cast is exact.
+        self.risk_penalty = (self.risk.get(now) * MAX_RISK_PENALTY) as u64;
     }
 }
 
 impl Set {
-    /// Notes an endpoint's pace: seconds for each token, or for each call.
+    /// Records the time per token, or per call of a plain service, in seconds.
     pub(in crate::core::dispatch) fn observe_pace(&mut self, index: Index, seconds: f64) {
-        /// The weight of a new observation.
+        /// The weight of a new observation in the moving average.
         const WEIGHT: f64 = 0.2;
-        self.endpoints[index.0].pace.observe(seconds, WEIGHT);
+        self.endpoints[index.0]
+            .seconds_per_unit
+            .observe(seconds, WEIGHT);
     }
 
-    /// Notes that an attempt did well.
+    /// Records that an attempt succeeded.
     pub(in crate::core::dispatch) fn succeeded(&mut self, index: Index) {
         let endpoint = &mut self.endpoints[index.0];
         endpoint.failures = 0;
@@ -59,7 +62,7 @@
         self.rescore(index);
     }
 
-    /// Notes that an attempt got its first token: the endpoint takes more.
+    /// Records that an attempt got its first token, which raises the endpoint's slow-start limit.
     pub(in crate::core::dispatch) fn answered(
         &mut self,
         index: Index,
@@ -67,11 +70,11 @@
         now: Duration,
     ) {
         let endpoint = &mut self.endpoints[index.0];
-        endpoint.no_longer_unread(prompt);
+        endpoint.subtract_unread(prompt);
         endpoint.pending = endpoint.pending.saturating_sub(1);
-        endpoint.quiet_since = now;
+        endpoint.waiting_since = now;
         endpoint.lower_risk(now);
-        self.met.insert(index);
+        self.unreported.insert(index);
         self.zones.reached(&endpoint.zone);
         if endpoint.state == State::Active && endpoint.ramp < endpoint.slots {
             endpoint.ramp = endpoint.ramp.saturating_add(1);
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Notes that an attempt failed; `weight` says how sure a sign of a fault it is.
+    /// Records that an attempt failed; a higher `weight` means clearer evidence of a fault.
     pub(in crate::core::dispatch) fn failed(
         &mut self,
         index: Index,
@@ -88,7 +91,7 @@
         settings: &Settings,
     ) {
         let failed = &self.endpoints[index.0];
-        if failed.away {
+        if failed.in_other_zone {
             self.zones.missed(&failed.zone, index.0, now);
         }
         let ejected = self
@@ -97,17 +100,17 @@
             .filter(|e| e.configured && e.state != State::Active);
         let configured = self.endpoints.iter().filter(|e| e.configured).count();
         // The product is at most `configured`, so the cast is exact.
-        let most = (configured as f64 * settings.max_ejected) as usize;
-        // A lone endpoint is ejected too: its zone then shows that it has none, and
-        // requests go to another zone or wait for the probe.
-        let may_eject = ejected.count() < most.max(1);
+        let max_ejected_count = (configured as f64 * settings.max_ejected) as usize;
+        // Even the only endpoint is ejected: its zone then has none to offer, and requests go to
+        // another zone or wait for the probe.
+        let may_eject = ejected.count() < max_ejected_count.max(1);
         let endpoint = &mut self.endpoints[index.0];
         endpoint.raise_risk(1.0, now);
-        self.met.insert(index);
-        endpoint.failures = (endpoint.failures + weight).min(EJECT_AT * 2);
+        self.unreported.insert(index);
+        endpoint.failures = (endpoint.failures + weight).min(EJECTION_WEIGHT * 2);
         let probing = endpoint.state == State::Probing;
-        if probing || (endpoint.failures >= EJECT_AT && may_eject) {
-            let until = now + ejection(endpoint, settings);
+        if probing || (endpoint.failures >= EJECTION_WEIGHT && may_eject) {
+            let until = now + ejection_time(endpoint, settings);
             endpoint.state = State::Ejected(until);
             self.probe_at = Some(self.probe_at.map_or(until, |at| at.min(until)));
             endpoint.ejections += 1;
@@ -116,45 +119,46 @@
         self.rescore(index);
     }
 
-    /// Notes that a caller left before an endpoint gave a first token: it may have lost
-    /// the request, or be busy.
+    /// Records that a caller left before the first token: the endpoint may have lost the request or
+    /// be busy.
     pub(in crate::core::dispatch) fn suspected(&mut self, index: Index, now: Duration) {
-        /// What that counts beside a failure.
-        const PART: f64 = 0.75;
-        self.endpoints[index.0].raise_risk(PART, now);
-        self.met.insert(index);
+        /// The weight of this beside a failure.
+        const SUSPICION_WEIGHT: f64 = 0.75;
+        self.endpoints[index.0].raise_risk(SUSPICION_WEIGHT, now);
+        self.unreported.insert(index);
         self.rescore(index);
     }
 
-    /// Notes that another endpoint answered at its address. It gets no more work here, and
-    /// other boxes hear of a failure: each would else find out by a request of its own.
+    /// Records that another endpoint answered at its address. It gets no more requests from this
+    /// box, and the failure is reported to other boxes, each of which would otherwise learn it from
+    /// a request of its own.
     pub(in crate::core::dispatch) fn mistaken(&mut self, index: Index, now: Duration) {
         let endpoint = &mut self.endpoints[index.0];
         endpoint.raise_risk(1.0, now);
-        self.met.insert(index);
-        endpoint.leaving.get_or_insert(now);
+        self.unreported.insert(index);
+        endpoint.leaving_since.get_or_insert(now);
         self.rescore(index);
     }
 
-    /// Takes over the risks that all boxes together met, as they are told by a hub.
+    /// Adopts the risks that a hub computed from the outcomes at all boxes.
     pub(in crate::core::dispatch) fn set_risks(&mut self, risks: &[load::Risk], now: Duration) {
-        for told in risks {
-            let Some(index) = self.names.get(&told.endpoint).copied() else {
+        for reported in risks {
+            let Some(index) = self.names.get(&reported.endpoint).copied() else {
                 continue;
             };
             let endpoint = &mut self.endpoints[index.0];
-            endpoint.risk = risk::Risk::told(told.chance, now);
-            endpoint.refresh_doubt(now);
+            endpoint.risk = risk::Risk::told(reported.chance, now);
+            endpoint.refresh_risk_penalty(now);
             self.rescore(index);
         }
     }
 
-    /// What came of requests here since it was last taken.
+    /// Returns the outcomes of requests of this box since they were last taken.
     pub(in crate::core::dispatch) fn take_outcomes(&mut self) -> Vec<load::Outcome> {
         let mut outcomes = Vec::new();
-        for index in std::mem::take(&mut self.met) {
+        for index in std::mem::take(&mut self.unreported) {
             let count = std::mem::take(&mut self.endpoints[index.0].outcomes);
-            // What an earlier start met says nothing of the one that has its name now.
+            // Outcomes of an earlier start do not apply to the current one of the same name.
             if count != load::Count::default() && self.is_latest(index) {
                 let endpoint = self.endpoints[index.0].name.clone();
                 outcomes.push(load::Outcome { endpoint, count });
@@ -163,21 +167,21 @@
         outcomes
     }
 
-    /// Moves on what depends on time.
+    /// Updates everything that depends on time.
     pub(in crate::core::dispatch) fn tick(&mut self, now: Duration) {
         self.end_rests(now);
         if self.probe_at.is_some_and(|at| at <= now) {
             self.probe_ejected(now);
         }
-        if now.saturating_sub(self.refreshed) >= REFRESH {
-            self.refreshed = now;
+        if now.saturating_sub(self.last_refresh) >= REFRESH_INTERVAL {
+            self.last_refresh = now;
             self.hints.retain(|_, hint| hint.until > now);
-            self.refresh_doubts(now);
+            self.refresh_risk_penalties(now);
             self.compare_speeds();
         }
     }
 
-    /// Probes the endpoints whose ejection is over.
+    /// Starts probing the endpoints whose ejection is over.
     fn probe_ejected(&mut self, now: Duration) {
         let mut next: Option<Duration> = None;
         for i in 0..self.endpoints.len() {
@@ -194,28 +198,32 @@
         self.probe_at = next;
     }
 
-    /// Brings the endpoints' places up to risks that have faded.
-    fn refresh_doubts(&mut self, now: Duration) {
+    /// Updates the scores of endpoints whose risk has decayed.
+    fn refresh_risk_penalties(&mut self, now: Duration) {
         for i in 0..self.endpoints.len() {
-            if self.endpoints[i].doubt > 0 {
-                self.endpoints[i].refresh_doubt(now);
+            if self.endpoints[i].risk_penalty > 0 {
+                self.endpoints[i].refresh_risk_penalty(now);
                 self.rescore(Index(i));
             }
         }
     }
 
-    /// Compares each endpoint's pace with the median.
+    /// Compares the time per token of each endpoint with the median.
     fn compare_speeds(&mut self) {
-        let mut paces: Vec<_> = self.endpoints.iter().filter_map(|e| e.pace.get()).collect();
+        let mut paces: Vec<_> = self
+            .endpoints
+            .iter()
+            .filter_map(|e| e.seconds_per_unit.get())
+            .collect();
         if paces.len() < 2 {
             return;
         }
         paces.sort_by(f64::total_cmp);
-        // The lower median: with two endpoints the faster one is the measure.
+        // The lower median, so that of two endpoints the faster one is the reference.
         let median = paces[(paces.len() - 1) / 2];
         for i in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[i];
-            let Some(pace) = endpoint.pace.get() else {
+            let Some(pace) = endpoint.seconds_per_unit.get() else {
                 continue;
             };
             let speed = if pace > 0.0 {
@@ -223,7 +231,7 @@
             } else {
                 1.0
             };
-            let speed = if speed < SLOW { speed } else { 1.0 };
+            let speed = if speed < SLOW_BELOW { speed } else { 1.0 };
             if (speed - endpoint.speed).abs() > f64::EPSILON {
                 endpoint.speed = speed;
                 self.rescore(Index(i));
@@ -232,9 +240,9 @@
     }
 }
 
-/// How long an endpoint is ejected: doubling, spread by up to a half so that many
-/// do not come back at once.
-fn ejection(endpoint: &Endpoint, settings: &Settings) -> Duration {
+/// Returns how long an endpoint is ejected. The time doubles with each ejection and is extended by
+/// up to a half, so that many endpoints do not come back at once.
+fn ejection_time(endpoint: &Endpoint, settings: &Settings) -> Duration {
     let doubled = settings
         .ejection
         .saturating_mul(1 << endpoint.ejections.min(5));
--- a/src/scalewood/core/dispatch/endpoint/home.rs
+++ b/src/scalewood/core/dispatch/endpoint/home.rs
@@ -1,8 +1,9 @@
-//! Which endpoint a prompt that shares its beginning with others is read at.
+//! The choice of an endpoint for a prompt that shares a prefix with others.
 //!
-//! All boxes find the same order of endpoints for a prompt by rendezvous hashing; the
-//! first is its home, which likely keeps the shared part. A home is left for the next
-//! endpoint once what the prompt costs there (`cost`) is more by what a step away costs.
+//! All boxes compute the same order of endpoints for a prefix by rendezvous hashing. The first is
+//! the prefix's home, which likely caches it. A prompt goes to the next endpoint in the order once
+//! its home's cost (`cost`) exceeds that endpoint's by more than the cost of one step away from
+//! home.
 
 use std::{cmp::Reverse, collections::HashMap, time::Duration};
 
@@ -17,40 +18,43 @@
     name, rendezvous,
 };
 
-/// Endpoints up to which all are weighed for each prompt.
-const WEIGHED_ALL: usize = 256;
-/// Endpoints in the order of choice that are weighed where those of the ring have no room.
-const OTHERS: usize = 32;
-/// How long an endpoint likely keeps a shared part that was placed there.
-const KEPT: Duration = Duration::from_secs(30);
-/// Shared parts from which on places that ended are looked for more often.
-const MAX_KEPT: usize = 4096;
-/// How often at most: it looks at all of them.
-const SWEPT_AGAIN: Duration = Duration::from_secs(1);
-/// Where shared parts were placed of late, by all boxes, and until when they likely are
-/// there.
+/// The number of ready endpoints up to which all are compared for each prompt.
+const MAX_COMPARED: usize = 256;
+/// The number of further endpoints, in the order of choice, that are compared when the candidates
+/// of the ring have no room.
+const MAX_FURTHER: usize = 32;
+/// How long an endpoint is assumed to cache a shared prefix that was placed there.
+const CACHED_FOR: Duration = Duration::from_secs(30);
+/// The number of recorded prefixes from which on expired ones are removed more often.
+const SWEEP_FROM: usize = 4096;
+/// The least time between these removals, which go through all prefixes.
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The endpoints where all boxes recently placed prompts with a shared prefix, and until when each
+/// is assumed to cache it.
 #[derive(Debug, Default)]
-pub(super) struct Kept {
+pub(super) struct Cached {
     places: HashMap<message::Prefix, Vec<(Index, Duration)>>,
-    swept: Duration,
-    /// What this box has placed and other boxes do not know yet.
-    news: Vec<(message::Prefix, Index)>,
+    last_sweep: Duration,
+    /// The placements of this box that are not reported to other boxes yet.
+    unreported: Vec<(message::Prefix, Index)>,
 }
 
-impl Kept {
-    /// The endpoints that likely keep a shared part.
+impl Cached {
+    /// Returns the endpoints that likely cache a shared prefix.
     fn places(&self, prefix: message::Prefix, now: Duration) -> Vec<Index> {
         let places = self.places.get(&prefix).into_iter().flatten();
-        let kept = places.filter(|(_, until)| *until > now);
-        kept.map(|(index, _)| *index).collect()
+        let valid = places.filter(|(_, until)| *until > now);
+        valid.map(|(index, _)| *index).collect()
     }
 
-    /// Notes a placement; tells whether others should hear of it: it is new, or was last
-    /// told so long ago that they are about to forget it.
+    /// Records a placement. Returns whether to report it to other boxes: it is new, or the last
+    /// report is so old that they would soon forget it.
     fn note(&mut self, prefix: message::Prefix, index: Index, now: Duration) -> bool {
-        let full = self.places.len() >= MAX_KEPT && now > self.swept + SWEPT_AGAIN;
-        if full || now > self.swept + KEPT {
-            self.swept = now;
+        let is_large =
+            self.places.len() >= SWEEP_FROM && now > self.last_sweep + MIN_SWEEP_INTERVAL;
+        if is_large || now > self.last_sweep + CACHED_FOR {
+            self.last_sweep = now;
             self.places.retain(|_, places| {
                 places.retain(|(_, until)| *until > now);
                 !places.is_empty()
@@ -59,19 +63,19 @@
         let places = self.places.entry(prefix).or_default();
         let known = places.iter_mut().find(|(at, _)| *at == index);
         match known {
-            Some((_, until)) if *until > now + KEPT / 2 => false,
+            Some((_, until)) if *until > now + CACHED_FOR / 2 => false,
             Some((_, until)) => {
-                *until = now + KEPT;
+                *until = now + CACHED_FOR;
                 true
             }
             None => {
-                places.push((index, now + KEPT));
+                places.push((index, now + CACHED_FOR));
                 true
             }
         }
     }
 
-    /// Moves on to other indexes; what has none any more is forgotten.
+    /// Changes the endpoints' indexes; placements at removed endpoints are dropped.
     pub(super) fn reindex(&mut self, new: impl Fn(Index) -> Option<Index>) {
         for places in self.places.values_mut() {
             let moved = places
@@ -79,20 +83,20 @@
                 .filter_map(|(at, until)| Some((new(*at)?, *until)));
             *places = moved.collect();
         }
-        let news = self.news.iter();
-        let moved = news.filter_map(|(prefix, at)| Some((*prefix, new(*at)?)));
-        self.news = moved.collect();
+        let unreported = self.unreported.iter();
+        let moved = unreported.filter_map(|(prefix, at)| Some((*prefix, new(*at)?)));
+        self.unreported = moved.collect();
     }
 }
 
 /// The best endpoint for a prompt.
 struct Best {
     chosen: Eligible,
-    /// Whether it likely keeps what the prompt shares with others.
-    kept: bool,
-    /// How long the first token takes there.
+    /// Whether it likely caches the prompt's shared prefix.
+    cached: bool,
+    /// The predicted time to the first token there.
     first: Duration,
-    /// How much longer that is than the caller waits.
+    /// By how much `first` exceeds the limit above which the prompt is refused.
     over: Duration,
 }
 
@@ -105,18 +109,18 @@
         avoid: Option<&name::Endpoint>,
         now: Duration,
     ) -> Result<Choice, Unplaced> {
-        let few = self.candidates(prompt, now);
-        let mut best = self.best_of(&few, prompt, model, avoid, now);
-        let late = best.as_ref().is_none_or(|best| !best.over.is_zero());
-        if late && self.ready.len() > WEIGHED_ALL {
-            // Others have room, though they keep nothing that it shares.
-            let others = self.eligible(prompt.seeker, now).take(OTHERS);
-            let wider: Vec<_> = few.into_iter().chain(others).collect();
+        let candidates = self.candidates(prompt, now);
+        let mut best = self.best_of(&candidates, prompt, model, avoid, now);
+        let is_late = best.as_ref().is_none_or(|best| !best.over.is_zero());
+        if is_late && self.ready.len() > MAX_COMPARED {
+            // Other endpoints may have room, though they do not cache the prefix.
+            let others = self.eligible(prompt.seeker, now).take(MAX_FURTHER);
+            let wider: Vec<_> = candidates.into_iter().chain(others).collect();
             best = self.best_of(&wider, prompt, model, avoid, now);
         }
         let Best {
             chosen,
-            kept: kept_here,
+            cached: is_cached,
             first,
             over,
         } = best.ok_or(Unplaced::NoSlot)?;
@@ -125,10 +129,10 @@
             return Err(Unplaced::Overload(Overload { first, over }));
         }
         let prefix = prompt.placed.prefix;
-        if self.kept.note(prefix, index, now) {
-            self.kept.news.push((prefix, index));
+        if self.cached.note(prefix, index, now) {
+            self.cached.unreported.push((prefix, index));
         }
-        let choice = self.choice(index, prompt, kept_here);
+        let choice = self.choice(index, prompt, is_cached);
         let taken = Tokens {
             unread: choice.unread,
             tier: prompt.tier,
@@ -137,7 +141,7 @@
         Ok(choice)
     }
 
-    /// The best of some endpoints for a prompt.
+    /// Returns the best of the candidates for a prompt.
     fn best_of(
         &mut self,
         candidates: &[Eligible],
@@ -146,78 +150,78 @@
         avoid: Option<&name::Endpoint>,
         now: Duration,
     ) -> Option<Best> {
-        let weighed = candidates.iter();
-        let mut candidates: Vec<_> = weighed
+        let eligible_endpoints = candidates.iter();
+        let mut candidates: Vec<_> = eligible_endpoints
             .map(|eligible| (self.weight(eligible.index(), prompt), *eligible))
             .collect();
         candidates.sort_unstable_by_key(|(weight, eligible)| Reverse((*weight, eligible.index())));
         candidates.dedup_by_key(|(_, eligible)| eligible.index());
         let best = candidates.first().map(|(weight, _)| *weight);
-        self.note_kept_from(prompt, best, now);
-        let mut kept = self.kept.places(prompt.placed.prefix, now);
-        // At an endpoint of the other group it would be in the way of others.
-        kept.retain(|index| !self.is_foreign(*index, prompt));
-        let step = cost::step(prompt, model);
-        // Where it is kept nowhere, its home is as good as a place that keeps it. Steps are
-        // counted in each of the two groups by itself.
-        let mut steps = [Cost::from(!kept.is_empty()); 2];
+        self.count_diverted(prompt, best, now);
+        let mut cached_at = self.cached.places(prompt.placed.prefix, now);
+        // Ignores endpoints of the other group, where the prompt would disturb the streams.
+        cached_at.retain(|index| !self.is_foreign(*index, prompt));
+        let step_cost = cost::step_cost(prompt, model);
+        // If the prefix is cached nowhere, its home costs no more than an endpoint that caches it.
+        // Steps are counted separately in the two groups.
+        let mut steps = [Cost::from(!cached_at.is_empty()); 2];
         let ranked = candidates.into_iter().map(|(_, eligible)| {
             let index = eligible.index();
             let endpoint = &self.endpoints[index.0];
             let foreign = self.is_foreign(index, prompt);
-            let kept_here = kept.contains(&index);
-            let mut away = 0;
-            if !kept_here {
+            let is_cached = cached_at.contains(&index);
+            let mut distance_cost = 0;
+            if !is_cached {
                 let steps = &mut steps[usize::from(foreign)];
-                away = step * *steps;
+                distance_cost = step_cost * *steps;
                 *steps += 1;
             }
             let avoided = avoid == Some(&endpoint.name);
-            let cut = endpoint.away && self.zones.is_suspect(&endpoint.zone, now);
-            let cost = away + self.cost(endpoint, prompt, model, now);
-            ((avoided, cut, cost), eligible, kept_here)
+            let is_suspect = endpoint.in_other_zone && self.zones.is_suspect(&endpoint.zone, now);
+            let cost = distance_cost + self.cost(endpoint, prompt, model, now);
+            ((avoided, is_suspect, cost), eligible, is_cached)
         });
-        let (_, chosen, kept) = ranked.min_by_key(|(rank, ..)| *rank)?;
-        let first = cost::first(&self.endpoints[chosen.index().0], prompt, kept, model);
+        let (_, chosen, cached) = ranked.min_by_key(|(rank, ..)| *rank)?;
+        let first = cost::first_token(&self.endpoints[chosen.index().0], prompt, cached, model);
         Some(Best {
             chosen,
-            kept,
+            cached,
             first,
-            over: first.saturating_sub(prompt.longest_first()),
+            over: first.saturating_sub(prompt.max_first_token()),
         })
     }
 
-    /// The endpoints that are weighed for a prompt: all that it may go to where these are few, else
-    /// those of its place on the ring and those that likely keep what it shares.
+    /// Returns the endpoints to compare for a prompt. If few are ready, that is all eligible ones;
+    /// otherwise the prefix's candidates on the ring and those that likely cache the prefix.
     fn candidates(&self, prompt: &Prompt<'_>, now: Duration) -> Vec<Eligible> {
-        if self.ready.len() <= WEIGHED_ALL {
+        if self.ready.len() <= MAX_COMPARED {
             return self.eligible(prompt.seeker, now).collect();
         }
         let prefix = prompt.placed.prefix;
         let at = |index| self.eligible_at(index, prompt.seeker, now);
-        let mut candidates = self.ring.of(prefix.0, |index| at(index).is_some());
-        candidates.extend(self.kept.places(prefix, now));
+        let mut candidates = self.ring.candidates(prefix.0, |index| at(index).is_some());
+        candidates.extend(self.cached.places(prefix, now));
         candidates.into_iter().filter_map(at).collect()
     }
 
-    /// Notes that a prompt belongs to an endpoint that warms up or limits its requests and may not be
-    /// sent there, since the best of the others has a lower weight.
-    fn note_kept_from(&mut self, prompt: &Prompt<'_>, best: Option<u64>, now: Duration) {
-        if !self.warming && !self.limited {
+    /// Counts a prompt as diverted if its home, by weight, is an endpoint that may not be used
+    /// because it warms up or limits its request rate. `best` is the highest weight of the others.
+    fn count_diverted(&mut self, prompt: &Prompt<'_>, best: Option<u64>, now: Duration) {
+        if !self.any_warming && !self.any_limited {
             return;
         }
         let ready = self.ready.iter().map(|(_, index)| *index);
-        let barred = ready.filter(|index| !self.endpoints[index.0].bears(now));
+        let barred = ready.filter(|index| !self.endpoints[index.0].may_send(now));
         let home = barred.max_by_key(|index| self.weight(*index, prompt));
         let Some(home) = home.filter(|home| Some(self.weight(*home, prompt)) > best) else {
             return;
         };
         let endpoint = &mut self.endpoints[home.0];
-        endpoint.kept_from += 1;
+        endpoint.diverted += 1;
         if endpoint.is_within_limit(now) {
-            self.kept_back += 1;
+            self.diverted_by_warm_up += 1;
         } else {
-            self.limit_kept += 1;
+            self.diverted_by_limit += 1;
         }
     }
 
@@ -232,12 +236,12 @@
         }
     }
 
-    /// Whether an endpoint is for prompts of the other kind.
+    /// Returns whether an endpoint belongs to the other group of prompt lengths.
     fn is_foreign(&self, index: Index, prompt: &Prompt<'_>) -> bool {
         prompt.is_foreign(&self.endpoints[index.0])
     }
 
-    /// Notes what other boxes have placed.
+    /// Records the placements of other boxes.
     pub(in crate::core::dispatch) fn note_placed(
         &mut self,
         placements: &[load::Placement],
@@ -245,26 +249,26 @@
     ) {
         for placement in placements {
             if let Some(index) = self.names.get(&placement.endpoint) {
-                self.kept.note(placement.prefix, *index, now);
+                self.cached.note(placement.prefix, *index, now);
             }
         }
     }
 
-    /// What this box has placed since it was last taken.
+    /// Returns the placements of this box since they were last taken.
     pub(in crate::core::dispatch) fn take_placements(&mut self) -> Vec<load::Placement> {
-        let news = std::mem::take(&mut self.kept.news);
+        let unreported = std::mem::take(&mut self.cached.unreported);
         let placement = |(prefix, index): (_, Index)| load::Placement {
             prefix,
             endpoint: self.endpoints[index.0].name.clone(),
         };
-        news.into_iter().map(placement).collect()
+        unreported.into_iter().map(placement).collect()
     }
 
     fn weight(&self, index: Index, prompt: &Prompt<'_>) -> u64 {
         rendezvous::mix(prompt.placed.prefix.0 ^ self.endpoints[index.0].hash)
     }
 
-    /// The part of the slots of the endpoints for short prompts that is used.
+    /// Returns the fraction of the slots of the endpoints for short prompts that is in use.
     pub(in crate::core::dispatch) fn crowding(&self) -> f64 {
         let parted = self.endpoints.iter();
         let parted = parted.filter(|e| e.configured && e.for_short);
@@ -274,12 +278,12 @@
         let running = if self.others_known {
             own + others
         } else {
-            own * (self.sharers + 1)
+            own * (self.other_boxes + 1)
         };
         f64::from(running) / f64::from(slots.max(1))
     }
 
-    /// Sets what other boxes have at the endpoints, if that is known.
+    /// Replaces the load of other boxes, or clears it if it is not known.
     pub(in crate::core::dispatch) fn set_others(&mut self, others: Option<&load::Loads>) {
         self.others_known = others.is_some();
         for endpoint in &mut self.endpoints {
@@ -288,25 +292,25 @@
         }
         let unknown = others.into_iter().flatten();
         let unknown = unknown.filter(|(name, _)| !self.names.contains_key(*name));
-        self.strangers = unknown.map(|(name, load)| (name.clone(), *load)).collect();
+        self.unknown_loads = unknown.map(|(name, load)| (name.clone(), *load)).collect();
         self.rescore_all();
     }
 
-    /// Sets what other boxes have at some endpoints.
+    /// Updates the load of other boxes at some endpoints.
     pub(in crate::core::dispatch) fn change_others(&mut self, changed: &[load::Loaded]) {
         for load::Loaded { endpoint, load } in changed {
             if let Some(index) = self.names.get(endpoint).copied() {
                 self.endpoints[index.0].others = *load;
                 self.rescore(index);
             } else if *load == Load::default() {
-                self.strangers.remove(endpoint);
+                self.unknown_loads.remove(endpoint);
             } else {
-                self.strangers.insert(endpoint.clone(), *load);
+                self.unknown_loads.insert(endpoint.clone(), *load);
             }
         }
     }
 
-    /// What this box has at the endpoints.
+    /// Returns the load of this box at each endpoint where it has requests.
     pub(in crate::core::dispatch) fn loads(
         &self,
     ) -> impl Iterator<Item = (name::Endpoint, Load)> + '_ {
--- a/src/scalewood/core/dispatch/endpoint/rest.rs
+++ b/src/scalewood/core/dispatch/endpoint/rest.rs
@@ -1,7 +1,7 @@
-//! Endpoints that want nothing from a box for a while.
+//! Endpoints that asked a box to back off (`Retry-After`).
 //!
-//! One that turns a request away and names no time is as good as before: where endpoints turned
-//! away a part of what they got, to avoid them served fewer requests than to try again.
+//! An endpoint that refuses a request without naming a time is used as before: where endpoints
+//! refuse a part of their requests, avoiding them serves fewer requests than trying again.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::core::{name, rest};
 
 impl Set {
-    /// Notes the endpoints that rest from a box, as it tells.
+    /// Records the endpoints that asked a box to back off, as that box reports them.
     pub(in crate::core::dispatch) fn note_rests(
         &mut self,
         origin: &name::Box,
@@ -21,48 +21,48 @@
                 continue;
             };
             let endpoint = &mut self.endpoints[index.0];
-            // Another start of it has not asked for anything.
+            // A different start of the endpoint has not asked for this.
             if endpoint.start != Some(told.start) {
                 continue;
             }
             endpoint.rests.insert(origin.clone(), now + told.left);
-            // What it has now is what it takes. As the rest ends it gets no more at first, and one
-            // more with each that it begins.
+            // What it runs now is what it can take. When the back-off ends it gets no more than
+            // that at first, and one more with each first token.
             endpoint.ramp = endpoint.ramp.min(endpoint.running).max(1);
-            self.resting = true;
+            self.any_resting = true;
             self.rescore(index);
         }
     }
 
-    /// Forgets the rests that a box told of.
+    /// Removes all back-offs that a box reported.
     pub(in crate::core::dispatch) fn forget_rests(&mut self, origin: &name::Box) {
         for endpoint in &mut self.endpoints {
             endpoint.rests.remove(origin);
         }
     }
 
-    /// Ends the rests whose time is over.
+    /// Removes the back-offs that are over.
     pub(super) fn end_rests(&mut self, now: Duration) {
-        if !self.resting {
+        if !self.any_resting {
             return;
         }
-        self.resting = false;
+        self.any_resting = false;
         for endpoint in &mut self.endpoints {
             endpoint.rests.retain(|_, until| *until > now);
-            self.resting |= !endpoint.rests.is_empty();
+            self.any_resting |= !endpoint.rests.is_empty();
         }
     }
 
-    /// Whether any endpoint may rest from any box.
+    /// Returns whether any endpoint may have asked any box to back off.
     pub(in crate::core::dispatch) fn has_rests(&self) -> bool {
-        self.resting
+        self.any_resting
     }
 
-    /// When the first of them ends its rest, where all endpoints rest that may serve a request;
-    /// nothing where one does not.
+    /// Returns when the first back-off ends, if all endpoints that may serve a request asked its
+    /// box to back off; otherwise `None`.
     pub(in crate::core::dispatch) fn rest_until(&self, seeker: Seeker<'_>) -> Option<Duration> {
         let serving = self.endpoints.iter();
-        let serving = serving.filter(|e| e.configured && e.leaving.is_none());
+        let serving = serving.filter(|e| e.configured && e.leaving_since.is_none());
         let serving = serving.filter(|e| e.may_serve(seeker.allowed));
         let until = serving.map(|e| e.rests.get(seeker.origin).copied());
         until.collect::<Option<Vec<_>>>()?.into_iter().min()
--- a/src/scalewood/core/dispatch/endpoint/slots.rs
+++ b/src/scalewood/core/dispatch/endpoint/slots.rs
@@ -1,5 +1,5 @@
-//! Choosing by free slots: the least used endpoint goes first, or the one that likely caches
-//! the prompt's prefix.
+//! The choice of an endpoint by free slots: the least used one, or one that likely caches the
+//! prompt's prefix.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
     prompt::Prefix,
 };
 
-/// Where a prefix is likely cached.
+/// An endpoint that likely caches a prefix, and until when that is assumed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hint {
     pub(super) index: Index,
     pub(super) until: Duration,
 }
 
-/// The most prefix hints that are kept.
+/// The maximum number of prefix hints.
 const MAX_HINTS: usize = 8192;
 
 /// A request that is to get the least used endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Wanted<'a> {
-    /// Who asks.
+    /// The constraints of the request.
     pub(in crate::core::dispatch) seeker: Seeker<'a>,
-    /// The prompt's prefix, if an engine's cache is worth something to it.
+    /// The prompt's prefix, if the request benefits from an engine's prefix cache.
     pub(in crate::core::dispatch) prefix: Option<Prefix>,
-    /// The endpoint that it goes to last.
+    /// The endpoint to use only if no other is free.
     pub(in crate::core::dispatch) avoid: Option<&'a name::Endpoint>,
 }
 
@@ -66,7 +66,8 @@
             .is_some_and(|name| self.endpoints[index.0].name == *name)
     }
 
-    /// The endpoint that likely caches a prefix, while it costs little to wait for.
+    /// Returns the endpoint that likely caches the prefix, if its score is within `hint_slack` of
+    /// the best.
     fn hinted(
         &self,
         best: Eligible,
@@ -82,7 +83,7 @@
         (!self.is_avoided(index, wanted) && hinted.score() <= most).then_some(hinted)
     }
 
-    /// Notes a cache event. Events come late and with gaps, so they only hint.
+    /// Records a cache event. Events are late and incomplete, so they are only hints.
     pub(in crate::core::dispatch) fn set_cached(
         &mut self,
         name: &name::Endpoint,
--- a/src/scalewood/core/dispatch/endpoint/throttle.rs
+++ b/src/scalewood/core/dispatch/endpoint/throttle.rs
@@ -1,71 +1,74 @@
-//! Endpoints that limit the requests a second from all boxes together.
+//! Rate limits that endpoints set for all boxes together.
 
 use std::{cmp::Reverse, time::Duration};
 
-use super::{Endpoint, Set, LEANING};
+use super::{Endpoint, Set, MAX_BIAS};
 use crate::core::{
     name, registry,
     throttle::{Alone, Limit, Wanted},
 };
 
-/// For how long, in seconds, permits are asked for ahead: a few exchanges with a voter, so that
-/// those that a box gets are there when its requests come.
-const AHEAD: f64 = 0.5;
-/// The most endpoints of a service that permits are asked for at once: half a kilobyte.
-const MOST_WANTED: usize = 16;
-/// How many times its equal part of all limits a box has to be issued to count on it.
-const UNEVEN: f64 = 1.5;
-/// The requests a second below which a box wants permits for those alone that wait.
-const SELDOM: f64 = 0.01;
+/// The time, in seconds, for whose expected requests permits are requested in advance: a few
+/// exchanges with a voter, so that the permits are here when the requests come.
+const PREFETCH_SECONDS: f64 = 0.5;
+/// The maximum number of endpoints of a service in one request for permits: half a kilobyte.
+const MAX_WANTED_ENDPOINTS: usize = 16;
+/// A box relies on the permits that it is issued once their rate exceeds its equal share of all
+/// limits by this factor.
+const MIN_ISSUED_FACTOR: f64 = 1.5;
+/// The rate, in requests per second, below which a box asks for permits only for requests that are
+/// already waiting.
+const MIN_PREFETCH_RATE: f64 = 0.01;
 
-/// A limit that has changed.
+/// A changed rate limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// Which start of it.
+    /// The start of the endpoint that the limit applies to.
     pub start: registry::Start,
-    /// Its limit; nothing once it has ended.
+    /// The limit, or `None` once it has ended.
     pub limit: Option<Limit>,
 }
 
-/// Permits that a box was issued.
+/// Permits issued to this box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pass {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// How many.
+    /// The number of permits.
     pub count: u32,
-    /// Until when they hold, by this box's clock.
+    /// Their expiry, by this box's clock.
     pub until: Duration,
 }
 
-/// A box's own part of the limit of an endpoint that it leans to so far, beside so many others.
-pub(super) fn alone(since: Option<Duration>, sharers: u32, leaning: u64) -> Option<Alone> {
+/// Returns a box's own share of an endpoint's limit while no permits are issued. The bias shifts
+/// its own permits in time against those of other boxes.
+pub(super) fn own_share(since: Option<Duration>, other_boxes: u32, bias: u64) -> Option<Alone> {
     let alone = |since| Alone {
         since,
-        boxes: sharers + 1,
+        boxes: other_boxes + 1,
         // Both are small, so the casts are exact.
-        phase: leaning as f64 / LEANING as f64,
+        phase: bias as f64 / MAX_BIAS as f64,
     };
     since.map(alone)
 }
 
 impl Endpoint {
-    /// Whether this box may send to it now, as far as its limit is concerned.
+    /// Returns whether the rate limit, if any, allows this box to send to it now.
     pub(super) fn is_within_limit(&self, now: Duration) -> bool {
         let limit = self.standing.limit;
         limit.is_none_or(|limit| self.permits.permits(limit, now))
     }
 
-    /// Whether it serves and has a limit.
+    /// Returns whether it serves requests and has a rate limit.
     fn is_limited(&self) -> bool {
-        self.configured && self.leaving.is_none() && self.standing.limit.is_some()
+        self.configured && self.leaving_since.is_none() && self.standing.limit.is_some()
     }
 }
 
 impl Set {
-    /// Sets the limits that have changed.
+    /// Applies changed rate limits.
     pub(in crate::core::dispatch) fn set_limits(&mut self, changes: &[Change]) {
         for change in changes {
             let Some(index) = self.names.get(&change.endpoint) else {
@@ -74,35 +77,35 @@
             let endpoint = &mut self.endpoints[index.0];
             if endpoint.start == Some(change.start) {
                 endpoint.standing.limit = change.limit;
-                self.limited |= change.limit.is_some();
+                self.any_limited |= change.limit.is_some();
             }
         }
         self.sum_limits();
     }
 
-    /// Takes permits that were issued.
+    /// Adds permits that were issued.
     pub(in crate::core::dispatch) fn take_permits(&mut self, passes: &[Pass], now: Duration) {
         for pass in passes {
             if let Some(index) = self.names.get(&pass.endpoint) {
                 let permits = &mut self.endpoints[index.0].permits;
                 permits.add(pass.count, pass.until);
-                self.issued.add(pass.count, now);
+                self.issue_rate.add(pass.count, now);
             }
         }
     }
 
-    /// Sets whether this box is issued no permits.
+    /// Sets since when this box has been issued no permits; `None` while it is issued some.
     pub(in crate::core::dispatch) fn set_alone(&mut self, since: Option<Duration>) {
-        self.alone = since;
+        self.alone_since = since;
         for endpoint in &mut self.endpoints {
-            let alone = alone(since, self.sharers, endpoint.leaning);
+            let alone = own_share(since, self.other_boxes, endpoint.bias);
             endpoint.permits.set_alone(alone);
         }
     }
 
-    /// Adds up the limits, if all endpoints that serve have one.
+    /// Recomputes the sum of the limits, which exists only if all serving endpoints have one.
     pub(super) fn sum_limits(&mut self) {
-        if !self.limited {
+        if !self.any_limited {
             return;
         }
         let serving = self.endpoints.iter().filter(|e| e.allowed() > 0);
@@ -113,52 +116,57 @@
             all &= limit.is_some();
             any |= limit.is_some();
         }
-        self.limited = any;
-        self.limits = (any && all).then_some(sum);
+        self.any_limited = any;
+        self.limit_sum = (any && all).then_some(sum);
     }
 
-    /// The requests a second that this box may send, if all endpoints that serve limit theirs: its
-    /// equal part of all limits, or what it is issued if that is more.
+    /// Returns the requests per second that this box may send if all serving endpoints limit
+    /// theirs: its equal share of all limits, or the rate at which it is issued permits if that is
+    /// well above the share.
     pub(in crate::core::dispatch) fn throttled(&self, now: Duration) -> Option<f64> {
-        let part = self.limits? / f64::from(self.sharers + 1);
-        let issued = self.issued.rate(now);
-        Some(if issued > part * UNEVEN { issued } else { part })
+        let share = self.limit_sum? / f64::from(self.other_boxes + 1);
+        let issued = self.issue_rate.rate(now);
+        Some(if issued > share * MIN_ISSUED_FACTOR {
+            issued
+        } else {
+            share
+        })
     }
 
-    /// Requests that were kept from their home by its limit, since this was last taken.
+    /// Returns and resets the number of requests diverted from their home by its limit.
     pub(in crate::core::dispatch) fn take_limited(&mut self) -> u32 {
-        std::mem::take(&mut self.limit_kept)
+        std::mem::take(&mut self.diverted_by_limit)
     }
 
-    /// The permits that a box wants which is asked so often and has so many requests that wait,
-    /// those first of endpoints that most requests were kept from.
+    /// Returns the permits to request, given the rate of arriving requests and the number of
+    /// waiting ones. Endpoints from which most requests were diverted come first.
     pub(in crate::core::dispatch) fn wanted_permits(
         &mut self,
-        a_second: f64,
+        requests_per_second: f64,
         waiting: usize,
         now: Duration,
     ) -> Vec<Wanted> {
-        // Endpoints may have been ejected, or have come back, meanwhile.
+        // Endpoints may have been ejected or become active again since the last change.
         self.sum_limits();
-        if !self.limited || (waiting == 0 && a_second < SELDOM) {
+        if !self.any_limited || (waiting == 0 && requests_per_second < MIN_PREFETCH_RATE) {
             return Vec::new();
         }
         // A few requests at most, so the cast is exact.
-        let soon = (a_second * AHEAD).ceil() as u32;
-        let need = soon.saturating_add(u32::try_from(waiting).unwrap_or(u32::MAX));
+        let expected = (requests_per_second * PREFETCH_SECONDS).ceil() as u32;
+        let need = expected.saturating_add(u32::try_from(waiting).unwrap_or(u32::MAX));
         let limited = self.endpoints.iter_mut().filter(|e| e.is_limited());
         let mut wanted: Vec<_> = limited
             .map(|endpoint| {
-                endpoint.kept_from /= 2;
-                let place = (Reverse(endpoint.kept_from), endpoint.leaning);
+                endpoint.diverted /= 2;
+                let order = (Reverse(endpoint.diverted), endpoint.bias);
                 let count = need.saturating_sub(endpoint.permits.count(now));
                 let endpoint = endpoint.name.clone();
-                (place, Wanted { endpoint, count })
+                (order, Wanted { endpoint, count })
             })
             .filter(|(_, wanted)| wanted.count > 0)
             .collect();
-        wanted.sort_by_key(|(place, _)| *place);
-        let wanted = wanted.into_iter().take(MOST_WANTED);
+        wanted.sort_by_key(|(order, _)| *order);
+        let wanted = wanted.into_iter().take(MAX_WANTED_ENDPOINTS);
         wanted.map(|(_, wanted)| wanted).collect()
     }
 }
