--- a/src/scalewood/core/throttle/ballot.rs
+++ b/src/scalewood/core/throttle/ballot.rs
@@ -1,49 +1,50 @@
-//! Which voter issues an endpoint's permits, and how many a second.
+//! Decides which voter issues an endpoint's permits, and at which rate.
 //!
-//! Which voters reach each other, each of them sees in its own way. So a voter issues permits by
-//! the votes of all: each voter votes for one issuer of an endpoint at a time, by a lease that runs
-//! out ([`VOTE`]), and gives its vote to another one only once that has run out. With a majority
-//! an issuer goes by the whole limit, else by the part that its votes are of all. As each vote counts
-//! for one issuer, all of them together come to less than one and a half times the limit.
+//! Each voter has its own view of which other voters are reachable, so the right to issue is
+//! granted by votes. For each endpoint a voter votes for one issuer at a time, by a lease of
+//! [`VOTE_LEASE`], and votes for another one only after that lease has expired. An issuer with a
+//! majority of the votes uses the whole limit, any other the fraction of it that its votes are of
+//! all voters. As each vote counts for one issuer only, all issuers together stay below one and a
+//! half times the limit.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::Limit;
 use crate::core::{name, rendezvous};
 
-/// How long another voter may be silent and counts as reached: it answers four times a second.
-const SILENCE: Duration = Duration::from_millis(750);
-/// For how long a vote holds, counted from when it was asked for.
-const VOTE: Duration = Duration::from_millis(500);
+/// A voter counts as reachable for this long after its last answer; it answers four times a second.
+const PEER_TIMEOUT: Duration = Duration::from_millis(750);
+/// How long a vote is valid, counted from when it was requested.
+const VOTE_LEASE: Duration = Duration::from_millis(500);
 
-/// Another voter.
+/// What is known of another voter.
 #[derive(Debug, Default)]
 struct Peer {
-    /// When it answered last.
-    answered: Option<Duration>,
-    /// Since when it may be chosen as an issuer here, if it may.
-    chosen_since: Option<Duration>,
-    /// Until when it may count on votes from here.
-    voted_until: Duration,
-    /// The voters among which it chooses issuers.
-    voters: Vec<name::Box>,
-    /// Until when its votes hold, by that.
-    votes_until: Duration,
+    /// When it last answered.
+    last_answer: Option<Duration>,
+    /// Since when it has been a candidate for issuer here, if it is one.
+    candidate_since: Option<Duration>,
+    /// Until when votes granted to it here may still be in use.
+    vote_granted_until: Duration,
+    /// The voters among which it picks issuers; empty if it does not vote for this voter.
+    candidates: Vec<name::Box>,
+    /// Until when its votes are valid.
+    votes_valid_until: Duration,
 }
 
 impl Peer {
     fn is_reached(&self, now: Duration) -> bool {
-        self.answered.is_some_and(|at| now < at + SILENCE)
+        self.last_answer.is_some_and(|at| now < at + PEER_TIMEOUT)
     }
 }
 
-/// The votes of all voters, as one of them knows them.
+/// The votes of all voters, as known to one of them.
 #[derive(Debug)]
 pub(super) struct Ballot {
     own: name::Box,
-    /// How many voters there are.
+    /// The number of voters, this one included.
     voters: usize,
-    /// When this voter was first asked or told anything.
+    /// When this voter first sent or received anything.
     started: Option<Duration>,
     peers: BTreeMap<name::Box, Peer>,
 }
@@ -62,57 +63,58 @@
         self.voters = voters;
     }
 
-    /// Takes another voter's votes, which were asked for at a time: the voters among which it
-    /// chooses, none if it does not vote for this one.
-    pub(super) fn take(
+    /// Records another voter's votes, requested at `asked`: `candidates` are the voters among which
+    /// it picks issuers, empty if it does not vote for this voter.
+    pub(super) fn record_votes(
         &mut self,
         from: &name::Box,
-        voters: Vec<name::Box>,
+        candidates: Vec<name::Box>,
         asked: Duration,
         now: Duration,
     ) {
         let peer = self.peers.entry(from.clone()).or_default();
-        peer.answered = Some(now);
-        peer.voters = voters;
-        peer.votes_until = asked + VOTE;
-        self.choose(now);
+        peer.last_answer = Some(now);
+        peer.candidates = candidates;
+        peer.votes_valid_until = asked + VOTE_LEASE;
+        self.update_candidates(now);
     }
 
-    /// Chooses issuers among the voters that answer. One that answers no more is left out only once
-    /// it can't count on votes from here.
-    pub(super) fn choose(&mut self, now: Duration) {
+    /// Updates the candidates: the voters that answer. One that stops answering is removed only
+    /// when the votes granted to it here have expired.
+    pub(super) fn update_candidates(&mut self, now: Duration) {
         self.started.get_or_insert(now);
         for peer in self.peers.values_mut() {
             if peer.is_reached(now) {
-                peer.chosen_since.get_or_insert(now);
-            } else if now >= peer.voted_until {
-                peer.chosen_since = None;
+                peer.candidate_since.get_or_insert(now);
+            } else if now >= peer.vote_granted_until {
+                peer.candidate_since = None;
             }
         }
     }
 
-    /// The voter that issues an endpoint's permits, as far as is known here.
+    /// Returns the voter that issues an endpoint's permits, as seen from here.
     pub(super) fn issuer_of(&self, endpoint: &name::Endpoint) -> &name::Box {
-        winner(endpoint, self.choices()).unwrap_or(&self.own)
+        winner(endpoint, self.candidates()).unwrap_or(&self.own)
     }
 
-    /// Votes for another voter wherever it is the choice here: the voters among which this one
-    /// chooses, none if it may not vote for that one.
-    pub(super) fn vote_for(&mut self, peer: &name::Box, now: Duration) -> Vec<name::Box> {
+    /// Votes for another voter on all endpoints where it is the winner here. Returns the candidates
+    /// of this voter, or none if it may not vote for that one yet.
+    pub(super) fn grant_vote(&mut self, peer: &name::Box, now: Duration) -> Vec<name::Box> {
         let Some(known) = self.peers.get(peer) else {
             return Vec::new();
         };
-        if !known.is_reached(now) || !self.may_vote(known.chosen_since, now) {
+        if !known.is_reached(now) || !self.may_vote(known.candidate_since, now) {
             return Vec::new();
         }
-        let voters = self.choices().cloned().collect();
+        let candidates = self.candidates().cloned().collect();
         if let Some(known) = self.peers.get_mut(peer) {
-            known.voted_until = now + VOTE;
+            known.vote_granted_until = now + VOTE_LEASE;
         }
-        voters
+        candidates
     }
 
-    /// The permits a second that this voter may issue of a limit, if it is to issue any.
+    /// Returns the permits per second that this voter may issue under a limit, or `None` if it has
+    /// no votes.
     pub(super) fn rate(
         &self,
         endpoint: &name::Endpoint,
@@ -124,35 +126,41 @@
         if 2 * votes > voters {
             return Some(limit.per_second());
         }
-        // A few voters, so the casts are exact.
+        // There are only a few voters, so the casts are exact.
         (votes > 0).then(|| limit.per_second() * votes as f64 / voters as f64)
     }
 
-    /// How many voters have this one issue an endpoint's permits.
+    /// Returns how many voters vote for this one as the issuer of an endpoint's permits.
     fn votes(&self, endpoint: &name::Endpoint, now: Duration) -> usize {
-        let is_own = self.issuer_of(endpoint) == &self.own;
-        let own = is_own && self.may_vote(self.started, now);
-        let holding = self.peers.values().filter(|peer| now < peer.votes_until);
-        let others = holding.filter(|peer| winner(endpoint, &peer.voters) == Some(&self.own));
+        let is_winner = self.issuer_of(endpoint) == &self.own;
+        let own = is_winner && self.may_vote(self.started, now);
+        let voting = self
+            .peers
+            .values()
+            .filter(|peer| now < peer.votes_valid_until);
+        let others = voting.filter(|peer| winner(endpoint, &peer.candidates) == Some(&self.own));
         usize::from(own) + others.count()
     }
 
-    /// The voters among which issuers are chosen, this one included.
-    fn choices(&self) -> impl Iterator<Item = &name::Box> {
+    /// Returns the candidates for issuer, this voter included.
+    fn candidates(&self) -> impl Iterator<Item = &name::Box> {
         let peers = self.peers.iter();
-        let chosen = peers.filter(|(_, peer)| peer.chosen_since.is_some());
-        std::iter::once(&self.own).chain(chosen.map(|(name, _)| name))
+        let reached = peers.filter(|(_, peer)| peer.candidate_since.is_some());
+        std::iter::once(&self.own).chain(reached.map(|(name, _)| name))
     }
 
-    /// Whether the votes for others have run out that were given before one could be chosen, also
-    /// those from before this voter's start.
-    fn may_vote(&self, chosen_since: Option<Duration>, now: Duration) -> bool {
-        let has_passed = |since: Option<Duration>| since.is_some_and(|since| now >= since + VOTE);
-        has_passed(self.started) && has_passed(chosen_since)
+    /// Returns whether all votes given to others have expired since this voter started and since
+    /// `candidate_since`. Votes from before a restart are not known any more, but may still be in
+    /// use.
+    fn may_vote(&self, candidate_since: Option<Duration>, now: Duration) -> bool {
+        let has_elapsed =
+            |since: Option<Duration>| since.is_some_and(|since| now >= since + VOTE_LEASE);
+        has_elapsed(self.started) && has_elapsed(candidate_since)
     }
 }
 
-/// Which of some voters issues an endpoint's permits: the same one wherever these are the choices.
+/// Returns the issuer of an endpoint's permits among some voters. It is the same wherever the
+/// voters are the same.
 fn winner<'a>(
     endpoint: &name::Endpoint,
     voters: impl IntoIterator<Item = &'a name::Box>,
--- a/src/scalewood/core/throttle/book.rs
+++ b/src/scalewood/core/throttle/book.rs
@@ -1,9 +1,10 @@
-//! What a process believes of the limits that endpoints name.
+//! The rate limits of endpoints, as known to one process.
 //!
-//! Answers overtake each other, and no two processes share a clock. A limit has ended once a
-//! request that was sent after it was last named is answered without it; of what two processes
-//! heard of one start, the later word holds. What is told on carries its age, which a slow
-//! message makes too small: then a word may win that is earlier by as much, until the next answer.
+//! Answers may arrive out of order, and processes share no clock. A limit has ended once a request
+//! that was sent after the limit was last reported is answered without one. When two processes have
+//! heard from the same start of an endpoint, the later report wins. A forwarded report carries its
+//! age, which leaves out the time that the message took: until the next answer, a report may
+//! therefore win over one that is later by up to that time.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,53 +13,54 @@
 use super::Limit;
 use crate::core::{name, registry, unit};
 
-/// How long a word is believed in that no answer has confirmed since.
-const LIFE: Duration = Duration::from_secs(600);
-/// How much later a word has to be confirmed for others to hear of it again.
-const CONFIRMED: Duration = Duration::from_secs(120);
+/// How long a report is kept without an answer that confirms it.
+const RETENTION: Duration = Duration::from_secs(600);
+/// A report that only confirms the limit is forwarded again if it is at least this much later than
+/// the one that was forwarded.
+const CONFIRMATION_INTERVAL: Duration = Duration::from_secs(120);
 
-/// What an answer changed.
+/// How an answer changed the known limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// Nothing.
+    /// No change.
     Nothing,
-    /// A limit is new or another than before.
+    /// The limit is new or has another value than before.
     Named(Limit),
     /// The limit has ended.
     Ended,
 }
 
-/// The last word of a start of an endpoint.
+/// The last report of one start of an endpoint.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Report {
     start: registry::Start,
-    /// Its limit; nothing once it has ended.
+    /// The limit, or `None` once it has ended.
     limit: Option<Limit>,
-    /// When it was heard, anywhere.
+    /// When the report arrived at the process that received it first, by the clock here.
     heard: Duration,
-    /// When others were last to hear it.
-    told: Duration,
-    /// Since when this process knows of a limit without a break.
+    /// The value of `heard` when the report was last queued for other processes.
+    forwarded: Duration,
+    /// Since when this process has known of a limit without interruption.
     since: Duration,
-    /// The book's stamp when others were last to hear it.
+    /// The book's stamp when the report was last queued for other processes.
     stamp: u64,
 }
 
-/// A word as it is told; written as a row.
+/// A report as it is sent to other processes; serialised as a tuple.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Fields", into = "Fields")]
 pub struct Row {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// Which start of it.
+    /// The start of the endpoint that reported it.
     pub start: registry::Start,
-    /// Its limit; nothing once it has ended.
+    /// The limit, or `None` once it has ended.
     pub limit: Option<Limit>,
-    /// How long ago it was heard.
+    /// How long ago the report was received.
     pub age: Duration,
 }
 
-/// Endpoint, start, limit, age in milliseconds.
+/// Endpoint, start, limit, and age in milliseconds.
 type Fields = (
     name::Endpoint,
     Option<unit::Incarnation>,
@@ -84,59 +86,65 @@
     }
 }
 
-/// The limits that a process knows of.
+/// The rate limits of endpoints that a process knows.
 #[derive(Debug, Default)]
 pub struct Book {
-    words: BTreeMap<name::Endpoint, Word>,
+    reports: BTreeMap<name::Endpoint, Report>,
     stamp: u64,
 }
 
 impl Book {
-    /// Takes what an answer says of a start of an endpoint that a request was sent to at a time:
-    /// its limit, or that it has none.
+    /// Records the limit in an answer to a request that was sent at `sent_at`; `reported` is `None` if
+    /// the answer has no limit.
     pub fn hear(
         &mut self,
         endpoint: &name::Endpoint,
         start: registry::Start,
-        said: Option<Limit>,
+        reported: Option<Limit>,
         sent_at: Duration,
         now: Duration,
     ) -> Heard {
-        let known = self.words.get(endpoint).filter(|word| word.start >= start);
-        if known.is_some_and(|word| word.start > start) {
+        let known = self
+            .reports
+            .get(endpoint)
+            .filter(|report| report.start >= start);
+        if known.is_some_and(|report| report.start > start) {
             return Heard::Nothing;
         }
         let known = known.copied();
-        let limit = known.and_then(|word| word.limit);
-        let may_be_older = known.is_some_and(|word| sent_at < word.heard);
-        match (limit, said) {
+        let limit = known.and_then(|report| report.limit);
+        let may_be_outdated = known.is_some_and(|report| sent_at < report.heard);
+        match (limit, reported) {
             (None, None) => return Heard::Nothing,
-            // Both may be from before the last word: then neither takes a limit back.
-            (Some(_), None) if may_be_older => return Heard::Nothing,
-            (Some(limit), Some(said)) if may_be_older && said > limit => return Heard::Nothing,
+            // The request was sent before the last report arrived, so the answer may be older: it
+            // must not remove or raise the limit.
+            (Some(_), None) if may_be_outdated => return Heard::Nothing,
+            (Some(limit), Some(reported)) if may_be_outdated && reported > limit => {
+                return Heard::Nothing
+            }
             _ => {}
         }
-        self.set(endpoint, start, said, now, now);
-        match said {
-            Some(said) if limit != Some(said) => Heard::Named(said),
+        self.set(endpoint, start, reported, now, now);
+        match reported {
+            Some(reported) if limit != Some(reported) => Heard::Named(reported),
             Some(_) => Heard::Nothing,
             None => Heard::Ended,
         }
     }
 
-    /// Takes what another process tells; whether the limit is another than before.
+    /// Merges a report from another process. Returns whether the limit changed.
     pub fn merge(&mut self, row: &Row, now: Duration) -> bool {
         let heard = now.saturating_sub(row.age);
-        let known = self.words.get(&row.endpoint).copied();
+        let known = self.reports.get(&row.endpoint).copied();
         if let Some(known) = known {
             let is_later = (row.start, heard) > (known.start, known.heard);
             let same = row.start == known.start && row.limit == known.limit;
-            if !is_later || (same && heard < known.told + CONFIRMED) {
+            if !is_later || (same && heard < known.forwarded + CONFIRMATION_INTERVAL) {
                 return false;
             }
         }
-        let same_start = known.filter(|word| word.start == row.start);
-        let before = same_start.and_then(|word| word.limit);
+        let same_start = known.filter(|report| report.start == row.start);
+        let before = same_start.and_then(|report| report.limit);
         self.set(&row.endpoint, row.start, row.limit, heard, now);
         row.limit != before
     }
@@ -149,80 +157,87 @@
         heard: Duration,
         now: Duration,
     ) {
-        let known = self.words.get(endpoint).filter(|word| word.start == start);
-        let limited = known.filter(|word| word.limit.is_some());
-        let since = limited.map_or(now, |word| word.since);
-        let same = known.filter(|word| word.limit == limit);
-        let told = same.filter(|word| heard < word.told + CONFIRMED);
-        let (told, stamp) = match told {
-            Some(word) => (word.told, word.stamp),
+        let known = self
+            .reports
+            .get(endpoint)
+            .filter(|report| report.start == start);
+        let limited = known.filter(|report| report.limit.is_some());
+        let since = limited.map_or(now, |report| report.since);
+        let same = known.filter(|report| report.limit == limit);
+        let forwarded = same.filter(|report| heard < report.forwarded + CONFIRMATION_INTERVAL);
+        let (forwarded, stamp) = match forwarded {
+            Some(report) => (report.forwarded, report.stamp),
             None => {
                 self.stamp += 1;
                 (heard, self.stamp)
             }
         };
-        let word = Word {
+        let report = Report {
             start,
             limit,
             heard,
-            told,
+            forwarded,
             since,
             stamp,
         };
-        self.words.insert(endpoint.clone(), word);
-        if told == heard {
-            self.forget_old(now);
+        self.reports.insert(endpoint.clone(), report);
+        if forwarded == heard {
+            self.remove_expired(now);
         }
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        self.words.retain(|_, word| now < word.heard + LIFE);
+    fn remove_expired(&mut self, now: Duration) {
+        self.reports
+            .retain(|_, report| now < report.heard + RETENTION);
     }
 
-    /// The limit of a start of an endpoint, if it is known to have one.
+    /// Returns the limit of a start of an endpoint, if one is known.
     pub fn limit(&self, endpoint: &name::Endpoint, start: registry::Start) -> Option<Limit> {
-        self.word(endpoint, start)?.limit
+        self.report(endpoint, start)?.limit
     }
 
-    /// Since when it is known here that a start of an endpoint has a limit.
+    /// Returns since when a start of an endpoint has been known here to have a limit.
     pub fn limited_since(
         &self,
         endpoint: &name::Endpoint,
         start: registry::Start,
     ) -> Option<Duration> {
-        let word = self.word(endpoint, start)?;
-        word.limit.map(|_| word.since)
+        let report = self.report(endpoint, start)?;
+        report.limit.map(|_| report.since)
     }
 
-    fn word(&self, endpoint: &name::Endpoint, start: registry::Start) -> Option<&Word> {
-        let word = self.words.get(endpoint);
-        word.filter(|word| word.start == start)
+    fn report(&self, endpoint: &name::Endpoint, start: registry::Start) -> Option<&Report> {
+        let report = self.reports.get(endpoint);
+        report.filter(|report| report.start == start)
     }
 
-    /// The limit of an endpoint, whichever start of it named one last.
+    /// Returns the limit that an endpoint reported last, from whichever start.
     pub fn latest(&self, endpoint: &name::Endpoint) -> Option<Limit> {
-        self.words.get(endpoint)?.limit
+        self.reports.get(endpoint)?.limit
     }
 
-    /// All limits that are known.
+    /// Iterates over all known limits.
     pub fn all(&self) -> impl Iterator<Item = (&name::Endpoint, registry::Start, Limit)> {
-        let words = self.words.iter();
-        words.filter_map(|(name, word)| Some((name, word.start, word.limit?)))
+        let reports = self.reports.iter();
+        reports.filter_map(|(name, report)| Some((name, report.start, report.limit?)))
     }
 
-    /// What one has to hear who was told up to a stamp; moves the stamp on.
-    pub fn news(&self, told: &mut u64, now: Duration) -> Vec<Row> {
-        let after = std::mem::replace(told, self.stamp);
+    /// Returns the reports queued after the stamp `sent`, and advances `sent` to the current stamp.
+    pub fn news(&self, sent: &mut u64, now: Duration) -> Vec<Row> {
+        let after = std::mem::replace(sent, self.stamp);
         if after == self.stamp {
             return Vec::new();
         }
-        let words = self.words.iter().filter(|(_, word)| word.stamp > after);
-        let row = |(endpoint, word): (&name::Endpoint, &Word)| Row {
+        let reports = self
+            .reports
+            .iter()
+            .filter(|(_, report)| report.stamp > after);
+        let row = |(endpoint, report): (&name::Endpoint, &Report)| Row {
             endpoint: endpoint.clone(),
-            start: word.start,
-            limit: word.limit,
-            age: now.saturating_sub(word.heard),
+            start: report.start,
+            limit: report.limit,
+            age: now.saturating_sub(report.heard),
         };
-        words.map(row).collect()
+        reports.map(row).collect()
     }
 }
--- a/src/scalewood/core/throttle/issuer.rs
+++ b/src/scalewood/core/throttle/issuer.rs
@@ -1,10 +1,10 @@
-//! Issues permits for requests to endpoints that limit them.
+//! Issues permits for requests to endpoints with a rate limit.
 //!
-//! One voter issues an endpoint's permits, chosen by rendezvous among those that answer each
-//! other. Boxes ask the voter that they share their loads with; it asks the issuing one with what
-//! it tells it anyway.
+//! One voter issues an endpoint's permits, picked by rendezvous hashing among the voters that reach
+//! each other. A box asks the voter that it shares its loads with, and that voter requests permits
+//! from the issuer in the messages that voters exchange anyway.
 //!
-//! How much of a limit an issuer goes by, it is told by the votes of all voters ([`Ballot`]).
+//! The votes of all voters decide how much of a limit an issuer may use ([`Ballot`]).
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,50 +20,51 @@
 };
 use crate::core::name;
 
-/// How long who wants permits may be silent: boxes ask twice a second at least.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// Permits of one endpoint that one asks for at most, so that a wrong number costs little.
-const MOST_WANTED: u32 = 256;
-/// Permits that come together while nobody wants any.
-const BURST: f64 = 2.0;
-/// For how long, in seconds, they come together beyond that: as long as it takes until all that
-/// want some have asked.
-const GATHERING: f64 = 0.25;
+/// How long a client is kept after its last request: boxes ask at least twice a second.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The most permits of one endpoint that a client can ask for, which bounds the effect of a wrong
+/// number.
+const MAX_WANTED: u32 = 256;
+/// How many permits accumulate while no client asks for any.
+const BURST_PERMITS: f64 = 2.0;
+/// The permits of this many seconds accumulate beyond [`BURST_PERMITS`]: within this time all
+/// clients that want permits have asked.
+const ACCUMULATION_SECONDS: f64 = 0.25;
 
-/// What is told to one that issues permits.
+/// A message to a voter that issues permits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Limits that are new, changed or over.
+    /// Limits that are new, changed or ended.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<Row>,
-    /// The permits that are wanted now, in place of what was wanted before.
+    /// The permits that are wanted now; replaces the numbers of earlier messages.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub wanted: Vec<Wanted>,
 }
 
 impl News {
-    /// Whether it tells nothing.
+    /// Returns whether the message has no content.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What one that issues permits answers.
+/// The answer of a voter that issues permits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Limits that are new, changed or over.
+    /// Limits that are new, changed or ended.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<Row>,
-    /// The permits that are issued.
+    /// The permits issued to the sender of the request.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub issued: Vec<Issued>,
-    /// The voters among which the one that answers chooses issuers, itself included, if it votes
-    /// for the one that asks where that is the choice; empty if it does not.
+    /// The voters among which the answering voter picks issuers, itself included, if it votes for
+    /// the asking voter; empty if it does not.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub voters: Vec<name::Box>,
 }
 
-/// Who asks for permits.
+/// A process that asks for permits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Client {
     Box(name::Box),
@@ -76,47 +77,50 @@
     }
 }
 
-/// What is known of who asks.
+/// What is known of a client.
 #[derive(Debug, Default)]
-struct Asker {
-    heard: Duration,
-    /// Up to where it was told of limits.
-    told: u64,
-    /// The endpoints that it wants permits of.
+struct ClientState {
+    last_heard: Duration,
+    /// The book's stamp up to which it was sent limits.
+    sent_stamp: u64,
+    /// The endpoints whose permits it wants.
     wants: BTreeSet<name::Endpoint>,
 }
 
-/// What one that asks wants of an endpoint.
+/// How many permits of an endpoint a client wants.
 #[derive(Clone, Copy, Debug, Default)]
 struct Want {
     count: u32,
-    /// What it got, by what it wanted: who has the least goes first.
+    /// The sum of permits issued over permits wanted; the client with the lowest value is served
+    /// first.
     served: f64,
 }
 
-/// The permits of one endpoint at one voter.
+/// The permits of one endpoint, as one voter keeps them.
 #[derive(Debug, Default)]
 struct Account {
-    /// Whether this voter issues them.
+    /// Whether this voter is the issuer.
     issues: bool,
-    /// What has come together at a time that may be issued.
+    /// The permits that could be issued at `refilled_at`.
     level: f64,
-    at: Duration,
-    /// Permits of the voter that issues them.
+    refilled_at: Duration,
+    /// Permits received from the issuer, if that is another voter.
     stock: Stock,
     wants: BTreeMap<Client, Want>,
 }
 
 impl Account {
-    /// Lets come together what this voter may issue a second, nothing if it is not the one that
-    /// does; one that takes over begins with nothing.
+    /// Adds the permits accumulated since the last call, at `rate` per second; `None` if this voter
+    /// is not the issuer. A voter that becomes the issuer starts at zero.
     fn refill(&mut self, rate: Option<f64>, now: Duration) {
-        let begins = rate.is_some() && !self.issues;
+        let takes_over = rate.is_some() && !self.issues;
         self.issues = rate.is_some();
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         self.level = match rate {
-            Some(rate) if !begins => (self.level + passed * rate).min(BURST + GATHERING * rate),
+            Some(rate) if !takes_over => {
+                (self.level + elapsed * rate).min(BURST_PERMITS + ACCUMULATION_SECONDS * rate)
+            }
             _ => 0.0,
         };
     }
@@ -133,14 +137,14 @@
         want.count = count;
     }
 
-    /// How many permits there are, of its own and of another voter's.
+    /// Returns the number of permits at hand: its own, and those received from another voter.
     fn available(&self, now: Duration) -> u32 {
-        // The level is low, so the cast is exact.
+        // The level is small, so the cast is exact.
         self.level as u32 + self.stock.count(now)
     }
 
-    /// How many of the permits that there are belong to one that asks, by what all want.
-    fn part_of(&self, client: &Client, now: Duration) -> u32 {
+    /// Returns how many of the available permits a client gets, given what all clients want.
+    fn share_of(&self, client: &Client, now: Duration) -> u32 {
         let available = self.available(now);
         let wanted: u32 = self.wants.values().map(|want| want.count).sum();
         let Some(own) = self.wants.get(client) else {
@@ -154,31 +158,31 @@
             .iter()
             .map(|(name, want)| (name, *want))
             .collect();
-        let mut part = 0;
+        let mut share = 0;
         for _ in 0..available {
             let open = wants.iter_mut().filter(|(_, want)| want.count > 0);
             let least = open.min_by(|a, b| a.1.served.total_cmp(&b.1.served));
             let Some((name, want)) = least else { break };
             want.served += 1.0 / f64::from(want.count);
             want.count -= 1;
-            part += u32::from(*name == client);
+            share += u32::from(*name == client);
         }
-        part
+        share
     }
 
-    /// Gives one that asks its part; until when how many permits hold.
+    /// Issues a client its share. Returns pairs of an expiry time and a number of permits.
     fn issue(&mut self, client: &Client, now: Duration) -> Vec<(Duration, u32)> {
-        let part = self.part_of(client, now);
-        if part == 0 {
+        let share = self.share_of(client, now);
+        if share == 0 {
             return Vec::new();
         }
         if let Some(want) = self.wants.get_mut(client) {
-            want.served += f64::from(part) / f64::from(want.count);
-            want.count -= part;
+            want.served += f64::from(share) / f64::from(want.count);
+            want.count -= share;
         }
-        let mut issued = self.stock.take(part, now);
+        let mut issued = self.stock.take(share, now);
         let taken: u32 = issued.iter().map(|(_, count)| count).sum();
-        let own = part - taken;
+        let own = share - taken;
         if own > 0 {
             self.level -= f64::from(own);
             issued.push((now + LIFE, own));
@@ -187,43 +191,44 @@
     }
 }
 
-/// The permits that one voter issues or passes on, and the limits that it knows of.
+/// The permits that one voter issues or passes on, and the limits that it knows.
 #[derive(Debug)]
 pub struct Issuer {
     ballot: Ballot,
     book: Book,
-    askers: BTreeMap<Client, Asker>,
-    /// Up to where other voters were told of limits.
-    told: BTreeMap<name::Box, u64>,
+    clients: BTreeMap<Client, ClientState>,
+    /// The book's stamp up to which each other voter was sent limits.
+    peer_stamps: BTreeMap<name::Box, u64>,
     accounts: BTreeMap<name::Endpoint, Account>,
 }
 
 impl Issuer {
-    /// The issuer of a voter that knows of no limits.
+    /// Returns the issuer of a voter that knows no limits yet.
     pub fn new(own: name::Box) -> Self {
         Self {
             ballot: Ballot::new(own),
             book: Book::default(),
-            askers: BTreeMap::new(),
-            told: BTreeMap::new(),
+            clients: BTreeMap::new(),
+            peer_stamps: BTreeMap::new(),
             accounts: BTreeMap::new(),
         }
     }
 
-    /// Sets how many voters there are.
+    /// Sets the number of voters.
     pub fn set_voters(&mut self, voters: usize) {
         self.ballot.set_voters(voters);
     }
 
-    /// Takes what a box tells and wants; it is told of all limits if it starts `anew`.
-    pub fn ask(&mut self, from: &name::Box, anew: bool, told: News, now: Duration) -> Answer {
+    /// Handles a message from a box. `anew` means that the box has just started: it is sent all
+    /// limits.
+    pub fn ask(&mut self, from: &name::Box, anew: bool, news: News, now: Duration) -> Answer {
         let client = Client::Box(from.clone());
-        self.take_news(&client, told, now);
-        let asker = self.askers.entry(client.clone()).or_default();
+        self.record_message(&client, news, now);
+        let state = self.clients.entry(client.clone()).or_default();
         if anew {
-            asker.told = 0;
+            state.sent_stamp = 0;
         }
-        let limits = self.book.news(&mut asker.told, now);
+        let limits = self.book.news(&mut state.sent_stamp, now);
         Answer {
             limits,
             issued: self.issue(&client, now),
@@ -231,12 +236,12 @@
         }
     }
 
-    /// Takes what another voter tells and wants for its boxes.
-    pub fn ask_for(&mut self, from: &name::Box, told: News, now: Duration) -> Answer {
+    /// Handles a message from another voter, which asks on behalf of its boxes.
+    pub fn ask_for(&mut self, from: &name::Box, news: News, now: Duration) -> Answer {
         let client = Client::Voter(from.clone());
-        self.take_news(&client, told, now);
+        self.record_message(&client, news, now);
         let is_limited = self.book.all().next().is_some();
-        let voters = is_limited.then(|| self.ballot.vote_for(from, now));
+        let voters = is_limited.then(|| self.ballot.grant_vote(from, now));
         Answer {
             limits: Vec::new(),
             issued: self.issue(&client, now),
@@ -244,21 +249,21 @@
         }
     }
 
-    /// What another voter is told, all limits if it starts `anew`.
+    /// Returns the message to another voter; `anew` if it is to have all limits.
     pub fn news_for(&mut self, peer: &name::Box, anew: bool, now: Duration) -> News {
-        self.ballot.choose(now);
-        let wanted = self.wanted_of(peer, now);
-        let told = self.told.entry(peer.clone()).or_default();
+        self.ballot.update_candidates(now);
+        let wanted = self.wanted_from(peer, now);
+        let stamp = self.peer_stamps.entry(peer.clone()).or_default();
         if anew {
-            *told = 0;
+            *stamp = 0;
         }
         News {
-            limits: self.book.news(told, now),
+            limits: self.book.news(stamp, now),
             wanted,
         }
     }
 
-    /// Takes what another voter answers to that; one that issues no permits answers nothing.
+    /// Handles another voter's answer to such a message, or `None` if that voter issues no permits.
     pub fn take(
         &mut self,
         from: &name::Box,
@@ -267,41 +272,41 @@
         now: Duration,
     ) {
         let Some(answer) = answer else { return };
-        self.ballot.take(from, answer.voters, asked, now);
+        self.ballot.record_votes(from, answer.voters, asked, now);
         for issued in answer.issued {
             let account = self.accounts.entry(issued.endpoint).or_default();
             account.stock.add(issued.count, asked + issued.left);
         }
     }
 
-    /// The limits that are known.
+    /// Returns the known limits.
     pub fn book(&self) -> &Book {
         &self.book
     }
 
-    fn take_news(&mut self, client: &Client, told: News, now: Duration) {
-        self.ballot.choose(now);
-        self.forget_silent(now);
-        for row in &told.limits {
+    fn record_message(&mut self, client: &Client, news: News, now: Duration) {
+        self.ballot.update_candidates(now);
+        self.remove_silent(now);
+        for row in &news.limits {
             self.book.merge(row, now);
         }
-        let wants = told.wanted.iter().map(|wanted| wanted.endpoint.clone());
-        let asker = self.askers.entry(client.clone()).or_default();
-        asker.heard = now;
-        let before = std::mem::replace(&mut asker.wants, wants.collect());
-        for endpoint in before.difference(&asker.wants) {
+        let wants = news.wanted.iter().map(|wanted| wanted.endpoint.clone());
+        let state = self.clients.entry(client.clone()).or_default();
+        state.last_heard = now;
+        let before = std::mem::replace(&mut state.wants, wants.collect());
+        for endpoint in before.difference(&state.wants) {
             if let Some(account) = self.accounts.get_mut(endpoint) {
                 account.set_want(client, 0);
             }
         }
-        for wanted in told.wanted {
+        for wanted in news.wanted {
             let account = self.accounts.entry(wanted.endpoint).or_default();
-            account.set_want(client, wanted.count.min(MOST_WANTED));
+            account.set_want(client, wanted.count.min(MAX_WANTED));
         }
     }
 
     fn issue(&mut self, client: &Client, now: Duration) -> Vec<Issued> {
-        let wants = self.askers.get(client).map(|asker| asker.wants.clone());
+        let wants = self.clients.get(client).map(|state| state.wants.clone());
         let mut all = Vec::new();
         for endpoint in wants.unwrap_or_default() {
             let Some(limit) = self.book.latest(&endpoint) else {
@@ -322,8 +327,9 @@
         all
     }
 
-    /// What the boxes here want of the endpoints whose permits another voter issues.
-    fn wanted_of(&self, peer: &name::Box, now: Duration) -> Vec<Wanted> {
+    /// Returns the permits to request from `peer`: what the boxes here want of the endpoints whose
+    /// issuer it is, less what is in stock.
+    fn wanted_from(&self, peer: &name::Box, now: Duration) -> Vec<Wanted> {
         let mut all = Vec::new();
         for (endpoint, account) in &self.accounts {
             let wants = account.wants.iter().filter(|(client, _)| client.is_box());
@@ -340,12 +346,12 @@
         all
     }
 
-    fn forget_silent(&mut self, now: Duration) {
-        let silent = self.askers.iter();
-        let silent = silent.filter(|(_, asker)| asker.heard + SILENCE < now);
+    fn remove_silent(&mut self, now: Duration) {
+        let silent = self.clients.iter();
+        let silent = silent.filter(|(_, state)| state.last_heard + CLIENT_TIMEOUT < now);
         let silent: Vec<_> = silent.map(|(client, _)| client.clone()).collect();
         for client in silent {
-            let wants = self.askers.remove(&client).map(|asker| asker.wants);
+            let wants = self.clients.remove(&client).map(|state| state.wants);
             for endpoint in wants.into_iter().flatten() {
                 if let Some(account) = self.accounts.get_mut(&endpoint) {
                     account.set_want(&client, 0);
--- a/src/scalewood/core/throttle/meter.rs
+++ b/src/scalewood/core/throttle/meter.rs
@@ -1,27 +1,27 @@
-//! How often something happens.
+//! A moving average of an event rate.
 
 use std::time::Duration;
 
-/// Events a second, of late.
+/// The average rate of recent events, weighted by an exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Meter {
     rate: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Meter {
-    /// The time over which they are averaged, in seconds.
-    const SPAN: f64 = 2.0;
+    /// The time constant of the decay, in seconds.
+    const TIME_CONSTANT_SECONDS: f64 = 2.0;
 
-    /// Events a second.
+    /// Returns the rate in events per second.
     pub fn rate(&self, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.rate * (-passed / Self::SPAN).exp()
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.rate * (-elapsed / Self::TIME_CONSTANT_SECONDS).exp()
     }
 
-    /// Counts events.
+    /// Records events.
     pub fn add(&mut self, count: u32, now: Duration) {
-        self.rate = self.rate(now) + f64::from(count) / Self::SPAN;
-        self.at = now;
+        self.rate = self.rate(now) + f64::from(count) / Self::TIME_CONSTANT_SECONDS;
+        self.updated_at = now;
     }
 }
--- a/src/scalewood/core/throttle/mod.rs
+++ b/src/scalewood/core/throttle/mod.rs
@@ -1,8 +1,10 @@
-//! Rate limits that endpoints set: requests a second that one takes from all boxes together.
+//! Rate limits set by endpoints: the requests per second that an endpoint accepts from all boxes
+//! together.
 //!
-//! An endpoint in need names its limit in the head of its answers, for as long as it wants it
-//! kept. What is believed of that is a [`Book`], which each process keeps and tells on. No box may
-//! decide by itself how much it sends: it holds [`Permits`], which voters issue ([`Issuer`]).
+//! An overloaded endpoint reports its limit in the headers of its answers for as long as the limit
+//! is to apply. Each process keeps the limits that it knows in a [`Book`] and forwards them to
+//! others. No box decides alone how much it sends: it needs [`Permits`], which voters issue
+//! ([`Issuer`]).
 
 use std::{fmt, num::ParseFloatError, str::FromStr};
 
@@ -19,14 +21,14 @@
 pub use meter::Meter;
 pub use permit::{Alone, Issued, Permits, Stock, Wanted, LIFE};
 
-/// Requests a second that an endpoint takes from all boxes together, in thousandths.
+/// The requests per second that an endpoint accepts from all boxes together, in thousandths.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Limit(u64);
 
-/// Why a text is no limit.
+/// The error for a text that is not a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotALimit;
 
@@ -44,25 +46,25 @@
     }
 }
 
-/// How many of a limit's units make a request a second.
-const UNITS: f64 = 1000.0;
-/// The highest limit that is told apart from others; it binds nothing.
-const HIGHEST: f64 = 1e9;
-/// The lowest limit that is kept to. That a limit has ended is learnt from an answer alone, so
-/// one request goes there now and then, however low it is.
-const LOWEST: f64 = 0.1;
+/// The units of a [`Limit`] in one request per second.
+const UNITS_PER_REQUEST: f64 = 1000.0;
+/// Higher limits are stored as this one, in requests per second; it is too high to have any effect.
+const MAX_PER_SECOND: f64 = 1e9;
+/// The lowest rate that is enforced, in requests per second. Only an answer shows that a limit has
+/// ended, so a request has to be sent now and then, however low the limit is.
+const MIN_PER_SECOND: f64 = 0.1;
 
 impl Limit {
-    /// Requests a second, as they are kept to.
+    /// Returns the rate to enforce, in requests per second.
     pub fn per_second(self) -> f64 {
-        // At most `HIGHEST` times `UNITS`, so the cast is exact.
-        (self.0 as f64 / UNITS).max(LOWEST)
+        // At most `MAX_PER_SECOND` times `UNITS_PER_REQUEST`, so the cast is exact.
+        (self.0 as f64 / UNITS_PER_REQUEST).max(MIN_PER_SECOND)
     }
 }
 
 impl fmt::Display for Limit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        (self.0 as f64 / UNITS).fmt(f)
+        (self.0 as f64 / UNITS_PER_REQUEST).fmt(f)
     }
 }
 
@@ -74,23 +76,25 @@
         if !number.is_finite() || number.is_sign_negative() {
             return Err(NotALimit);
         }
-        Ok(Self((number.min(HIGHEST) * UNITS) as u64))
+        Ok(Self(
+            (number.min(MAX_PER_SECOND) * UNITS_PER_REQUEST) as u64,
+        ))
     }
 }
 
-/// What an answer's head says of a limit.
+/// What an answer's headers say about a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// Nothing.
+    /// There is no limit.
     Nothing,
-    /// The endpoint takes so much.
+    /// The endpoint accepts requests up to this limit.
     Limit(Limit),
-    /// Something that is no limit.
+    /// The value is not a limit.
     Unreadable,
 }
 
-/// Reads the values of a header that names a limit, each a number or a list of them. Of several
-/// the lowest counts.
+/// Parses the values of the limit header, each a number or a comma-separated list of numbers.
+/// Returns the lowest limit if there are several.
 pub fn read<'a>(values: impl Iterator<Item = &'a str>) -> Said {
     let mut said = Said::Nothing;
     for part in values.flat_map(|value| value.split(',')) {
--- a/src/scalewood/core/throttle/permit.rs
+++ b/src/scalewood/core/throttle/permit.rs
@@ -1,13 +1,13 @@
-//! A box's right to send to one endpoint that limits its requests.
+//! A box's permits for requests to one endpoint with a rate limit.
 //!
-//! A permit is for one request and runs out by itself. Voters issue no more of them in any time
-//! `t` than `limit * t + 2 + limit / 4`, and what is sent was issued at most [`LIFE`] and a quarter
-//! of a second for a connection's set-up before. So an endpoint gets at most `6 * limit + 2`
-//! requests in any four seconds.
+//! A permit is for one request and expires by itself. In any time `t`, voters issue at most
+//! `limit * t + 2 + limit / 4` permits, and a request is sent at most [`LIFE`] plus a quarter of a
+//! second for connection set-up after its permit was issued. So an endpoint gets at most
+//! `6 * limit + 2` requests in any four seconds.
 //!
-//! While no voter issues permits, each box has its equal part of the limit: a permit of its own at
-//! regular times, which runs out like the others. Each box has it at another time, so that those of
-//! many boxes don't come together.
+//! While no voter issues permits, each box has an equal share of the limit: it creates a permit of
+//! its own at regular intervals, which expires like the others. The intervals of the boxes are out
+//! of phase, so that their requests don't arrive at the same moment.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -16,23 +16,24 @@
 use super::Limit;
 use crate::core::name;
 
-/// How long a permit may be used after it was issued: some exchanges with a voter, so that few run
-/// out unused, and short enough that an endpoint gets the requests of a while ago no more.
+/// How long a permit is valid after it was issued. This covers several exchanges with a voter, so
+/// that few permits expire unused, and is short enough that an endpoint does not get late requests
+/// from a longer time.
 pub const LIFE: Duration = Duration::from_millis(1500);
 
-/// Permits for requests to an endpoint; written as a row.
+/// Permits issued for an endpoint; serialised as a tuple.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "IssuedRow", into = "IssuedRow")]
 pub struct Issued {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// How many.
+    /// The number of permits.
     pub count: u32,
-    /// How much longer they hold, for who asked: counted from when it did.
+    /// How much longer they are valid, counted from when the client asked for them.
     pub left: Duration,
 }
 
-/// Endpoint, count, milliseconds left.
+/// Endpoint, count, and remaining validity in milliseconds.
 type IssuedRow = (name::Endpoint, u32, u64);
 
 impl From<IssuedRow> for Issued {
@@ -52,17 +53,17 @@
     }
 }
 
-/// Permits that are wanted for an endpoint; written as a row.
+/// Permits wanted for an endpoint; serialised as a tuple.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "WantedRow", into = "WantedRow")]
 pub struct Wanted {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// How many.
+    /// The number of permits.
     pub count: u32,
 }
 
-/// Endpoint, count.
+/// Endpoint and count.
 type WantedRow = (name::Endpoint, u32);
 
 impl From<WantedRow> for Wanted {
@@ -77,12 +78,12 @@
     }
 }
 
-/// Permits that hold until some times, the earliest first.
+/// Permits by expiry time, the earliest first.
 #[derive(Clone, Debug, Default)]
 pub struct Stock(VecDeque<(Duration, u32)>);
 
 impl Stock {
-    /// Adds permits that hold until a time.
+    /// Adds permits that expire at `until`.
     pub fn add(&mut self, count: u32, until: Duration) {
         if count == 0 {
             return;
@@ -91,13 +92,14 @@
         self.0.insert(at, (until, count));
     }
 
-    /// How many hold.
+    /// Returns how many permits have not expired.
     pub fn count(&self, now: Duration) -> u32 {
-        let holding = self.0.iter().filter(|(until, _)| now < *until);
-        holding.map(|(_, count)| count).sum()
+        let valid = self.0.iter().filter(|(until, _)| now < *until);
+        valid.map(|(_, count)| count).sum()
     }
 
-    /// Takes permits out, those first that end first; each time with how many hold until then.
+    /// Removes up to `most` permits, the earliest to expire first. Returns pairs of an expiry time
+    /// and a number of permits.
     pub fn take(&mut self, most: u32, now: Duration) -> Vec<(Duration, u32)> {
         self.0.retain(|(until, _)| now < *until);
         let mut taken = Vec::new();
@@ -115,68 +117,68 @@
     }
 }
 
-/// That a box is issued no permits, and has its equal part of each limit instead.
+/// The state of a box that is issued no permits and uses an equal share of each limit instead.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Alone {
-    /// Since when.
+    /// When this state began.
     pub since: Duration,
-    /// How many boxes have such a part, this one included.
+    /// The number of boxes that share the limit, this one included.
     pub boxes: u32,
-    /// By which part of the time between two own permits this box's come earlier than others',
-    /// from 0 to 1.
+    /// How much earlier than the unshifted schedule this box creates its permits, as a fraction of
+    /// the interval between two of them, from 0 to 1.
     pub phase: f64,
 }
 
-/// A box's right to send to an endpoint; the default permits nothing.
+/// A box's permits for an endpoint; empty by default.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
     stock: Stock,
     alone: Option<Alone>,
-    /// The number of the last own permit that was used.
-    used: u64,
+    /// The number of the last permit of its own that was used.
+    last_used: u64,
 }
 
 impl Permits {
-    /// Takes permits that were issued.
+    /// Adds permits issued by a voter.
     pub fn add(&mut self, count: u32, until: Duration) {
         self.stock.add(count, until);
     }
 
-    /// Sets whether this box has its own part.
+    /// Sets whether this box uses its own share of the limit.
     pub fn set_alone(&mut self, alone: Option<Alone>) {
         if self.alone.map(|alone| alone.since) != alone.map(|alone| alone.since) {
-            self.used = 0;
+            self.last_used = 0;
         }
         self.alone = alone;
     }
 
-    /// How many issued permits it holds.
+    /// Returns the number of issued permits at hand.
     pub fn count(&self, now: Duration) -> u32 {
         self.stock.count(now)
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn permits(&self, limit: Limit, now: Duration) -> bool {
         self.stock.count(now) > 0 || self.own_permit(limit, now).is_some()
     }
 
-    /// Counts a request that is sent now.
+    /// Uses a permit for a request that is sent now.
     pub fn take(&mut self, limit: Limit, now: Duration) {
         if self.stock.take(1, now).is_empty() {
-            self.used = self.own_permit(limit, now).unwrap_or(self.used);
+            self.last_used = self.own_permit(limit, now).unwrap_or(self.last_used);
         }
     }
 
-    /// The number of the own permit that holds now, if one does that was not used.
+    /// Returns the number of the box's own permit that is valid now, unless it was used.
     fn own_permit(&self, limit: Limit, now: Duration) -> Option<u64> {
         let alone = self.alone?;
-        let between = f64::from(alone.boxes.max(1)) / limit.per_second();
-        let passed = now.saturating_sub(alone.since).as_secs_f64();
-        let permits = passed / between + alone.phase;
-        // A process does not run for so long that the cast is not exact.
+        let interval = f64::from(alone.boxes.max(1)) / limit.per_second();
+        let elapsed = now.saturating_sub(alone.since).as_secs_f64();
+        let permits = elapsed / interval + alone.phase;
+        // No process runs long enough for the cast to be inexact.
         let number = permits as u64;
-        let age = permits.fract() * between;
-        let holds = number > 0 && age < LIFE.as_secs_f64();
-        (holds && number != self.used).then_some(number)
+        let age = permits.fract() * interval;
+        let is_valid = number > 0 && age < LIFE.as_secs_f64();
+        (is_valid && number != self.last_used).then_some(number)
     }
 }
