--- a/src/scalewood/core/warm_up/belief.rs
+++ b/src/scalewood/core/warm_up/belief.rs
@@ -1,25 +1,25 @@
-//! What a process believes of one endpoint's warm-up.
+//! The state of one endpoint's warm-up, as known to one process.
 //!
-//! What an endpoint says is made absolute where it is heard. A message takes time, so this end
-//! is never before the true one. A warm-up that is believed in ends when its time has passed,
-//! or by what the endpoint said later; who takes in what was said sees to the order.
+//! An endpoint reports the remaining time, which is converted to an end time on arrival. Messages
+//! take time, so this end is never before the true one. A warm-up ends when that time is reached or
+//! when a later report says so; the caller makes sure that reports are recorded in order.
 
 use std::{fmt, time::Duration};
 
 use super::{Left, Rate};
 
-/// By how much an end has to move to be worth telling: what heartbeats are late by varies by
-/// some tens of milliseconds, and each telling goes to every box.
-const NEWS: Duration = Duration::from_millis(250);
+/// The smallest change of the end time that is passed on to other processes. The delay of
+/// heartbeats varies by some tens of milliseconds, and each update goes to every box.
+const MIN_FORWARDED_CHANGE: Duration = Duration::from_millis(250);
 
-/// What a belief rests on.
+/// Why an endpoint is taken to be warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The endpoint said so.
+    /// The endpoint reported it.
     Said,
-    /// It began while others served, and has said nothing.
+    /// The endpoint started while others were serving, and has reported nothing.
     Begun,
-    /// Its zone was uncordoned, and it has said nothing since.
+    /// Its zone was uncordoned, and it has reported nothing since.
     Uncordoned,
 }
 
@@ -33,64 +33,66 @@
     }
 }
 
-/// What a process believes of one endpoint's warm-up; times are those of its own clock.
+/// What a process knows about one endpoint's warm-up. Times are by its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Belief {
-    /// The end of the warm-up and when that was heard, if the endpoint has told.
-    said: Option<(Duration, Duration)>,
-    /// When its start was seen, if others served before.
-    begun: Option<Duration>,
+    /// The end of the warm-up as reported by the endpoint, and when that report arrived.
+    reported: Option<(Duration, Duration)>,
+    /// When its start was noticed, if others were serving before.
+    started: Option<Duration>,
 }
 
 impl Belief {
-    /// Of an endpoint that is seen for the first time, `late` if others served before.
+    /// Returns the state of an endpoint that is seen for the first time; `late` if others were
+    /// serving before.
     pub fn new(late: bool, now: Duration) -> Self {
         Self {
-            said: None,
-            begun: late.then_some(now),
+            reported: None,
+            started: late.then_some(now),
         }
     }
 
-    /// Takes what the endpoint says, later than all before; tells whether others should hear.
+    /// Records a report of the endpoint, which must be later than all before. Returns whether the
+    /// change is to be passed on.
     pub fn hear(&mut self, left: Option<Left>, now: Duration) -> bool {
         let Some(Left(left)) = left else {
             return false;
         };
-        let before = self.said.map_or(Duration::ZERO, |(until, _)| until);
+        let before = self.reported.map_or(Duration::ZERO, |(until, _)| until);
         let until = now.saturating_add(Duration::from_millis(left));
-        self.said = Some((until, now));
-        let matters = before > now || until > now;
-        matters && until.abs_diff(before) >= NEWS
+        self.reported = Some((until, now));
+        let is_current = before > now || until > now;
+        is_current && until.abs_diff(before) >= MIN_FORWARDED_CHANGE
     }
 
-    /// What is left by the endpoint's own word, for passing it on.
+    /// Returns the remaining time by the endpoint's own report, for passing it on.
     pub fn left(&self, now: Duration) -> Option<Left> {
-        let (until, _) = self.said?;
+        let (until, _) = self.reported?;
         let left = until.saturating_sub(now).as_millis();
         Some(Left(u64::try_from(left).unwrap_or(u64::MAX)))
     }
 
-    /// Until when it warms up, and what that rests on; nothing if it is warm. Its zone may have
-    /// been uncordoned some time ago.
+    /// Returns the end of the warm-up and why it is assumed, or `None` if the endpoint is warm.
+    /// `uncordoned` is when its zone was uncordoned, if it was.
     pub fn until(
         &self,
         rate: &Rate,
         uncordoned: Option<Duration>,
         now: Duration,
     ) -> Option<(Duration, Source)> {
-        let said = self.said.map(|(until, _)| (until, Source::Said));
-        let begun = self.begun.filter(|_| self.said.is_none());
-        let begun = begun.map(|at| (at + rate.takes(), Source::Begun));
-        let heard_since = |at: &Duration| self.said.is_some_and(|(_, heard)| heard > *at);
-        let uncordoned = uncordoned.filter(|at| !heard_since(at));
+        let reported = self.reported.map(|(until, _)| (until, Source::Said));
+        let started = self.started.filter(|_| self.reported.is_none());
+        let started = started.map(|at| (at + rate.takes(), Source::Begun));
+        let reported_since = |at: &Duration| self.reported.is_some_and(|(_, heard)| heard > *at);
+        let uncordoned = uncordoned.filter(|at| !reported_since(at));
         let uncordoned = uncordoned.map(|at| (at + rate.takes(), Source::Uncordoned));
-        let latest = [said, begun, uncordoned].into_iter().flatten();
+        let latest = [reported, started, uncordoned].into_iter().flatten();
         let latest = latest.max_by_key(|(until, _)| *until);
         latest.filter(|(until, _)| now < *until)
     }
 
-    /// How long ago the endpoint's word was heard.
+    /// Returns the age of the endpoint's last report.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.said.map(|(_, heard)| now.saturating_sub(heard))
+        self.reported.map(|(_, heard)| now.saturating_sub(heard))
     }
 }
--- a/src/scalewood/core/warm_up/lease.rs
+++ b/src/scalewood/core/warm_up/lease.rs
@@ -1,40 +1,41 @@
-//! Who may send to which endpoint that warms up, as one hub gives it out.
+//! Leases of endpoints that warm up, as granted by one hub.
 //!
-//! Each endpoint is leased to one box. The box counts the lease from when it asked, and the hub
-//! from when it answered, which is later; so when the hub takes it for over, it is over for the
-//! box, however long messages took. A hub that has just started does not know what it gave
-//! before, and gives none until that has run out.
+//! Each endpoint is leased to one box at a time. The box counts the lease from when it asked, and
+//! the hub from when it answered, which is later. So when a lease has expired at the hub, it has
+//! expired at the box too, however long messages took. A hub that has just started does not know
+//! which leases it granted before, and grants none until those have expired.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::core::name;
 
-/// How long a lease holds, counted by the box from when it asked: several exchanges, so that one
-/// that is lost costs nothing, and short enough that the lease of a box that was lost is soon
-/// another's.
+/// How long a lease is valid, counted by the box from when it asked. It spans several exchanges, so
+/// that the loss of one costs nothing, and is short enough that another box soon gets the endpoints
+/// of a lost one.
 pub const LEASE: Duration = Duration::from_secs(1);
-/// How much longer a hub takes a lease to hold, for clocks that do not go alike: a hundred times
-/// what two of them differ by in that time.
-const MARGIN: Duration = Duration::from_millis(20);
+/// How much longer the hub counts a lease as valid, since clocks run at different rates: a hundred
+/// times what two clocks differ by within a lease.
+const CLOCK_MARGIN: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Debug)]
-struct Given {
+struct Lease {
     to: name::Box,
     until: Duration,
 }
 
-/// Leases of endpoints that warm up.
+/// The leases granted by a hub for endpoints that warm up.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
-    /// When a box first asked; what was given before the hub's start has run out a lease later.
+    /// When a box first asked. Leases granted before the hub's start have expired one lease time
+    /// later.
     since: Option<Duration>,
-    given: BTreeMap<name::Endpoint, Given>,
+    leases: BTreeMap<name::Endpoint, Lease>,
 }
 
 impl Leases {
-    /// Gives one of so many boxes what it may have of the endpoints that it wants, the most
-    /// wanted first: those that it holds already, and others up to its part of all. Returns
-    /// what it holds from now on.
+    /// Grants a box leases of the endpoints that it wants, listed with the most wanted first: at
+    /// most an equal share among `boxes`, those that it holds already before free ones. Returns all
+    /// that it holds from now on.
     pub fn give(
         &mut self,
         to: &name::Box,
@@ -43,23 +44,24 @@
         now: Duration,
     ) -> Vec<name::Endpoint> {
         let since = *self.since.get_or_insert(now);
-        self.given.retain(|_, given| now < given.until);
-        if now < since + LEASE + MARGIN {
+        self.leases.retain(|_, lease| now < lease.until);
+        if now < since + LEASE + CLOCK_MARGIN {
             return Vec::new();
         }
-        let most = wanted.len().div_ceil(boxes.max(1));
-        let is_own = |name: &&name::Endpoint| self.given.get(*name).is_some_and(|g| g.to == *to);
-        let is_free = |name: &&name::Endpoint| !self.given.contains_key(*name);
-        let own = wanted.iter().filter(is_own);
+        let share = wanted.len().div_ceil(boxes.max(1));
+        let is_held =
+            |name: &&name::Endpoint| self.leases.get(*name).is_some_and(|lease| lease.to == *to);
+        let is_free = |name: &&name::Endpoint| !self.leases.contains_key(*name);
+        let held = wanted.iter().filter(is_held);
         let free = wanted.iter().filter(is_free);
-        let given: Vec<_> = own.chain(free).take(most).cloned().collect();
-        for endpoint in &given {
-            let lease = Given {
+        let granted: Vec<_> = held.chain(free).take(share).cloned().collect();
+        for endpoint in &granted {
+            let lease = Lease {
                 to: to.clone(),
-                until: now + LEASE + MARGIN,
+                until: now + LEASE + CLOCK_MARGIN,
             };
-            self.given.insert(endpoint.clone(), lease);
+            self.leases.insert(endpoint.clone(), lease);
         }
-        given
+        granted
     }
 }
--- a/src/scalewood/core/warm_up/mod.rs
+++ b/src/scalewood/core/warm_up/mod.rs
@@ -1,9 +1,9 @@
-//! Warm-up: endpoints that have just started bear only a few requests a second.
+//! Warm-up: an endpoint that has just started can handle only a few requests per second.
 //!
-//! The bound is on what all boxes together send to one endpoint in any one second, so no box
-//! may decide by itself. What is known of an endpoint's warm-up is a [`Belief`]; while it lasts,
-//! a box sends to the endpoint only by a [`Pass`], which it gets from a hub's [`Leases`] and
-//! which runs out by itself.
+//! The limit is on the requests that all boxes together send to one endpoint in any one second, so
+//! no box can decide alone. What is known about an endpoint's warm-up is a [`Belief`]. While it
+//! lasts, a box sends to the endpoint only with a [`Pass`], which it gets from a hub's [`Leases`]
+//! and which expires by itself.
 
 use std::time::Duration;
 
@@ -23,50 +23,51 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
-    /// How long it takes, in milliseconds.
+    /// The duration of the warm-up, in milliseconds.
     pub takes_ms: u64,
-    /// Requests a second that one endpoint bears meanwhile, from all boxes together.
+    /// The requests per second that one endpoint can handle during warm-up, from all boxes
+    /// together.
     pub per_second: f64,
 }
 
 impl Rate {
-    /// How long it takes.
+    /// Returns the duration of the warm-up.
     pub fn takes(&self) -> Duration {
         Duration::from_millis(self.takes_ms)
     }
 
-    /// Whether it says anything that can be kept to.
+    /// Returns whether the values are positive and finite.
     pub fn is_usable(&self) -> bool {
         self.takes_ms > 0 && self.per_second.is_finite() && self.per_second > 0.0
     }
 }
 
-/// How much longer an endpoint warms up, in milliseconds, counted from when that is told: who
-/// passes it on takes off the time that has passed since it was heard.
+/// The remaining time of an endpoint's warm-up, in milliseconds, counted from when it is sent. A
+/// process that forwards it subtracts the time since it received it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Left(pub u64);
 
 impl Left {
-    /// What is left after some time.
+    /// Returns what remains after some time.
     #[must_use]
-    pub fn after(self, passed: Duration) -> Self {
-        let passed = u64::try_from(passed.as_millis()).unwrap_or(u64::MAX);
-        Self(self.0.saturating_sub(passed))
+    pub fn after(self, elapsed: Duration) -> Self {
+        let elapsed = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
+        Self(self.0.saturating_sub(elapsed))
     }
 
-    /// Whether it is warm.
+    /// Returns whether the warm-up has ended.
     pub fn is_over(self) -> bool {
         self.0 == 0
     }
 }
 
-/// How far a deployment lets the requests in one second go beyond an endpoint's rate.
+/// How far a deployment allows the requests in one second to exceed an endpoint's rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Leeway {
-    /// By what the rate may be multiplied.
+    /// The factor by which the rate is multiplied.
     pub factor: f64,
-    /// How many requests may come on top.
+    /// The number of requests that are added.
     pub slack: f64,
 }
 
@@ -80,25 +81,26 @@
 }
 
 impl Leeway {
-    /// The most requests that one endpoint may get in any one second, from all boxes together.
+    /// Returns the most requests that one endpoint may get in any one second, from all boxes
+    /// together.
     pub fn most(&self, rate: &Rate) -> f64 {
         rate.per_second * self.factor + self.slack
     }
 }
 
-/// An endpoint that warms up, as a dispatcher needs it.
+/// The warm-up of an endpoint, as a dispatcher needs it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warming {
-    /// Until when, by the clock of this process.
+    /// The end of the warm-up, by the clock of this process.
     pub until: Duration,
-    /// The most requests in any one second from all boxes together.
+    /// The most requests in any one second, from all boxes together.
     pub most: f64,
-    /// The requests a second that it bears for long.
+    /// The requests per second that the endpoint can sustain.
     pub per_second: f64,
 }
 
 impl Warming {
-    /// An endpoint of a service that warms up until a time.
+    /// Returns the limits of an endpoint that warms up until a time.
     pub fn new(until: Duration, rate: &Rate, leeway: &Leeway) -> Self {
         Self {
             until,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether it is still warming up.
+    /// Returns whether the endpoint is still warming up.
     pub fn lasts(&self, now: Duration) -> bool {
         now < self.until
     }
--- a/src/scalewood/core/warm_up/pass.rs
+++ b/src/scalewood/core/warm_up/pass.rs
@@ -1,78 +1,78 @@
 //! A box's right to send to one endpoint that warms up.
 //!
-//! The right is a lease with an end, and a token bucket that holds one request. The arithmetic:
-//! a lease is held by one box at a time for each hub that gives it, and each new holder begins
-//! with an empty bucket. So the holders of one hub's leases together are granted no more than
-//! `rate * t + 1` requests in any time `t`, whoever they are. Between a grant and its sending up
-//! to [`SENT_WITHIN`] passes, so what is sent in one second was granted in a second and that.
-//! Hubs do not agree with each other, so each has its part of what may arrive.
+//! It consists of a lease, which expires, and a token bucket with room for one request. A hub
+//! leases the endpoint to one box at a time, and each new holder starts with an empty bucket. So in
+//! any time `t`, all holders of one hub's leases together are granted at most `rate * t + 1`
+//! requests. A granted request is sent within [`MAX_SEND_DELAY`], so the requests sent in one
+//! second were granted within one second plus that delay. Hubs do not coordinate, so each has a
+//! share of the limit.
 
 use std::time::Duration;
 
 use super::Warming;
 
-/// How long a grant waits for being sent, at most, but for a box that is frozen between the two:
-/// what it then sends late is one request. Ten times what the event loop of a box under full
-/// load takes.
-const SENT_WITHIN: Duration = Duration::from_millis(100);
+/// The longest time from a grant until the request is sent, which is ten times the time that the
+/// event loop of a box under full load takes. A box that is frozen in between exceeds it, by one
+/// request.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(100);
 /// How many requests a bucket holds.
-const BURST: f64 = 1.0;
-/// The fewest hubs that are taken to give leases of one endpoint: a zone has two voters as a
-/// rule, and its boxes go from one to the other when it is lost.
-const LEAST_HUBS: u32 = 2;
-/// What sums of many small parts may be wrong by.
-const ROUNDING: f64 = 1e-9;
+const BUCKET_CAPACITY: f64 = 1.0;
+/// The fewest hubs among which the limit is divided: a zone usually has two voters, and its boxes
+/// move from one to the other when one is lost.
+const MIN_HUBS: u32 = 2;
+/// The tolerance for rounding errors in the sum of many small amounts.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The requests a second that the holders of one hub's leases may send, where so many hubs
-/// give leases of the endpoint.
+/// Returns the requests per second that the holders of one hub's leases may send, when `hubs` hubs
+/// lease the endpoint.
 fn rate(warming: &Warming, hubs: u32) -> f64 {
-    let part = warming.most / f64::from(hubs.max(LEAST_HUBS));
-    let rate = (part - BURST).max(0.0) / (1.0 + SENT_WITHIN.as_secs_f64());
+    let share = warming.most / f64::from(hubs.max(MIN_HUBS));
+    let rate = (share - BUCKET_CAPACITY).max(0.0) / (1.0 + MAX_SEND_DELAY.as_secs_f64());
     rate.min(warming.per_second)
 }
 
-/// A box's right to send to an endpoint; the default permits nothing.
+/// A box's right to send to an endpoint; by default it may not send.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pass {
-    /// Until when it holds, by the box's clock.
+    /// When the lease expires, by the box's clock.
     until: Duration,
-    /// How many hubs give leases of the endpoint.
+    /// How many hubs lease the endpoint.
     hubs: u32,
-    /// What the bucket held at a time.
+    /// The bucket's level at `updated_at`, in requests.
     level: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Pass {
-    /// Takes a lease until a time. One that had run out may have been another box's meanwhile,
-    /// so it starts with nothing.
+    /// Records a lease that expires at `until`. If the last one has expired, another box may have
+    /// held one since, so the bucket starts empty.
     pub fn renew(&mut self, until: Duration, hubs: u32, now: Duration) {
         if now >= self.until {
             self.level = 0.0;
-            self.at = now;
+            self.updated_at = now;
         }
         self.until = self.until.max(until);
         self.hubs = hubs;
     }
 
-    /// Whether it holds.
+    /// Returns whether the lease is valid.
     pub fn holds(&self, now: Duration) -> bool {
         now < self.until
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn permits(&self, warming: &Warming, now: Duration) -> bool {
-        self.holds(now) && self.level(warming, now) + ROUNDING >= 1.0
+        self.holds(now) && self.level(warming, now) + ROUNDING_TOLERANCE >= 1.0
     }
 
-    /// Counts a request that is sent now.
+    /// Removes a request that is sent now from the bucket.
     pub fn take(&mut self, warming: &Warming, now: Duration) {
         self.level = (self.level(warming, now) - 1.0).max(0.0);
-        self.at = now.max(self.at);
+        self.updated_at = now.max(self.updated_at);
     }
 
     fn level(&self, warming: &Warming, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        (self.level + passed * rate(warming, self.hubs)).min(BURST)
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        (self.level + elapsed * rate(warming, self.hubs)).min(BUCKET_CAPACITY)
     }
 }
--- a/src/scalewood/core/warm_up/uncordoned.rs
+++ b/src/scalewood/core/warm_up/uncordoned.rs
@@ -7,26 +7,26 @@
 
 use crate::core::name;
 
-/// The zones that are cordoned, and when others were uncordoned.
+/// The cordoned zones, and when other zones were uncordoned.
 #[derive(Clone, Debug, Default)]
 pub struct Uncordoned {
     cordoned: BTreeSet<name::Zone>,
-    at: BTreeMap<name::Zone, Duration>,
+    uncordoned_at: BTreeMap<name::Zone, Duration>,
 }
 
 impl Uncordoned {
-    /// Takes the zones that are cordoned now; returns those that are so no more.
+    /// Records the zones that are cordoned now. Returns those that no longer are.
     pub fn note(&mut self, cordoned: &BTreeSet<name::Zone>, now: Duration) -> Vec<name::Zone> {
-        let ended: Vec<_> = self.cordoned.difference(cordoned).cloned().collect();
-        for zone in &ended {
-            self.at.insert(zone.clone(), now);
+        let uncordoned: Vec<_> = self.cordoned.difference(cordoned).cloned().collect();
+        for zone in &uncordoned {
+            self.uncordoned_at.insert(zone.clone(), now);
         }
         self.cordoned.clone_from(cordoned);
-        ended
+        uncordoned
     }
 
-    /// When a zone was uncordoned, if it was.
+    /// Returns when a zone was last uncordoned, if it was.
     pub fn at(&self, zone: &name::Zone) -> Option<Duration> {
-        self.at.get(zone).copied()
+        self.uncordoned_at.get(zone).copied()
     }
 }
