--- a/src/scalewood/core/crash/book.rs
+++ b/src/scalewood/core/crash/book.rs
@@ -1,54 +1,55 @@
-//! What one process knows of requests under which endpoints ended.
+//! The requests under which endpoints ended, as known to one process.
 //!
-//! Books are brought together by merging rows, in any order and any number of times: the ends are
-//! joined, less those that anybody knows to be void. Each change gets a stamp, so that who was told
-//! up to a stamp is told the rest.
+//! Books are synchronised by merging rows, in any order and any number of times: the result holds
+//! the ends of both, except those that either marks as void. Each change gets a stamp, so that a
+//! reader who was sent all changes up to a stamp is sent only the later ones.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
     time::Duration,
 };
 
-use super::{in_turn, End, Id, Row, MOST_ENDS, TOLD_ALL};
+use super::{max_successive, End, Id, Row, MIN_ENDS_TOLD_ALL, MOST_ENDS};
 use crate::core::fingerprint::{Fingerprint, HeadHash};
 
-/// How long a request is remembered after it last came or an endpoint last ended under it. One
-/// that comes again later may end three endpoints more.
+/// How long a request is remembered after it last arrived or an endpoint last ended under it. If it
+/// arrives after that, it may take down three more endpoints.
 pub const REMEMBERED: Duration = Duration::from_secs(600);
-/// How often it is told at most that a request keeps coming.
-const HEARD: Duration = Duration::from_secs(30);
-/// The most requests that are remembered and not held back: those that were at hand as some
-/// seventy full endpoints ended. Some 200 bytes each.
-const MOST_OPEN: usize = 4096;
-/// The most that are held back. Each has ended three endpoints.
-const MOST_HELD_BACK: usize = 1024;
-/// The most ends that are remembered of a request.
-const MOST_KEPT: usize = 2 * MOST_ENDS;
-/// The most ends that are remembered as void.
-const MOST_VOID: usize = 2 * MOST_KEPT;
-/// How often what is old is looked for.
-const SWEEP: Duration = Duration::from_secs(1);
-/// The most rows that are told at once, some 150 bytes each.
-const MOST_TOLD: usize = 256;
-
-/// What is known of a request.
+/// The shortest interval between two reports that a request still arrives.
+const ARRIVAL_REPORT_INTERVAL: Duration = Duration::from_secs(30);
+/// The most requests that are remembered without being held back: those that run when some seventy
+/// full endpoints end, at some 200 bytes each.
+const MAX_NOT_HELD_BACK: usize = 4096;
+/// The most requests that are held back. Each has taken down three endpoints.
+const MAX_HELD_BACK: usize = 1024;
+/// The most ends that are remembered per request.
+const MAX_ENDS_PER_REQUEST: usize = 2 * MOST_ENDS;
+/// The most void ends that are remembered per request.
+const MAX_VOID_PER_REQUEST: usize = 2 * MAX_ENDS_PER_REQUEST;
+/// The interval between two searches for expired requests.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The most rows that are sent at once, some 150 bytes each.
+const MAX_ROWS_PER_MESSAGE: usize = 256;
+
+/// What is known about a request.
 #[derive(Clone, Debug)]
 struct Case {
     ends: Vec<End>,
-    /// Ends that count no more, the oldest first.
+    /// Ends that no longer count, the oldest first.
     void: VecDeque<Id>,
     heard: u32,
-    heard_at: Duration,
-    /// When it last came, changed or was told of.
-    touched: Duration,
-    /// When it last changed.
+    arrival_reported_at: Duration,
+    /// When it last arrived or changed, by the clock here.
+    last_seen: Duration,
+    /// The stamp of its last change.
     changed: u64,
-    /// When it last changed by what was seen here or told by those who tell this book alone.
-    changed_here: u64,
-    /// Whether it was ever one that all have to know of.
-    is_wide: bool,
-    /// One of the suspects that outdoes it, if any does.
-    outdone_by: Option<Fingerprint>,
+    /// The stamp of its last change that was seen here or reported by a process that reports to
+    /// this book only.
+    changed_locally: u64,
+    /// Whether it ever had enough ends for all processes to be told of it.
+    is_global: bool,
+    /// One of the suspects that explain this one, if there are any.
+    explained_by: Option<Fingerprint>,
 }
 
 impl Case {
@@ -57,31 +58,33 @@
             ends: Vec::new(),
             void: VecDeque::new(),
             heard: 0,
-            heard_at: Duration::ZERO,
-            touched: now,
+            arrival_reported_at: Duration::ZERO,
+            last_seen: now,
             changed: 0,
-            changed_here: 0,
-            is_wide: false,
-            outdone_by: None,
+            changed_locally: 0,
+            is_global: false,
+            explained_by: None,
         }
     }
 
-    /// Whether enough endpoints ended under it.
+    /// Returns whether enough endpoints ended under it.
     fn is_suspect(&self) -> bool {
-        in_turn(&self.ends) >= MOST_ENDS
+        max_successive(&self.ends) >= MOST_ENDS
     }
 
-    /// Whether it is sent to no endpoint.
+    /// Returns whether it is held back, that is sent to no endpoint.
     ///
-    /// One that ends endpoints is there each time. One that callers send alike and often may be
-    /// beside it three times by chance: it was then there at no other end, and is let through while
-    /// the other is held back. Should it end one by itself, it is held back after all.
+    /// A request that crashes endpoints is present at each end. A harmless one that callers send
+    /// often may be present beside it at three ends by chance. The harmless one was present at no
+    /// other end, so it is let through while the other is held back. If it then ends an endpoint
+    /// without the other, it is held back too.
     fn is_held_back(&self) -> bool {
-        self.is_suspect() && self.outdone_by.is_none()
+        self.is_suspect() && self.explained_by.is_none()
     }
 
-    /// Whether it was there at each end of another one, and at more.
-    fn outdoes(&self, other: &Self) -> bool {
+    /// Returns whether it explains another request: it was present at each end of that one, and at
+    /// others in addition.
+    fn explains(&self, other: &Self) -> bool {
         let was_at = |case: &Self, end: &End| case.ends.iter().any(|own| own.is_same(end));
         let is_alone_at = |end: &End| !was_at(other, end);
         other.ends.iter().all(|end| was_at(self, end)) && self.ends.iter().any(is_alone_at)
@@ -93,23 +96,23 @@
             return false;
         }
         self.ends.push(end);
-        if self.ends.len() > MOST_KEPT {
+        if self.ends.len() > MAX_ENDS_PER_REQUEST {
             self.drop_one();
         }
-        self.is_wide |= in_turn(&self.ends) >= TOLD_ALL;
+        self.is_global |= max_successive(&self.ends) >= MIN_ENDS_TOLD_ALL;
         true
     }
 
-    /// Drops an end without which as many have ended in turn, or else the first.
+    /// Drops an end that does not change the number of successive ends, or else the first one.
     fn drop_one(&mut self) {
-        let count = in_turn(&self.ends);
+        let count = max_successive(&self.ends);
         let without = |at: &usize| {
             let mut rest = self.ends.clone();
             rest.remove(*at);
-            in_turn(&rest) == count
+            max_successive(&rest) == count
         };
-        let spare = (0..self.ends.len()).find(without);
-        self.ends.remove(spare.unwrap_or(0));
+        let redundant = (0..self.ends.len()).find(without);
+        self.ends.remove(redundant.unwrap_or(0));
     }
 
     fn make_void(&mut self, id: Id) -> bool {
@@ -118,7 +121,7 @@
         }
         self.ends.retain(|end| end.id != id);
         self.void.push_back(id);
-        if self.void.len() > MOST_VOID {
+        if self.void.len() > MAX_VOID_PER_REQUEST {
             self.void.pop_front();
         }
         true
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Takes what a row says beyond what is known.
+    /// Merges a row. Returns whether it had anything new.
     fn merge(&mut self, row: Row) -> bool {
         let mut is_news = false;
         for id in row.void {
@@ -147,25 +150,25 @@
     }
 }
 
-/// Which changes are told.
+/// Selects which changes to report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// What was seen here or told by those who tell this book alone; all that is known to one
-    /// who starts anew.
+    /// What was seen here or reported by processes that report to this book only; for a new reader,
+    /// everything.
     Own,
-    /// What all have to know, whoever told it.
+    /// What all processes must know, whoever reported it.
     Wide,
 }
 
-/// Up to where someone has been told; the default is the beginning.
+/// How far a reader has been sent the changes; the default is the beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Told {
     stamp: u64,
-    /// Whether all that was known at the beginning has been told.
+    /// Whether everything that was known at the beginning has been sent.
     is_begun: bool,
 }
 
-/// What one process knows of requests under which endpoints ended.
+/// The requests under which endpoints ended, as known to one process.
 #[derive(Debug, Default)]
 pub struct Book {
     cases: BTreeMap<Fingerprint, Case>,
@@ -173,39 +176,40 @@
     suspects: BTreeSet<Fingerprint>,
     held_back: usize,
     stamp: u64,
-    swept: Duration,
+    swept_at: Duration,
 }
 
 impl Book {
-    /// Whether nothing is known at all.
+    /// Returns whether no request is known.
     pub fn is_empty(&self) -> bool {
         self.cases.is_empty()
     }
 
-    /// Whether anything is known of requests with a head, so that the body matters.
+    /// Returns whether any request with this head is known, in which case the body has to be hashed
+    /// too.
     pub fn knows(&self, head: HeadHash) -> bool {
         self.cases.range(Fingerprint::all_of(head)).next().is_some()
     }
 
-    /// Whether a request is sent to no endpoint.
+    /// Returns whether a request is held back, that is sent to no endpoint.
     pub fn is_held_back(&self, fingerprint: &Fingerprint) -> bool {
         let case = self.cases.get(fingerprint);
         case.is_some_and(Case::is_held_back)
     }
 
-    /// How many requests are known, and how many of them are held back.
+    /// Returns how many requests are known, and how many of them are held back.
     pub fn counts(&self) -> (usize, usize) {
         (self.cases.len(), self.held_back)
     }
 
-    /// The requests that are held back, with the endpoints that ended under them.
+    /// Iterates over the requests that are held back, with the endpoints that ended under them.
     pub fn held_back(&self) -> impl Iterator<Item = (&Fingerprint, &[End])> {
         let cases = self.cases.iter();
         let cases = cases.filter(|(_, case)| case.is_held_back());
         cases.map(|(fingerprint, case)| (fingerprint, &case.ends[..]))
     }
 
-    /// The same as rows, to be kept over a restart.
+    /// Returns the requests that are held back as rows, to be stored across a restart.
     pub fn held_back_rows(&self) -> Vec<Row> {
         let cases = self.cases.iter();
         let cases = cases.filter(|(_, case)| case.is_held_back());
@@ -214,14 +218,14 @@
             .collect()
     }
 
-    /// Notes that an endpoint ended under a request.
+    /// Records that an endpoint ended under a request.
     pub fn ended(&mut self, fingerprint: Fingerprint, end: End, now: Duration) {
         self.sweep(now);
         self.change(fingerprint, now, |case| case.add(end));
     }
 
-    /// Notes that a request was run to its end, or is taken back into service by an operator;
-    /// whether anything was known of it.
+    /// Clears a request that completed or that an operator released. Returns whether it had any
+    /// ends.
     pub fn clear(&mut self, fingerprint: &Fingerprint, now: Duration) -> bool {
         let is_open = |case: &Case| !case.ends.is_empty();
         if !self.cases.get(fingerprint).is_some_and(is_open) {
@@ -234,63 +238,67 @@
         true
     }
 
-    /// Notes that a request came though it is held back.
+    /// Records the arrival of a request that is held back.
     pub fn came(&mut self, fingerprint: &Fingerprint, now: Duration) {
         let Some(case) = self.cases.get_mut(fingerprint) else {
             return;
         };
-        case.touched = now;
-        if now < case.heard_at + HEARD {
+        case.last_seen = now;
+        if now < case.arrival_reported_at + ARRIVAL_REPORT_INTERVAL {
             return;
         }
-        case.heard_at = now;
+        case.arrival_reported_at = now;
         self.change(*fingerprint, now, |case| {
             case.heard += 1;
             true
         });
     }
 
-    /// Takes a row that was told; `own` if its teller tells this book alone, so that others have
-    /// to hear of it from here. Tells whether it was news.
+    /// Merges a row from another process; `own` if that process reports to this book only, so that
+    /// the row has to be passed on from here. Returns whether it had anything new.
     pub fn merge(&mut self, row: Row, own: bool, now: Duration) -> bool {
         self.sweep(now);
         let fingerprint = row.fingerprint;
         let before = self.stamp;
-        let here = self.cases.get(&fingerprint).map(|case| case.changed_here);
+        let here = self
+            .cases
+            .get(&fingerprint)
+            .map(|case| case.changed_locally);
         self.change(fingerprint, now, |case| case.merge(row));
         let is_news = self.stamp > before;
         if is_news && !own {
             if let Some(case) = self.cases.get_mut(&fingerprint) {
-                case.changed_here = here.unwrap_or(0);
+                case.changed_locally = here.unwrap_or(0);
             }
         }
         is_news
     }
 
-    /// What one has to hear who was told so far, the oldest first; notes that it was told.
+    /// Returns the changes that a reader has not been sent yet, the oldest first, and advances
+    /// `told`.
     pub fn news(&self, told: &mut Told, part: Part) -> Vec<Row> {
         let stamp = |case: &Case| match part {
-            Part::Own if told.is_begun => case.changed_here,
+            Part::Own if told.is_begun => case.changed_locally,
             Part::Own | Part::Wide => case.changed,
         };
-        let is_meant = |case: &Case| part == Part::Own || case.is_wide;
+        let is_selected = |case: &Case| part == Part::Own || case.is_global;
         let cases = self.cases.iter();
-        let cases = cases.filter(|(_, case)| stamp(case) > told.stamp && is_meant(case));
+        let cases = cases.filter(|(_, case)| stamp(case) > told.stamp && is_selected(case));
         let mut cases: Vec<_> = cases.collect();
         cases.sort_unstable_by_key(|(_, case)| stamp(case));
-        let is_whole = cases.len() <= MOST_TOLD;
-        cases.truncate(MOST_TOLD);
+        let is_complete = cases.len() <= MAX_ROWS_PER_MESSAGE;
+        cases.truncate(MAX_ROWS_PER_MESSAGE);
         let last = cases.last().map_or(told.stamp, |(_, case)| stamp(case));
         *told = Told {
-            stamp: if is_whole { self.stamp } else { last },
-            is_begun: told.is_begun || is_whole,
+            stamp: if is_complete { self.stamp } else { last },
+            is_begun: told.is_begun || is_complete,
         };
         let rows = cases.into_iter();
         rows.map(|(fingerprint, case)| row(fingerprint, case))
             .collect()
     }
 
-    /// Changes a case, and notes when if it says that it did.
+    /// Applies a change to a case, and stamps the case if `act` returns that it changed.
     fn change(
         &mut self,
         fingerprint: Fingerprint,
@@ -304,51 +312,52 @@
             return;
         }
         self.stamp += 1;
-        case.touched = now;
+        case.last_seen = now;
         case.changed = self.stamp;
-        case.changed_here = self.stamp;
+        case.changed_locally = self.stamp;
         let is_suspect = case.is_suspect();
         self.cases.insert(fingerprint, case);
         if was_suspect || is_suspect {
-            self.settle(fingerprint);
+            self.update_explained(fingerprint);
         }
         self.shrink();
     }
 
-    /// Forgets what was not heard of for long.
+    /// Removes the requests that were not seen for [`REMEMBERED`].
     fn sweep(&mut self, now: Duration) {
-        if now < self.swept + SWEEP {
+        if now < self.swept_at + SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        let is_old = |case: &Case| now >= case.touched + REMEMBERED;
+        self.swept_at = now;
+        let is_old = |case: &Case| now >= case.last_seen + REMEMBERED;
         let old = self.cases.iter().filter(|(_, case)| is_old(case));
         let old: Vec<_> = old.map(|(fingerprint, _)| *fingerprint).collect();
         self.forget(&old);
     }
 
-    /// Keeps the book within its bounds. What is not held back makes no room for what is, nor
-    /// the other way round, so that no flood of either has a request forgotten that keeps coming.
+    /// Keeps the book within its bounds. Requests that are held back and others are bounded
+    /// separately, so that a flood of one kind can't push out requests of the other kind that still
+    /// arrive.
     fn shrink(&mut self) {
-        if self.cases.len() - self.held_back > MOST_OPEN {
-            self.forget_least(false, MOST_OPEN);
+        if self.cases.len() - self.held_back > MAX_NOT_HELD_BACK {
+            self.forget_least(false, MAX_NOT_HELD_BACK);
         }
-        if self.held_back > MOST_HELD_BACK {
-            self.forget_least(true, MOST_HELD_BACK);
+        if self.held_back > MAX_HELD_BACK {
+            self.forget_least(true, MAX_HELD_BACK);
         }
     }
 
-    /// Forgets an eighth of those of a kind: the ones with the fewest ends, and of these the ones
-    /// that have not come for longest.
-    fn forget_least(&mut self, held_back: bool, most: usize) {
+    /// Removes an eighth of one kind of requests: those with the fewest ends, and among these the
+    /// ones not seen for the longest time.
+    fn forget_least(&mut self, held_back: bool, max: usize) {
         let cases = self.cases.iter();
         let cases = cases.filter(|(_, case)| case.is_held_back() == held_back);
         let rank = |(fingerprint, case): (&Fingerprint, &Case)| {
-            (case.ends.len(), case.touched, *fingerprint)
+            (case.ends.len(), case.last_seen, *fingerprint)
         };
         let mut ranked: Vec<_> = cases.map(rank).collect();
         ranked.sort_unstable();
-        let least = ranked.into_iter().take(most / 8);
+        let least = ranked.into_iter().take(max / 8);
         let least: Vec<_> = least.map(|(.., fingerprint)| fingerprint).collect();
         self.forget(&least);
     }
@@ -357,17 +366,17 @@
         for fingerprint in fingerprints {
             self.cases.remove(fingerprint);
             if self.suspects.contains(fingerprint) {
-                self.settle(*fingerprint);
+                self.update_explained(*fingerprint);
             }
         }
     }
 
-    /// Brings up to date which suspects are outdone, after a case has changed or gone.
-    fn settle(&mut self, changed: Fingerprint) {
+    /// Updates which suspects are explained by others, after a case was changed or removed.
+    fn update_explained(&mut self, changed: Fingerprint) {
         let case = self.cases.get(&changed).filter(|case| case.is_suspect());
         let concerns = |other: &Case| {
-            let by_it = other.outdone_by == Some(changed);
-            by_it || case.is_some_and(|case| case.outdoes(other))
+            let by_it = other.explained_by == Some(changed);
+            by_it || case.is_some_and(|case| case.explains(other))
         };
         let others = self.suspects.iter().filter(|other| **other != changed);
         let concerned = others.filter(|other| self.cases.get(other).is_some_and(concerns));
@@ -379,22 +388,22 @@
             self.suspects.remove(&changed);
         }
         for fingerprint in concerned {
-            let by = self.outdone_by(&fingerprint);
+            let by = self.explained_by(&fingerprint);
             if let Some(case) = self.cases.get_mut(&fingerprint) {
-                case.outdone_by = by;
+                case.explained_by = by;
             }
         }
         let suspects = self.suspects.iter().filter_map(|one| self.cases.get(one));
         self.held_back = suspects.filter(|case| case.is_held_back()).count();
     }
 
-    fn outdone_by(&self, fingerprint: &Fingerprint) -> Option<Fingerprint> {
+    fn explained_by(&self, fingerprint: &Fingerprint) -> Option<Fingerprint> {
         let case = self.cases.get(fingerprint)?;
-        let outdoes = |other: &&Fingerprint| {
+        let explains = |other: &&Fingerprint| {
             let other = self.cases.get(*other);
-            other.is_some_and(|other| other.outdoes(case))
+            other.is_some_and(|other| other.explains(case))
         };
-        self.suspects.iter().find(outdoes).copied()
+        self.suspects.iter().find(explains).copied()
     }
 }
 
--- a/src/scalewood/core/crash/mod.rs
+++ b/src/scalewood/core/crash/mod.rs
@@ -1,12 +1,13 @@
-//! Requests that end the endpoints that run them.
+//! Detection of requests that crash the endpoints that run them.
 //!
-//! Such a request comes again, at any box, and ends one endpoint after the other. What is known of
-//! it has to outlive its attempts and its box: each process keeps a [`Book`] of the requests under
-//! which endpoints ended, boxes tell their voters with the loads, voters tell each other and the
-//! boxes. A request under which [`MOST_ENDS`] endpoints have ended is held back by all boxes.
+//! Such a request is retried, arrives at any box, and crashes one endpoint after another. What is
+//! known about it must outlive its attempts and its box. So each process keeps a [`Book`] of the
+//! requests that were running on endpoints as these ended; boxes report to their voters together
+//! with the loads, and voters to each other and to the boxes. When [`MOST_ENDS`] endpoints have
+//! ended under a request, all boxes hold it back.
 //!
-//! Harmless requests run beside it and break with it. A request that was run to its end anywhere
-//! is cleared. Only what was there each time, and never came to its end, is held back.
+//! Harmless requests that run beside it fail with it. A request that completes anywhere is cleared.
+//! Only a request that was present each time and never completed is held back.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,60 +17,60 @@
 
 pub use book::{Book, Part, Told, REMEMBERED};
 
-/// The ends of endpoints after which a request is held back. Of the harmless ones that were there at
-/// two ends, few are at the third as well: with 50 long streams at work beside it on nine endpoints,
-/// none in three runs.
+/// The number of ended endpoints after which a request is held back. Few of the harmless requests
+/// that were present at two ends are present at a third: with 50 long streams beside such a request
+/// on nine endpoints, none was, in three runs.
 pub const MOST_ENDS: usize = 3;
-/// The ends from which on all boxes hear of a request. Below it only voters do: each end brings as
-/// many requests with a first end as the endpoint had.
-const TOLD_ALL: usize = MOST_ENDS - 1;
+/// The number of ended endpoints from which on all boxes are told of a request. Below it only
+/// voters are: each end adds as many requests with one end as the endpoint had.
+const MIN_ENDS_TOLD_ALL: usize = MOST_ENDS - 1;
 
-/// The shortest time in which an endpoint is back that ended.
-const LEAST_RESTART_MS: u64 = 100;
+/// The shortest time within which an endpoint that ended serves again, in milliseconds.
+const MIN_RESTART_MS: u64 = 100;
 
-/// Names the end of one start of an endpoint, the same at all boxes that saw it.
+/// Identifies the end of one start of an endpoint, equally at all boxes that saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(u64);
 
 impl Id {
-    /// The end of a start, seen at a time of day that all agree on. The time tells ends apart of
-    /// an endpoint that tells no starts and has one name for all of them. Boxes that see the same
-    /// end may name it differently then, if they see it on both sides of a border.
+    /// Returns the identity of the end of a start, seen at an agreed time of day. The time tells
+    /// apart the ends of an endpoint that reports no starts. For such an endpoint two boxes may
+    /// derive different identities of the same end, if they see it in different time slots.
     pub fn new(endpoint: &name::Endpoint, start: registry::Start, unix_ms: u64) -> Self {
         let which = match start {
             Some(start) => format!("start {}", start.0),
-            None => format!("span {}", unix_ms / LEAST_RESTART_MS),
+            None => format!("span {}", unix_ms / MIN_RESTART_MS),
         };
         Self(rendezvous::hash(&[endpoint.as_str(), &which]))
     }
 }
 
-/// An endpoint that ended under a request.
+/// An endpoint that ended while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Which end it was.
+    /// The identity of the end.
     #[serde(rename = "i")]
     pub id: Id,
     /// The endpoint.
     #[serde(rename = "e")]
     pub endpoint: name::Endpoint,
-    /// When, in milliseconds since the Unix epoch as all agree on it.
+    /// When it ended, in milliseconds since the Unix epoch by the agreed time of day.
     #[serde(rename = "t")]
     pub at_unix_ms: u64,
-    /// How long before that the request was sent there, in milliseconds.
+    /// How long before that the request was sent to the endpoint, in milliseconds.
     #[serde(rename = "r")]
     pub ran_ms: u64,
 }
 
 impl End {
-    /// When the request was sent there, in milliseconds since the Unix epoch.
+    /// Returns when the request was sent to the endpoint, in milliseconds since the Unix epoch.
     fn sent_unix_ms(&self) -> u64 {
         self.at_unix_ms.saturating_sub(self.ran_ms)
     }
 
-    /// Whether it is the same end as another one, whatever either is named: one of one endpoint, to
-    /// which neither request was sent after the other had ended there.
+    /// Returns whether two records mean the same end, also if their identities differ: an end of
+    /// the same endpoint, where each request was sent before the other one's end.
     fn is_same(&self, other: &Self) -> bool {
         let overlap =
             self.sent_unix_ms() < other.at_unix_ms && other.sent_unix_ms() < self.at_unix_ms;
@@ -77,40 +78,41 @@
     }
 }
 
-/// How many endpoints ended one after the other: each had the request sent to it after the one
-/// before had ended.
+/// Returns the largest number of endpoints that ended one after the other, where the request was
+/// sent to each of them after the one before had ended.
 ///
-/// A group of endpoints that is lost at once counts as one, also under a request that many callers
-/// send alike and that each of them had: all of it was sent before. A request that ends endpoints
-/// goes on to the next after each end.
-fn in_turn(ends: &[End]) -> usize {
+/// Endpoints that are lost at the same time count once, even if many callers send the same request
+/// and each of them was running it: all were sent before the loss. A request that crashes endpoints
+/// reaches the next one only after each end.
+fn max_successive(ends: &[End]) -> usize {
     let mut ends: Vec<_> = ends.iter().collect();
-    // Of spans that don't overlap the most are found by taking the one that ends first.
+    // This is interval scheduling: taking the interval that ends first gives the most intervals
+    // without an overlap.
     ends.sort_unstable_by_key(|end| end.at_unix_ms);
-    let mut last = None;
+    let mut last_end_ms = None;
     let mut count = 0;
     for end in ends {
-        if last.is_none_or(|last| end.sent_unix_ms() >= last) {
-            last = Some(end.at_unix_ms);
+        if last_end_ms.is_none_or(|last_end_ms| end.sent_unix_ms() >= last_end_ms) {
+            last_end_ms = Some(end.at_unix_ms);
             count += 1;
         }
     }
     count
 }
 
-/// What is told of a request.
+/// What a process reports about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// Ends that count no more, since it was run to its end after them.
+    /// Ends that no longer count, since the request completed after them.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub void: Vec<Id>,
-    /// The endpoints that have ended under it.
+    /// The endpoints that ended under it.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub ends: Vec<End>,
-    /// Rises while it keeps coming though it is held back.
+    /// Increases while the request still arrives although it is held back.
     #[serde(rename = "h", default)]
     pub heard: u32,
 }
--- a/src/scalewood/core/usage/book.rs
+++ b/src/scalewood/core/usage/book.rs
@@ -1,4 +1,4 @@
-//! What boxes have told a voter of their usage.
+//! The usage that boxes have reported to a voter.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,10 +7,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Counts, Row, Window, MAX_OPEN};
+use super::{Counts, Row, Window, MAX_OPEN_WINDOWS};
 use crate::core::name;
 
-/// The starts of boxes that a voter remembers: several times as many as boxes run.
+/// The most starts of boxes that a voter remembers: several times the number of boxes.
 const MAX_SOURCES: usize = 2048;
 
 /// One start of a box.
@@ -18,7 +18,7 @@
 pub struct Source {
     /// The box.
     pub name: name::Box,
-    /// Drawn at each of its starts.
+    /// A random number drawn at each start of the box.
     pub start: u64,
 }
 
@@ -28,37 +28,37 @@
     }
 }
 
-/// What has changed in a book of one start of a box.
+/// The changes in a book that concern one start of a box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// The start.
     pub source: Source,
-    /// When it was last heard, by the agreed time of day.
+    /// When it last reported, in milliseconds since the Unix epoch by the agreed time of day.
     pub heard_ms: u64,
-    /// What has changed.
+    /// The totals that have changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rows: Vec<Row>,
 }
 
-/// What has changed in a book since a stamp.
+/// The changes in a book since a stamp.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The stamp to ask after next.
+    /// The stamp to use in the next request.
     pub stamp: u64,
-    /// What has changed.
+    /// The changes by start of a box.
     pub pages: Vec<Page>,
 }
 
 #[derive(Debug, Default)]
 struct Entry {
     heard_ms: u64,
-    /// When it was last heard or changed, in the book's own count.
+    /// The book's stamp at its last report.
     stamp: u64,
-    /// Totals, each with the stamp of its last change.
+    /// Running totals by window and team, each with the stamp of its last change.
     windows: BTreeMap<Window, BTreeMap<name::Team, (u64, u64)>>,
 }
 
-/// What boxes have told a voter of their usage.
+/// The usage that boxes have reported to a voter.
 #[derive(Debug, Default)]
 pub struct Book {
     sources: BTreeMap<Source, Entry>,
@@ -66,7 +66,7 @@
 }
 
 impl Book {
-    /// Takes what one start of a box has told, or another voter was told by it.
+    /// Records the totals of one start of a box, reported by the box or forwarded by another voter.
     pub fn take(&mut self, page: Page) {
         self.stamp += 1;
         let stamp = self.stamp;
@@ -82,23 +82,23 @@
                 }
             }
         }
-        while entry.windows.len() > MAX_OPEN {
+        while entry.windows.len() > MAX_OPEN_WINDOWS {
             entry.windows.pop_first();
         }
         if self.sources.len() > MAX_SOURCES {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
-    /// Forgets the start that was heard the longest ago.
-    fn forget_oldest(&mut self) {
+    /// Removes the start that has not reported for the longest time.
+    fn remove_oldest(&mut self) {
         let oldest = self.sources.iter().min_by_key(|(_, entry)| entry.heard_ms);
         if let Some(source) = oldest.map(|(source, _)| source.clone()) {
             self.sources.remove(&source);
         }
     }
 
-    /// What has changed since a stamp; everything since 0.
+    /// Returns the changes since a stamp; everything since 0.
     pub fn changed_since(&self, stamp: u64) -> Changes {
         let changed = self.sources.iter().filter(|(_, e)| e.stamp > stamp);
         let pages = changed.map(|(source, entry)| Page {
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Windows of which anything is known.
+    /// Returns the windows that have any totals.
     pub fn windows(&self) -> BTreeSet<Window> {
         let windows = self.sources.values().flat_map(|e| e.windows.keys());
         windows.copied().collect()
     }
 
-    /// The sum over all boxes of a window.
+    /// Returns the sums of all boxes' totals in a window.
     pub fn totals(&self, window: Window) -> Counts {
         let mut totals = Counts::new();
         let entries = self.sources.values();
@@ -130,8 +130,9 @@
         totals
     }
 
-    /// The starts that were heard since `running_ms` and not since `end_ms`: they may have
-    /// counted more. A start after which its box has started again counts no more.
+    /// Returns the starts that last reported at or after `running_ms` but before `end_ms`, with the
+    /// time of that report: they may have counted more since. Only the latest start of each box is
+    /// included, as earlier ones no longer count requests.
     pub fn behind(&self, running_ms: u64, end_ms: u64) -> Vec<(Source, u64)> {
         let mut latest: BTreeMap<&name::Box, u64> = BTreeMap::new();
         for (source, entry) in &self.sources {
@@ -147,8 +148,8 @@
             .collect()
     }
 
-    /// Forgets windows up to one, and the starts that have nothing left and were not heard
-    /// since `running_ms`.
+    /// Removes the windows up to `up_to`, and the starts that have no windows left and have not
+    /// reported since `running_ms`.
     pub fn forget(&mut self, up_to: Window, running_ms: u64) {
         for entry in self.sources.values_mut() {
             entry.windows = entry.windows.split_off(&Window(up_to.0 + 1));
--- a/src/scalewood/core/usage/log.rs
+++ b/src/scalewood/core/usage/log.rs
@@ -1,4 +1,4 @@
-//! The windows of usage that the voters have agreed on.
+//! The usage windows on whose counts the voters have agreed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,44 +9,46 @@
 
 use super::{Counts, Window};
 
-/// The rows of agreed windows that the log keeps at most, reported ones being dropped first:
-/// some windows of 27,000 teams, a few megabytes.
+/// The most rows that the log keeps, a row being the count of one team in one window. This is
+/// enough for some windows of 27,000 teams and takes a few megabytes. Windows known to be reported
+/// are dropped first.
 const MAX_ROWS: usize = 120_000;
-/// The agreed windows that the log keeps at most: some minutes, for operators to look at.
+/// The most windows that the log keeps: some minutes, for operators to look at.
 const MAX_WINDOWS: usize = 64;
 
-/// The counts of a window that is over, to be agreed on.
+/// The counts of a window that has ended, as proposed to the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Closed {
     /// The window.
     pub window: Window,
     /// Its counts.
     pub counts: Arc<Counts>,
-    /// Windows that the provider has taken meanwhile.
+    /// Windows that the provider has accepted since the last proposal.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub reported: BTreeSet<Window>,
 }
 
-/// A window that was agreed on.
+/// A window on whose counts the voters have agreed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Agreed {
     /// Its counts.
     pub counts: Arc<Counts>,
-    /// Whether the provider is known to have taken it.
+    /// Whether the provider is known to have accepted it.
     #[serde(default)]
     pub reported: bool,
 }
 
-/// The windows that the voters have agreed on.
+/// The usage windows on whose counts the voters have agreed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Log {
     windows: BTreeMap<Window, Agreed>,
-    /// The last window that was dropped.
+    /// The latest window that was dropped.
     dropped: Option<Window>,
 }
 
 impl Log {
-    /// Takes the counts of a window, unless some were agreed on before: the first ones hold.
+    /// Records the counts of a window. The first counts of a window are final; later ones are
+    /// ignored.
     pub fn close(&mut self, closed: &Closed) {
         for window in &closed.reported {
             if let Some(agreed) = self.windows.get_mut(window) {
@@ -66,17 +68,18 @@
         }
     }
 
-    /// Whether the counts of a window are agreed on, or were.
+    /// Returns whether the counts of a window have been agreed on, also if the window was dropped
+    /// since.
     pub fn is_closed(&self, window: Window) -> bool {
         self.dropped.is_some_and(|last| window <= last) || self.windows.contains_key(&window)
     }
 
-    /// The last window that was agreed on, of those that are kept.
+    /// Returns the latest window that the log keeps.
     pub fn last(&self) -> Option<Window> {
         self.windows.keys().next_back().copied()
     }
 
-    /// The windows that are kept, the oldest first.
+    /// Returns the windows that the log keeps, the oldest first.
     pub fn windows(&self) -> &BTreeMap<Window, Agreed> {
         &self.windows
     }
--- a/src/scalewood/core/usage/mod.rs
+++ b/src/scalewood/core/usage/mod.rs
@@ -1,11 +1,12 @@
-//! Usage: how many requests of each team endpoints have begun, window by window.
+//! Usage accounting: how many requests of each team have begun on endpoints, by time window.
 //!
-//! - A box counts requests as they begin (`Tally`) and tells running totals, so that a
-//!   message that is lost loses nothing.
-//! - Voters keep what boxes have told (`Book`). The totals belong to one start of a box, so a
-//!   box that goes to another voter is not counted twice.
-//! - Once a window is over and its boxes have told beyond its end, the voters agree on its
-//!   counts (`Log`). What was agreed is never changed: whoever reports a window reports that.
+//! - A box counts requests as they begin ([`Tally`]) and reports running totals, so that the loss
+//!   of a message loses no counts.
+//! - Voters keep the totals that boxes have reported ([`Book`]). They belong to one start of a box,
+//!   so a box that switches to another voter is not counted twice.
+//! - When a window has ended and its boxes have reported past its end, the voters agree on its
+//!   counts ([`Log`]). These never change afterwards, so whichever voter reports a window to the
+//!   provider reports the same counts.
 
 use std::{collections::BTreeMap, fmt, num::ParseIntError, str::FromStr, time::Duration};
 
@@ -21,10 +22,11 @@
 pub use log::{Agreed, Closed, Log};
 pub use voters::Voters;
 
-/// The windows that boxes and voters remember: several times as many as a report may take.
-const MAX_OPEN: usize = 12;
+/// The most windows that boxes and voters remember: several times as many as pass until a window is
+/// reported.
+const MAX_OPEN_WINDOWS: usize = 12;
 
-/// A window of time of the same length as all others; the number counts from the Unix epoch.
+/// A time window. All windows have the same length and are numbered from the Unix epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -32,12 +34,13 @@
 pub struct Window(pub u64);
 
 impl Window {
-    /// The window of a time of day in milliseconds; nothing if windows have no length.
+    /// Returns the window of a time of day in milliseconds since the Unix epoch, or `None` if the
+    /// length of windows is zero.
     pub fn at(unix_ms: u64, length: Duration) -> Option<Self> {
         unix_ms.checked_div(millis(length)).map(Self)
     }
 
-    /// When it ends, in milliseconds since the Unix epoch.
+    /// Returns its end, in milliseconds since the Unix epoch.
     pub fn end_ms(self, length: Duration) -> u64 {
         (self.0 + 1).saturating_mul(millis(length))
     }
@@ -61,10 +64,10 @@
     u64::try_from(length.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Requests by team.
+/// The number of requests by team.
 pub type Counts = BTreeMap<name::Team, u64>;
 
-/// Running totals of a window: those of the teams that have changed.
+/// The running totals of a window, for the teams whose total has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The window.
@@ -75,18 +78,18 @@
     pub counts: Counts,
 }
 
-/// What one start of a box tells of its usage.
+/// A usage report of one start of a box.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Drawn at each start of the box.
+    /// A random number drawn at each start of the box.
     #[serde(rename = "s")]
     pub start: u64,
-    /// What has changed.
+    /// The totals that have changed.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub rows: Vec<Row>,
 }
 
-/// What a box has counted since it started.
+/// The requests that a box has counted since it started.
 #[derive(Debug)]
 pub struct Tally {
     length: Duration,
@@ -94,7 +97,7 @@
 }
 
 impl Tally {
-    /// Counts in windows of a length; nothing where it is zero.
+    /// Returns a tally with windows of a length; it counts nothing if the length is zero.
     pub fn new(length: Duration) -> Self {
         Self {
             length,
@@ -102,32 +105,34 @@
         }
     }
 
-    /// Counts a request that begins.
+    /// Counts a request that begins at a time of day in milliseconds since the Unix epoch.
     pub fn count(&mut self, team: &name::Team, unix_ms: u64) {
         let Some(window) = Window::at(unix_ms, self.length) else {
             return;
         };
         let counts = self.windows.entry(window).or_default();
         *counts.entry(team.clone()).or_default() += 1;
-        while self.windows.len() > MAX_OPEN {
+        while self.windows.len() > MAX_OPEN_WINDOWS {
             self.windows.pop_first();
         }
     }
 
-    /// What it has counted, by window.
+    /// Returns the counts by window.
     pub fn windows(&self) -> &BTreeMap<Window, Counts> {
         &self.windows
     }
 }
 
-/// The rows that one who knows `told` lacks of `counted`.
+/// Returns the rows of `counted` that a receiver who knows `told` lacks.
 pub fn difference(told: &BTreeMap<Window, Counts>, counted: &BTreeMap<Window, Counts>) -> Vec<Row> {
     let rows = counted.iter().map(|(window, counts)| {
         let known = told.get(window);
-        let is_news = |team: &name::Team, count: u64| {
+        let is_changed = |team: &name::Team, count: u64| {
             known.and_then(|known| known.get(team)).copied() != Some(count)
         };
-        let changed = counts.iter().filter(|(team, count)| is_news(team, **count));
+        let changed = counts
+            .iter()
+            .filter(|(team, count)| is_changed(team, **count));
         Row {
             window: *window,
             counts: changed
