--- a/src/scalewood/core/cordon.rs
+++ b/src/scalewood/core/cordon.rs
@@ -1,8 +1,8 @@
 //! Cordons: availability zones whose endpoints get no new work, by order of an operator.
 //!
-//! The cordoned zones are a part of the agreed document, so an order has its place in the log
-//! beside configurations, and boxes learn of it by the same way and within the same time.
-//! What is kept beside the document is what resends and differences need.
+//! The cordoned zones are part of the agreed document. So an order is an entry in the log like a
+//! configuration, and boxes learn of it in the same way and within the same time. Stored beside the
+//! document are only the answers needed for resent orders and the changes needed for differences.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -14,27 +14,28 @@
 
 use crate::core::{change, name, unit};
 
-/// How many first answers are remembered for resends: five weeks at one order an hour.
+/// The number of first answers that are remembered for resent orders: five weeks at one order an
+/// hour.
 const MAX_ANSWERS: usize = 1000;
-/// How many orders that took effect are remembered for differences, as many as a box may be
-/// behind by and still get differences.
+/// The number of effective orders that are remembered for differences; it is also how many a box
+/// may lag behind and still get differences.
 const MAX_MARKS: usize = 256;
-/// The most zones that are cordoned at once: many times those of any deployment, so that
-/// misspelt names can't make the document grow for ever.
+/// The most zones that may be cordoned at once. It is many times the number in any deployment, and
+/// keeps misspelt names from growing the document without bound.
 pub const MAX_ZONES: usize = 256;
 
 /// What an order does to a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Act {
-    /// Its endpoints get no new work from now on.
+    /// Its endpoints get no new work.
     Cordon,
-    /// They get new work again.
+    /// Its endpoints get new work again.
     Uncordon,
 }
 
 impl Act {
-    /// The act's name in logs and answers.
+    /// Returns the name used in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Act::Cordon => "cordon",
@@ -49,17 +50,17 @@
     }
 }
 
-/// A zone with what is done to it.
+/// A zone and what is done to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
     /// The zone.
     pub zone: name::Zone,
-    /// What is done.
+    /// What is done to it.
     pub act: Act,
 }
 
 impl Mark {
-    /// Makes it so; false if it was so before.
+    /// Applies the change. Returns false if it has no effect.
     fn apply(&self, cordoned: &mut BTreeSet<name::Zone>) -> bool {
         match self.act {
             Act::Cordon => cordoned.insert(self.zone.clone()),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The difference that it makes.
+    /// Returns the change as a difference.
     fn difference(&self) -> Difference {
         let zone = BTreeSet::from([self.zone.clone()]);
         let (cordoned, uncordoned) = match self.act {
@@ -87,37 +88,37 @@
     }
 }
 
-/// An operator's order as the log holds it.
+/// An operator's order, as stored in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     /// The zone, and what is done to it.
     pub mark: Mark,
-    /// Who gave it.
+    /// The operator who gave it.
     pub operator: name::Operator,
-    /// The operator's own identity for it. Sent again under the same one, it gets its first
-    /// answer and does nothing, also where it was taken back since.
+    /// The id that the operator chose for it. An order sent again under the same id gets its first
+    /// answer and has no effect, even if it has been reversed since.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<change::Id>,
-    /// Why it is given; goes into the audit trail.
+    /// The reason, for the audit trail.
     #[serde(default)]
     pub why: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it was given, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
-/// What makes one set of cordoned zones out of another.
+/// The difference between two sets of cordoned zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// Zones that are cordoned now.
+    /// Zones that are cordoned in the new set only.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub cordoned: BTreeSet<name::Zone>,
-    /// Zones that are not any more.
+    /// Zones that are cordoned in the old set only.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub uncordoned: BTreeSet<name::Zone>,
 }
 
 impl Difference {
-    /// What makes the new set out of the old one.
+    /// Returns the difference from the old set to the new one.
     pub fn between(old: &BTreeSet<name::Zone>, new: &BTreeSet<name::Zone>) -> Self {
         Self {
             cordoned: new.difference(old).cloned().collect(),
@@ -125,47 +126,48 @@
         }
     }
 
-    /// Makes it so.
+    /// Applies the difference to a set.
     pub fn apply(&self, to: &mut BTreeSet<name::Zone>) {
         to.retain(|zone| !self.uncordoned.contains(zone));
         to.extend(self.cordoned.iter().cloned());
     }
 
-    /// How many zones it touches.
+    /// Returns the number of zones that differ.
     pub fn len(&self) -> usize {
         self.cordoned.len() + self.uncordoned.len()
     }
 
-    /// Whether it touches none.
+    /// Returns whether no zone differs.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A first answer that was given under an id.
+/// The first answer to an order with an id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Given {
+struct FirstAnswer {
     id: change::Id,
     operator: name::Operator,
     mark: Mark,
     answer: change::Answer,
 }
 
-/// What is remembered of orders: the answers under an id, and what took effect last.
+/// The history of orders: the answers by id, and the latest orders that took effect.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Memory {
-    // Shared, since the state is copied for each snapshot and for each reader.
-    answers: VecDeque<Arc<Given>>,
+    // Shared, since the state is copied for each snapshot and each reader.
+    answers: VecDeque<Arc<FirstAnswer>>,
     marks: VecDeque<(unit::Revision, Mark)>,
 }
 
 impl Memory {
-    /// The answer that an order's id got before, if it did; the one in force is `current`.
+    /// Returns the first answer under an order's id, or a refusal if the id was used for another
+    /// order. `current` is the revision in force.
     pub fn answered(&self, order: &Order, current: unit::Revision) -> Option<change::Answer> {
         let id = order.id.as_ref()?;
-        let given = self.answers.iter().rev().find(|given| given.id == *id)?;
-        if given.mark == order.mark && given.operator == order.operator {
-            return Some(given.answer.clone());
+        let first = self.answers.iter().rev().find(|first| first.id == *id)?;
+        if first.mark == order.mark && first.operator == order.operator {
+            return Some(first.answer.clone());
         }
         let why = format!("id {id} was used for another order; take a new id");
         Some(change::Answer::NotApplied {
@@ -174,10 +176,10 @@
         })
     }
 
-    /// Remembers the answer to an order, if it has an id.
+    /// Records the answer to an order, if it has an id.
     pub fn remember(&mut self, order: &Order, answer: &change::Answer) {
         let Some(id) = order.id.clone() else { return };
-        self.answers.push_back(Arc::new(Given {
+        self.answers.push_back(Arc::new(FirstAnswer {
             id,
             operator: order.operator.clone(),
             mark: order.mark.clone(),
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Notes an order that took effect.
+    /// Records an order that took effect.
     pub fn note(&mut self, revision: unit::Revision, mark: Mark) {
         self.marks.push_back((revision, mark));
         if self.marks.len() > MAX_MARKS {
@@ -196,14 +198,14 @@
         }
     }
 
-    /// The steps that orders after a revision made, as far as they are remembered.
+    /// Returns the steps of the remembered orders after a revision.
     pub fn steps_since(&self, from: unit::Revision) -> impl Iterator<Item = change::Step> + '_ {
         let newer = self.marks.iter().filter(move |(at, _)| *at > from);
         newer.map(|(at, mark)| change::Step::of_cordon(*at, mark.difference()))
     }
 }
 
-/// The cordoned zones after an order: none if it changes nothing, or why it can't stand.
+/// Returns the cordoned zones after an order, or `None` if it changes nothing.
 ///
 /// # Errors
 ///
--- a/src/scalewood/core/rest.rs
+++ b/src/scalewood/core/rest.rs
@@ -1,8 +1,8 @@
-//! The rest that endpoints ask of this box.
+//! Rests: how long endpoints ask this box to send them no requests.
 //!
-//! An endpoint that turns a request away may say for how long it wants nothing more from the box
-//! that sent it (`Retry-After`, RFC 9110). What it said holds for this box and for that start of
-//! the endpoint: other boxes have their own answers, and a later start knows nothing of it, but for
+//! An endpoint that refuses a request may name a time for which it wants no more requests from the
+//! box that sent it (`Retry-After`, RFC 9110). This applies to that box and to that start of the
+//! endpoint only: other boxes get answers of their own, and a later start is not affected, except
 //! one that may have begun before the answer.
 
 use std::{
@@ -15,39 +15,40 @@
 
 use crate::core::{name, registry, rendezvous, unit};
 
-/// The longest rest that is believed. An endpoint that wants more is expected to leave, or to
-/// have said a wrong number: within a day an operator has seen it in the log.
+/// The longest rest that is accepted. An endpoint that asks for more is expected to leave or to
+/// have sent a wrong value; within a day an operator has seen it in the log.
 pub const LONGEST: Duration = Duration::from_secs(24 * 3600);
-/// By which part of a rest this box stays away longer, at most. Boxes that were turned away in
-/// the same moment would all come back in the same moment.
-const SPREAD: f64 = 0.25;
-/// The most that this adds.
-const LONGEST_SPREAD: Duration = Duration::from_secs(1);
-
-/// For how long after an answer a rest holds for a later start too. The endpoint may have started anew
-/// before it answered, and its heartbeat come seconds late: then the answer was the later start's.
-const START_UNHEARD: Duration = Duration::from_secs(5);
-/// The most rests that one message tells: 4 KB. Those that were asked for first go first.
-const MOST_TOLD: usize = 64;
-
-/// What an answer says of rest.
+/// The largest part of a rest by which this box extends it. Otherwise boxes that were refused at
+/// the same moment would all return at the same moment.
+const MAX_EXTENSION_RATIO: f64 = 0.25;
+/// The longest extension of a rest.
+const MAX_EXTENSION: Duration = Duration::from_secs(1);
+
+/// How long after an answer a rest applies to a later start too. The endpoint may have restarted
+/// before the answer, and the heartbeat of the new start arrive seconds late: then the answer came
+/// from the new start.
+const LATER_START_GRACE: Duration = Duration::from_secs(5);
+/// The most rests in one message, which limits them to 4 KB. The oldest rests are sent first.
+const MAX_RESTS_PER_MESSAGE: usize = 64;
+
+/// What an answer says about a rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asked {
-    /// Nothing.
+    /// It asks for none.
     Nothing,
-    /// For how long the endpoint wants no request.
+    /// The endpoint wants no requests for this time.
     For(Duration),
-    /// Something that is no time.
+    /// The value is not a time.
     Unreadable,
 }
 
-/// Reads the values of `Retry-After`: seconds, with fractions too, or a date. Of several the
-/// longest counts. A date is compared with the answer's own `date`, whatever the clocks, or else
-/// with the time of day here.
+/// Parses the values of `Retry-After`, each a date or a number of seconds, which may have a
+/// fraction. Returns the longest of several. A date is compared with the answer's own `date`, so
+/// that differing clocks don't matter, or without one with the time of day here.
 pub fn read<'a>(values: impl Iterator<Item = &'a str>, date: Option<&str>, unix_ms: u64) -> Asked {
     let mut asked = Asked::Nothing;
     for value in values {
-        asked = match (asked, length(value, date, unix_ms)) {
+        asked = match (asked, parse_value(value, date, unix_ms)) {
             (Asked::For(known), Some(length)) => Asked::For(known.max(length)),
             (_, Some(length)) => Asked::For(length),
             (Asked::For(known), None) => Asked::For(known),
@@ -60,8 +61,8 @@
     }
 }
 
-/// One value of `Retry-After`.
-fn length(value: &str, date: Option<&str>, unix_ms: u64) -> Option<Duration> {
+/// Parses one value of `Retry-After`.
+fn parse_value(value: &str, date: Option<&str>, unix_ms: u64) -> Option<Duration> {
     let value = value.trim();
     if let Ok(until) = httpdate::parse_http_date(value) {
         let sent = date.and_then(|date| httpdate::parse_http_date(date.trim()).ok());
@@ -69,46 +70,46 @@
         let left = until.duration_since(sent).unwrap_or_default();
         return Some(left.min(LONGEST));
     }
-    // A list is what is left of several fields that were joined on the way.
+    // A proxy may have joined several header fields into a list.
     let lengths = value.split(',').map(|part| seconds(part.trim()));
     lengths.collect::<Option<Vec<_>>>()?.into_iter().max()
 }
 
-/// A number of seconds without a sign or an exponent.
+/// Parses a number of seconds, which must have no sign and no exponent.
 fn seconds(text: &str) -> Option<Duration> {
     let is_number = text.chars().all(|c| c.is_ascii_digit() || c == '.');
     let seconds = text.parse::<f64>().ok().filter(|_| is_number)?;
     Some(Duration::try_from_secs_f64(seconds).map_or(LONGEST, |rest| rest.min(LONGEST)))
 }
 
-/// An endpoint that rests from a box.
+/// A rest that an endpoint has asked of this box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rest {
-    /// The service that it serves.
+    /// The service of the endpoint.
     pub service: name::Service,
-    /// Which start of it asked.
+    /// The start of the endpoint that asked for it.
     pub start: registry::Start,
-    /// When it asked last.
+    /// When the endpoint last asked for it.
     pub asked: Duration,
-    /// When it ends.
+    /// When the rest ends.
     pub until: Duration,
-    /// Rises with each rest that the box was asked for.
+    /// The number of the request for rest; it increases with each one that this box gets.
     pub number: u64,
 }
 
-/// What a dispatcher is told of an endpoint that rests from a box; written as a row.
+/// A rest as it is reported to a dispatcher; serialised as a tuple.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Row", into = "Row")]
 pub struct Told {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// Which start of it asked.
+    /// The start of the endpoint that asked for it.
     pub start: registry::Start,
-    /// How much longer it rests. Clocks differ, so no time is told.
+    /// The remaining time. Clocks differ between machines, so the end is not sent as a time of day.
     pub left: Duration,
 }
 
-/// Endpoint, start, milliseconds left.
+/// Endpoint, start, and remaining time in milliseconds.
 type Row = (name::Endpoint, Option<unit::Incarnation>, u64);
 
 impl From<Row> for Told {
@@ -128,29 +129,29 @@
     }
 }
 
-/// The endpoints that rest from this box.
+/// The rests that endpoints have asked of this box.
 #[derive(Debug)]
 pub struct Book {
     own: name::Box,
     rests: BTreeMap<name::Endpoint, Rest>,
-    /// The number of the last rest that each dispatcher of a service has heard of.
+    /// The highest number of a rest that each dispatcher of a service was sent.
     told: HashMap<(name::Box, name::Service), u64>,
-    numbers: u64,
+    last_number: u64,
 }
 
 impl Book {
-    /// The book of a box that knows of no rest.
+    /// Returns the book of a box that knows of no rests.
     pub fn new(own: name::Box) -> Self {
         Self {
             own,
             rests: BTreeMap::new(),
             told: HashMap::new(),
-            numbers: 0,
+            last_number: 0,
         }
     }
 
-    /// Notes that a start of an endpoint asked for rest in an answer that arrives now. Of two
-    /// rests that overlap the one that ends later holds.
+    /// Records that a start of an endpoint asked for a rest, in an answer that arrives now. If two
+    /// rests overlap, the later end applies.
     pub fn note(
         &mut self,
         endpoint: &name::Endpoint,
@@ -165,28 +166,31 @@
             return;
         }
         let known = known.filter(|known| known.start == start);
-        let until = now + length + self.spread(endpoint, length);
+        let until = now + length + self.extension(endpoint, length);
         let until = known.map_or(until, |known| known.until.max(until));
-        self.numbers += 1;
+        self.last_number += 1;
         let rest = Rest {
             service: service.clone(),
             start,
             asked: now,
             until,
-            number: self.numbers,
+            number: self.last_number,
         };
         self.rests.insert(endpoint.clone(), rest);
     }
 
-    /// How much longer than asked for this box stays away.
-    fn spread(&self, endpoint: &name::Endpoint, length: Duration) -> Duration {
+    /// Returns by how much this box extends a rest.
+    fn extension(&self, endpoint: &name::Endpoint, length: Duration) -> Duration {
         let hash = rendezvous::hash(&[self.own.as_str(), endpoint.as_str()]);
         // The remainder is below 1000, so the cast is exact.
         let part = (hash % 1000) as f64 / 1000.0;
-        length.mul_f64(SPREAD).min(LONGEST_SPREAD).mul_f64(part)
+        length
+            .mul_f64(MAX_EXTENSION_RATIO)
+            .min(MAX_EXTENSION)
+            .mul_f64(part)
     }
 
-    /// How much longer a start of an endpoint rests from this box, if it does.
+    /// Returns the remaining rest of a start of an endpoint, if it has one.
     pub fn left(
         &self,
         endpoint: &name::Endpoint,
@@ -196,14 +200,15 @@
         let rest = self.rests.get(endpoint)?;
         let until = match rest.start.cmp(&start) {
             Ordering::Equal => rest.until,
-            Ordering::Less => rest.until.min(rest.asked + START_UNHEARD),
+            Ordering::Less => rest.until.min(rest.asked + LATER_START_GRACE),
             Ordering::Greater => return None,
         };
         Some(until.saturating_sub(now)).filter(|left| !left.is_zero())
     }
 
-    /// What a dispatcher has not heard of the endpoints of its service, and in any case what it
-    /// has to know of one that it chose in vain: it may have lost what it was told.
+    /// Returns the rests of a service's endpoints that a dispatcher was not sent yet. A rest of the
+    /// endpoint that the dispatcher just chose in vain is always included, as the earlier message
+    /// may have been lost.
     pub fn news(
         &mut self,
         to: &name::Box,
@@ -215,13 +220,14 @@
             return Vec::new();
         }
         let key = (to.clone(), service.clone());
-        let heard = self.told.get(&key).copied().unwrap_or_default();
-        let is_new =
-            |(name, rest): &(&name::Endpoint, &Rest)| rest.number > heard || in_vain == Some(*name);
+        let last_sent = self.told.get(&key).copied().unwrap_or_default();
+        let is_new = |(name, rest): &(&name::Endpoint, &Rest)| {
+            rest.number > last_sent || in_vain == Some(*name)
+        };
         let of_service = self.all(now).filter(|(_, rest)| rest.service == *service);
         let mut news: Vec<_> = of_service.filter(is_new).collect();
         news.sort_unstable_by_key(|(_, rest)| rest.number);
-        news.truncate(MOST_TOLD);
+        news.truncate(MAX_RESTS_PER_MESSAGE);
         let last = news.last().map(|(_, rest)| rest.number);
         let told = |(name, rest): (&name::Endpoint, &Rest)| Told {
             endpoint: name.clone(),
@@ -230,17 +236,17 @@
         };
         let news = news.into_iter().map(told).collect();
         if let Some(last) = last {
-            self.told.insert(key, last.max(heard));
+            self.told.insert(key, last.max(last_sent));
         }
         news
     }
 
-    /// Notes that a dispatcher of a service knows nothing yet.
+    /// Records that a dispatcher of a service has to be sent all rests again.
     pub fn tell_anew(&mut self, to: &name::Box, service: &name::Service) {
         self.told.remove(&(to.clone(), service.clone()));
     }
 
-    /// All rests that have not ended.
+    /// Iterates over all rests that have not ended.
     pub fn all(&self, now: Duration) -> impl Iterator<Item = (&name::Endpoint, &Rest)> {
         self.rests.iter().filter(move |(_, rest)| rest.until > now)
     }
--- a/src/scalewood/core/scaling.rs
+++ b/src/scalewood/core/scaling.rs
@@ -1,15 +1,14 @@
-//! How many endpoints of a service are ordered, where and of which kind.
+//! Autoscaling: how many endpoints of a service are ordered, in which zones and of which kind.
 //!
-//! Endpoints are paid for by the second. Interruptible ones cost a fraction of the others, and
-//! may be taken away all at once in an availability zone, with some seconds of notice.
+//! Endpoints are paid for by the second. Interruptible ones cost a fraction of ordinary ones, and
+//! all of them in an availability zone may be taken away at once, with some seconds of notice.
 //!
-//! The number follows the demand lazily: the slots in use, at their highest of late, over the
-//! part of the slots that is to be in use. It rises at once, since a burst is over before the
-//! endpoints that it asked for have started, and falls only when the demand has been low for
-//! the whole time that is looked back on: each move costs a start, connections and prompts
-//! that are read again. Interruptible endpoints are spread so that those of any one zone can
-//! go and the rest still are enough. Others are kept for what interruptible ones that serve do
-//! not cover yet, or can't.
+//! The target is the recent peak of the slots in use divided by the target utilisation. It rises at
+//! once, since a burst is over before the endpoints ordered for it have started. It falls only when
+//! demand has been low for the whole look-back window, as each change costs a start, connections
+//! and prompts that are read again. Interruptible endpoints are spread over zones so that enough
+//! remain when those of one zone go. Ordinary ones are kept for what the interruptible ones that
+//! serve don't cover yet, or can't.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -21,17 +20,18 @@
 
 use crate::core::name;
 
-/// How long a zone is left alone in which no interruptible endpoints were to be had, or whose
-/// were taken away: they come back some seconds later, and a refused order costs a call.
-const SCARCE: Duration = Duration::from_secs(2);
-/// How long nothing more may have been found before anything is given up: endpoints announce
-/// themselves about every second.
-const SETTLE: Duration = Duration::from_millis(2500);
-/// By how much a lower number has to differ to be worth a move.
-const WORTH_LOWERING: f64 = 0.85;
-/// How long after the time that endpoints take to start an order is given again that seems not
-/// to have been followed: some heartbeats.
-const REMIND: Duration = Duration::from_secs(1);
+/// How long no interruptible endpoints are ordered in a zone that had none left or whose were taken
+/// away. They become available again some seconds later, and a refused order costs a call.
+const SCARCITY_PAUSE: Duration = Duration::from_secs(2);
+/// How long no further endpoints must have been found after a start before any are given up:
+/// endpoints announce themselves about every second.
+const SETTLE_TIME: Duration = Duration::from_millis(2500);
+/// A lower target is ignored if it is above this ratio of the current count, since a change has a
+/// cost.
+const MAX_LOWERING_RATIO: f64 = 0.85;
+/// An order that seems not to have been followed is repeated this long after the endpoints' start
+/// time: some heartbeats.
+const REORDER_DELAY: Duration = Duration::from_secs(1);
 
 /// The kind of an endpoint by how it is paid for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -56,60 +56,61 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Offer {
-    /// The fewest endpoints of both kinds in a zone.
+    /// The minimum number of endpoints in a zone, of both kinds together.
     pub min: u32,
-    /// The most endpoints of both kinds in a zone.
+    /// The maximum number of endpoints in a zone, of both kinds together.
     pub max: u32,
-    /// How long a new endpoint takes to serve, in milliseconds.
+    /// The time from an order until the new endpoint serves, in milliseconds.
     pub start_ms: u64,
-    /// The price of an interruptible endpoint, as a part of an ordinary one's; none where
+    /// The price of an interruptible endpoint as a fraction of an ordinary one's, or `None` if
     /// there are no interruptible ones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub interruptible_price: Option<f64>,
-    /// What an endpoint's second costs in each zone where the service runs.
+    /// The price of an endpoint per second in each zone where the service runs.
     pub zone_prices: BTreeMap<name::Zone, f64>,
 }
 
 impl Offer {
-    /// Whether endpoints can be ordered by it at all.
+    /// Returns whether endpoints can be ordered under this offer at all.
     pub fn is_usable(&self) -> bool {
         self.max > 0 && self.min <= self.max && !self.zone_prices.is_empty()
     }
 
-    /// The same without some zones: nothing is ordered there, nor given up.
+    /// Returns the offer without some zones: nothing is ordered or given up there.
     fn without(&self, zones: &BTreeSet<name::Zone>) -> Self {
         let mut rest = self.clone();
         rest.zone_prices.retain(|zone, _| !zones.contains(zone));
         rest
     }
 
-    /// How long after an order its endpoints should serve.
+    /// Returns the time within which ordered endpoints should serve.
     fn starts_within(&self) -> Duration {
-        Duration::from_millis(self.start_ms) + REMIND
+        Duration::from_millis(self.start_ms) + REORDER_DELAY
     }
 
-    /// Whether interruptible endpoints are to be had for less.
-    fn has_cheap(&self) -> bool {
+    /// Returns whether interruptible endpoints are offered at a lower price.
+    fn has_cheaper_interruptible(&self) -> bool {
         self.interruptible_price.is_some_and(|price| price < 1.0)
     }
 }
 
-/// How the number of endpoints follows the demand.
+/// How the number of endpoints follows demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The part of the slots that is to be in use at the highest demand of late. Where reading
-    /// prompts binds, endpoints are full long before their slots are.
-    /// 0.15 in place of 0.3 bought 0.03 and 0.04 of a day's worth on two
-    /// days of endpoints with 64 slots, and nothing either way on two with 12.
+    /// The target fraction of the slots in use at the recent peak. Where reading prompts is the
+    /// bottleneck, an endpoint is full long before all its slots are in use. With 64 slots per
+    /// endpoint, 0.15 raises the value of a day's service by 0.03 to 0.04 over 0.3; with 12 slots
+    /// the two are equal.
     pub utilisation: f64,
-    /// The part of the slots that may be in use while interruptible endpoints are missing,
-    /// before others are ordered in their place, which cost several times as much.
+    /// The fraction of the slots that may be in use while interruptible endpoints are missing.
+    /// Above it ordinary ones, which cost several times as much, are ordered in their place.
     pub strained: f64,
-    /// How far back the highest demand is looked for.
+    /// The look-back window for the peak of demand.
     pub look_back: Duration,
-    /// The zones whose interruptible endpoints may go at once: one loses them, and another one
-    /// does before the first has them back, or while nobody leads who could order others.
-    /// Two in place of one bought 0.02 of a day's worth on days with such losses.
+    /// The number of zones that may lose their interruptible endpoints without a shortage. A second
+    /// zone may lose them before the first has them back, or while there is no leader to order
+    /// others. On days with such losses, two spare zones raise the value of a day's service by 0.02
+    /// over one.
     pub spare_zones: usize,
     /// Whether interruptible endpoints are ordered at all.
     pub interruptible: bool,
@@ -127,17 +128,17 @@
     }
 }
 
-/// The endpoints of a zone that serve.
+/// The number of endpoints that serve in a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Serving {
-    /// Those that stay.
+    /// Ordinary ones.
     pub ordinary: u32,
-    /// Those that may be taken away, and are not about to.
+    /// Interruptible ones that are not about to be taken away.
     pub interruptible: u32,
-    /// Interruptible ones that are about to go.
+    /// Interruptible ones that are about to be taken away.
     pub going: u32,
-    /// Interruptible ones that warm up. They are not ordered again, but bear too little to stand
-    /// in for others yet.
+    /// Interruptible ones that warm up. They count as present, so they are not ordered again, but
+    /// can't yet replace ordinary ones.
     pub warming: u32,
 }
 
@@ -150,21 +151,21 @@
     }
 }
 
-/// What is seen of a service.
+/// The observed state of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Seen {
-    /// Slots in use, also of requests that wait inside of endpoints.
+    /// The slots in use, including those of requests that wait inside endpoints.
     pub in_use: u32,
-    /// The slots of an endpoint.
+    /// The number of slots per endpoint.
     pub slots: u32,
-    /// What serves, by zone.
+    /// The endpoints that serve, by zone.
     pub zones: BTreeMap<name::Zone, Serving>,
-    /// The zones that are cordoned: what stands there is no capacity.
+    /// The cordoned zones: their endpoints don't count as capacity.
     pub cordoned: BTreeSet<name::Zone>,
 }
 
 impl Seen {
-    /// The same without the cordoned zones.
+    /// Returns the state without the cordoned zones.
     fn open(&self) -> Self {
         let mut open = self.clone();
         open.zones.retain(|zone, _| !self.cordoned.contains(zone));
@@ -179,31 +180,31 @@
     pub zone: name::Zone,
     /// The kind.
     pub kind: Kind,
-    /// How many.
+    /// The number of endpoints.
     pub count: u32,
 }
 
-/// What came of an order.
+/// The provider's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It was taken.
+    /// The order was accepted.
     Taken,
-    /// None are to be had there now.
+    /// No endpoints are available there now.
     NoneLeft,
-    /// It is not known, or it was not heard.
+    /// The answer is unknown or was not received.
     Unclear,
 }
 
-/// What the numbers rest on, for the log.
+/// The figures that the orders are based on, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Basis {
-    /// The highest number of slots in use of late.
+    /// The recent peak of the slots in use.
     pub peak: u32,
-    /// The endpoints that this asks for.
+    /// The number of endpoints needed for it.
     pub needed: u32,
-    /// The interruptible ones that serve.
+    /// The interruptible endpoints that serve.
     pub interruptible: u32,
-    /// The ordinary ones that serve.
+    /// The ordinary endpoints that serve.
     pub ordinary: u32,
 }
 
@@ -211,90 +212,90 @@
 #[derive(Debug)]
 pub struct Scaler {
     settings: Settings,
-    /// When it began, or the last endpoint was found that served before.
+    /// When the scaler started, or when the last endpoint was found that had served before.
     since: Duration,
-    /// What served when this began: the demand before is not known, so it counts as asked
-    /// for until demand was seen for the whole time that is looked back on.
-    found: u32,
-    /// Since when there is demand, if there was any.
+    /// The endpoints that served at the start. The demand before is unknown, so these count as
+    /// needed until demand has been observed for a whole look-back window.
+    initial: u32,
+    /// When demand was first observed.
     demand_since: Option<Duration>,
     peaks: VecDeque<(Duration, u32)>,
-    taken: BTreeMap<(name::Zone, Kind), (u32, Duration)>,
-    scarce: BTreeMap<name::Zone, Duration>,
+    accepted: BTreeMap<(name::Zone, Kind), (u32, Duration)>,
+    scarce_until: BTreeMap<name::Zone, Duration>,
     cordoned: BTreeSet<name::Zone>,
-    /// How many zones of the offer are cordoned.
-    closed: u32,
-    /// Until when nothing is given up, since a zone was uncordoned: its endpoints have had no
-    /// work for a while, and those that stood in for them still carry all of it.
-    lasting: Duration,
+    /// The number of zones in the offer that are cordoned.
+    cordoned_count: u32,
+    /// Until when nothing is given up after a zone was uncordoned: its endpoints have had no work
+    /// for a while, and those that replaced them still carry the load.
+    hold_until: Duration,
     basis: Basis,
 }
 
 impl Scaler {
-    /// Begins; it watches at first what serves.
+    /// Returns a scaler, which at first only observes what serves.
     pub fn new(settings: Settings, now: Duration) -> Self {
         Self {
             settings,
             since: now,
-            found: 0,
+            initial: 0,
             demand_since: None,
             peaks: VecDeque::new(),
-            taken: BTreeMap::new(),
-            scarce: BTreeMap::new(),
+            accepted: BTreeMap::new(),
+            scarce_until: BTreeMap::new(),
             cordoned: BTreeSet::new(),
-            closed: 0,
-            lasting: Duration::ZERO,
+            cordoned_count: 0,
+            hold_until: Duration::ZERO,
             basis: Basis::default(),
         }
     }
 
-    /// What the last numbers rest on.
+    /// Returns the figures that the last orders were based on.
     pub fn basis(&self) -> Basis {
         self.basis
     }
 
-    /// The orders that are due.
+    /// Returns the orders that are due.
     pub fn step(&mut self, offer: &Offer, seen: &Seen, now: Duration) -> Vec<Order> {
         self.note_cordons(&seen.cordoned, now);
-        // Orders for a cordoned zone stay as they are: its endpoints finish what they run, and
-        // are there when the zone is uncordoned.
+        // Orders for a cordoned zone stay unchanged: its endpoints finish their requests and are
+        // there when the zone is uncordoned.
         let zones = offer.zone_prices.len();
         let offer = &offer.without(&seen.cordoned);
-        let closed = zones - offer.zone_prices.len();
-        self.closed = u32::try_from(closed).unwrap_or(u32::MAX);
+        let cordoned_count = zones - offer.zone_prices.len();
+        self.cordoned_count = u32::try_from(cordoned_count).unwrap_or(u32::MAX);
         let seen = &seen.open();
         self.note_peak(seen.in_use, now);
         self.note_scarcity(seen, now);
-        let watching = self.is_watching(seen, now);
+        let observing = self.is_observing(seen, now);
         if seen.slots == 0 || !offer.is_usable() {
             return Vec::new();
         }
         let needed = Needed {
-            spared: self.needed(self.settings.utilisation, offer, seen, now),
+            at_target: self.needed(self.settings.utilisation, offer, seen, now),
             strained: self.needed(self.settings.strained, offer, seen, now),
         };
         let serving = |kind| seen.zones.values().map(|zone| zone.count(kind)).sum();
         self.basis = Basis {
             peak: self.peak(),
-            needed: needed.spared,
+            needed: needed.at_target,
             interruptible: serving(Kind::Interruptible),
             ordinary: serving(Kind::Ordinary),
         };
         let mut orders = Vec::new();
         for (zone, kind, wanted) in self.wanted(offer, seen, needed) {
-            let count = self.lazily(&zone, kind, wanted, seen);
-            // While it watches it gives nothing up: others may serve that it has not seen yet.
+            let count = self.damped(&zone, kind, wanted, seen);
+            // While it observes it gives nothing up, as others may serve that it has not seen yet.
             let before = self.count_of(&zone, kind, seen);
-            let adds_cheap = kind == Kind::Interruptible && count > before;
+            let adds_interruptible = kind == Kind::Interruptible && count > before;
             let order = Order { zone, kind, count };
-            if count < before && now < self.lasting {
+            if count < before && now < self.hold_until {
                 continue;
             }
-            if (!watching || adds_cheap) && self.is_due(&order, offer, seen, now) {
+            if (!observing || adds_interruptible) && self.is_due(&order, offer, seen, now) {
                 orders.push(order);
             }
         }
-        // What is added goes first: what it stands in for is given up later.
+        // Additions go first: what they replace is given up later.
         orders.sort_by_key(|order| {
             let before = self.count_of(&order.zone, order.kind, seen);
             (order.count < before, order.kind, order.zone.clone())
@@ -302,40 +303,42 @@
         orders
     }
 
-    /// Notes what came of an order.
+    /// Records the provider's answer to an order.
     pub fn answered(&mut self, order: &Order, answer: Answer, now: Duration) {
         match answer {
             Answer::Taken => {
                 let key = (order.zone.clone(), order.kind);
-                self.taken.insert(key, (order.count, now));
+                self.accepted.insert(key, (order.count, now));
             }
             Answer::NoneLeft => {
-                self.scarce.insert(order.zone.clone(), now + SCARCE);
+                self.scarce_until
+                    .insert(order.zone.clone(), now + SCARCITY_PAUSE);
             }
             Answer::Unclear => {}
         }
     }
 
-    /// Watches what serves until no more has come for a while.
-    fn is_watching(&mut self, seen: &Seen, now: Duration) -> bool {
-        if now >= self.since + SETTLE {
+    /// Records what serves until no more endpoints have appeared for a while. Returns whether this
+    /// phase still lasts.
+    fn is_observing(&mut self, seen: &Seen, now: Duration) -> bool {
+        if now >= self.since + SETTLE_TIME {
             return false;
         }
-        let found = self.found_in(seen);
-        if found > self.found {
-            self.found = found;
+        let initial = self.count_initial(seen);
+        if initial > self.initial {
+            self.initial = initial;
             self.since = now;
         }
         true
     }
 
-    /// What serves now, without the interruptible endpoints that are to spare or were ordered
-    /// here: they stand in for others that still serve.
-    fn found_in(&self, seen: &Seen) -> u32 {
+    /// Returns the number of endpoints that serve, without the interruptible ones that are spare or
+    /// were ordered by this scaler: these replace others that still serve.
+    fn count_initial(&self, seen: &Seen) -> u32 {
         let ordinary: u32 = seen.zones.values().map(|zone| zone.ordinary).sum();
         let is_own = |zone: &name::Zone| {
             let key = (zone.clone(), Kind::Interruptible);
-            self.taken.contains_key(&key)
+            self.accepted.contains_key(&key)
         };
         let others = seen.zones.iter().filter(|(zone, _)| !is_own(zone));
         let interruptible: u32 = others.map(|(_, zone)| zone.interruptible).sum();
@@ -361,47 +364,47 @@
         self.peaks.front().map_or(0, |(_, in_use)| *in_use)
     }
 
-    /// Gives nothing up for a while after a zone was uncordoned.
+    /// Prevents endpoints from being given up for a while after a zone was uncordoned.
     fn note_cordons(&mut self, cordoned: &BTreeSet<name::Zone>, now: Duration) {
         if self.cordoned.difference(cordoned).next().is_some() {
-            self.lasting = now + self.settings.look_back;
+            self.hold_until = now + self.settings.look_back;
         }
         self.cordoned.clone_from(cordoned);
     }
 
-    /// A zone whose interruptible endpoints are about to go gets no others for a while.
+    /// Stops orders for a while in zones whose interruptible endpoints are about to be taken away.
     fn note_scarcity(&mut self, seen: &Seen, now: Duration) {
-        self.scarce.retain(|_, until| *until > now);
+        self.scarce_until.retain(|_, until| *until > now);
         for (zone, serving) in &seen.zones {
             if serving.going > 0 && serving.interruptible == 0 {
-                self.scarce.insert(zone.clone(), now + SCARCE);
-                self.taken.remove(&(zone.clone(), Kind::Interruptible));
+                self.scarce_until.insert(zone.clone(), now + SCARCITY_PAUSE);
+                self.accepted.remove(&(zone.clone(), Kind::Interruptible));
             }
         }
     }
 
-    /// The endpoints that the demand asks for with so much of their slots in use, up to what
-    /// the provider has.
+    /// Returns the endpoints needed for the recent peak at this utilisation, up to the provider's
+    /// maximum.
     fn needed(&self, utilisation: f64, offer: &Offer, seen: &Seen, now: Duration) -> u32 {
         let slots = f64::from(self.peak()) / utilisation.max(MIN_UTILISATION);
-        // Casts of floating point numbers saturate.
+        // Casts from floating point saturate.
         let asked = (slots / f64::from(seen.slots)).ceil() as u32;
         let is_known = |since: Duration| now >= since + self.settings.look_back;
         let asked = if self.demand_since.is_some_and(is_known) {
             asked
         } else {
-            asked.max(self.found)
+            asked.max(self.initial)
         };
         let zones = u32::try_from(offer.zone_prices.len()).unwrap_or(u32::MAX);
         asked.min(offer.max.saturating_mul(zones))
     }
 
-    /// How many each zone is to have of each kind.
+    /// Returns how many endpoints of each kind each zone is to have.
     fn wanted(&self, offer: &Offer, seen: &Seen, needed: Needed) -> Vec<(name::Zone, Kind, u32)> {
         let zones: Vec<_> = offer.zone_prices.keys().cloned().collect();
-        let cheap = self.settings.interruptible && offer.has_cheap();
+        let cheap = self.settings.interruptible && offer.has_cheaper_interruptible();
         let interruptible = if cheap {
-            self.spread(offer, &zones, needed.spared)
+            self.spread(offer, &zones, needed.at_target)
         } else {
             BTreeMap::new()
         };
@@ -409,30 +412,32 @@
         let ordinary = if cheap {
             self.uncovered(offer, seen, &interruptible, needed.strained)
         } else {
-            divide(needed.spared, &kept, |_| offer.max)
+            divide(needed.at_target, &kept, |_| offer.max)
         };
         let mut wanted = Vec::new();
         for zone in zones {
-            let cheap_here = interruptible.get(&zone).copied().unwrap_or(0);
+            let interruptible_here = interruptible.get(&zone).copied().unwrap_or(0);
             let ordinary_here = ordinary.get(&zone).copied().unwrap_or(0);
-            let ordinary_here = ordinary_here.max(offer.min.saturating_sub(cheap_here));
-            // What still serves or was ordered takes its place until it is given up; what is
-            // added does not take that of what costs less.
+            let ordinary_here = ordinary_here.max(offer.min.saturating_sub(interruptible_here));
+            // Ordinary endpoints that serve or were ordered take up room until they are given up.
+            // Ordinary ones that are added must not take up the room of interruptible ones.
             let kept_here = kept.get(&zone).copied().unwrap_or(0);
-            let cheap_here = cheap_here.min(offer.max.saturating_sub(kept_here));
-            let cheap_now = self.count_of(&zone, Kind::Interruptible, seen);
-            let room = offer.max.saturating_sub(cheap_here.max(cheap_now));
+            let interruptible_here = interruptible_here.min(offer.max.saturating_sub(kept_here));
+            let interruptible_now = self.count_of(&zone, Kind::Interruptible, seen);
+            let room = offer
+                .max
+                .saturating_sub(interruptible_here.max(interruptible_now));
             wanted.push((zone.clone(), Kind::Ordinary, ordinary_here.min(room)));
-            // A zone where none are to be had keeps its order as it is.
-            if cheap && !self.scarce.contains_key(&zone) {
-                wanted.push((zone, Kind::Interruptible, cheap_here));
+            // The order of a zone without available endpoints stays unchanged.
+            if cheap && !self.scarce_until.contains_key(&zone) {
+                wanted.push((zone, Kind::Interruptible, interruptible_here));
             }
         }
         wanted
     }
 
-    /// Spreads interruptible endpoints over the zones that have them, so that enough are left
-    /// when those of some zones go.
+    /// Spreads interruptible endpoints over the zones that have them, so that enough remain when
+    /// the spare zones lose theirs.
     fn spread(
         &self,
         offer: &Offer,
@@ -441,14 +446,14 @@
     ) -> BTreeMap<name::Zone, u32> {
         let usable: Vec<_> = zones
             .iter()
-            .filter(|zone| !self.scarce.contains_key(*zone))
+            .filter(|zone| !self.scarce_until.contains_key(*zone))
             .collect();
-        let spared = usable
+        let remaining = usable
             .len()
             .saturating_sub(self.settings.spare_zones)
             .max(1);
-        let each = needed.div_ceil(u32::try_from(spared).unwrap_or(1));
-        let each = self.stands_in(each, usable.len());
+        let each = needed.div_ceil(u32::try_from(remaining).unwrap_or(1));
+        let each = self.replacing_cordoned(each, usable.len());
         let each = each.clamp(offer.min.max(1), offer.max.max(1));
         usable
             .into_iter()
@@ -456,16 +461,17 @@
             .collect()
     }
 
-    /// What each of so many zones has in place of `each`, so that all of them together have as
-    /// many as they had with the cordoned ones.
-    fn stands_in(&self, each: u32, zones: usize) -> u32 {
+    /// Returns how many endpoints each of `zones` zones needs instead of `each`, so that together
+    /// they make up for the cordoned zones.
+    fn replacing_cordoned(&self, each: u32, zones: usize) -> u32 {
         let open = u32::try_from(zones).unwrap_or(u32::MAX).max(1);
-        let all = open.saturating_add(self.closed);
+        let all = open.saturating_add(self.cordoned_count);
         each.saturating_mul(all).div_ceil(open)
     }
 
-    /// The ordinary endpoints that are needed beside the interruptible ones: those that serve
-    /// stay until others do, and more come where interruptible ones can't be had.
+    /// Returns the ordinary endpoints needed in addition to the interruptible ones: those that
+    /// serve stay until interruptible ones do, and more are added where interruptible ones are
+    /// unavailable.
     fn uncovered(
         &self,
         offer: &Offer,
@@ -473,80 +479,81 @@
         interruptible: &BTreeMap<name::Zone, u32>,
         needed: u32,
     ) -> BTreeMap<name::Zone, u32> {
-        let bears = |zone: &Serving| zone.interruptible.saturating_sub(zone.warming);
-        let serving: u32 = seen.zones.values().map(bears).sum();
-        let to_be_had: u32 = interruptible.values().sum();
+        let usable_count = |zone: &Serving| zone.interruptible.saturating_sub(zone.warming);
+        let serving: u32 = seen.zones.values().map(usable_count).sum();
+        let available: u32 = interruptible.values().sum();
         let kept = self.kept(offer, seen);
-        // Where a zone is full, interruptible ones come only after others have gone.
-        let stay = (f64::from(needed) * STAY).ceil() as u32;
-        let lacking_now = stay.saturating_sub(serving).min(kept.values().sum());
-        let lacking = needed.saturating_sub(to_be_had);
+        // In a full zone, interruptible endpoints can start only after ordinary ones have gone.
+        let min_kept = (f64::from(needed) * MIN_KEPT_RATIO).ceil() as u32;
+        let missing_now = min_kept.saturating_sub(serving).min(kept.values().sum());
+        let unavailable = needed.saturating_sub(available);
         let cheap = |zone: &name::Zone| interruptible.get(zone).copied().unwrap_or(0);
         let room = |zone: &name::Zone| offer.max.saturating_sub(cheap(zone));
-        divide(lacking_now.max(lacking), &kept, room)
+        divide(missing_now.max(unavailable), &kept, room)
     }
 
-    /// The ordinary endpoints of each zone that serve or are about to: one that was ordered is
-    /// not given up before others serve in its place.
+    /// Returns the ordinary endpoints of each zone that serve or were ordered. Those that were
+    /// ordered are not given up before others serve in their place.
     fn kept(&self, offer: &Offer, seen: &Seen) -> BTreeMap<name::Zone, u32> {
         let kept = |zone: &name::Zone| {
             let serves = seen.zones.get(zone).map_or(0, |zone| zone.ordinary);
-            let ordered = self.taken.get(&(zone.clone(), Kind::Ordinary));
+            let ordered = self.accepted.get(&(zone.clone(), Kind::Ordinary));
             ordered.map_or(serves, |(count, _)| (*count).max(serves))
         };
         let zones = offer.zone_prices.keys();
         zones.map(|zone| (zone.clone(), kept(zone))).collect()
     }
 
-    /// A number that is not lowered for little.
-    fn lazily(&self, zone: &name::Zone, kind: Kind, wanted: u32, seen: &Seen) -> u32 {
+    /// Returns the wanted count, or the current one if the wanted one is only slightly lower.
+    fn damped(&self, zone: &name::Zone, kind: Kind, wanted: u32, seen: &Seen) -> u32 {
         let before = self.count_of(zone, kind, seen);
-        let little = f64::from(wanted) > f64::from(before) * WORTH_LOWERING;
-        if wanted < before && wanted > 0 && little {
+        let is_slight = f64::from(wanted) > f64::from(before) * MAX_LOWERING_RATIO;
+        if wanted < before && wanted > 0 && is_slight {
             before
         } else {
             wanted
         }
     }
 
-    /// What a zone was ordered to have, or has where no order is known.
+    /// Returns how many endpoints a zone was ordered to have, or how many serve if no order is
+    /// known.
     fn count_of(&self, zone: &name::Zone, kind: Kind, seen: &Seen) -> u32 {
-        let taken = self
-            .taken
+        let accepted = self
+            .accepted
             .get(&(zone.clone(), kind))
             .map(|(count, _)| *count);
         let serves = seen.zones.get(zone).map_or(0, |zone| zone.count(kind));
-        taken.unwrap_or(serves)
+        accepted.unwrap_or(serves)
     }
 
     fn is_due(&self, order: &Order, offer: &Offer, seen: &Seen, now: Duration) -> bool {
         let Order { zone, kind, count } = order;
         let serves = seen.zones.get(zone).map_or(0, |zone| zone.count(*kind));
-        match self.taken.get(&(zone.clone(), *kind)) {
+        match self.accepted.get(&(zone.clone(), *kind)) {
             None => *count != serves,
-            Some((taken, _)) if taken != count => true,
+            Some((accepted, _)) if accepted != count => true,
             Some((_, at)) => serves < *count && now >= *at + offer.starts_within(),
         }
     }
 }
 
-/// How many endpoints the demand asks for.
+/// How many endpoints are needed.
 #[derive(Clone, Copy, Debug)]
 struct Needed {
-    /// With slots to spare.
-    spared: u32,
-    /// With the slots strained.
+    /// At the target utilisation.
+    at_target: u32,
+    /// At the utilisation allowed while interruptible endpoints are missing.
     strained: u32,
 }
 
-/// The part of the endpoints needed that are kept at least while ordinary ones are given up
-/// for others.
-const STAY: f64 = 0.85;
-/// The least part of the slots that can be meant to be in use.
+/// The fraction of the needed endpoints that is kept at least while ordinary ones are replaced by
+/// interruptible ones.
+const MIN_KEPT_RATIO: f64 = 0.85;
+/// The lowest target utilisation that is accepted.
 const MIN_UTILISATION: f64 = 0.01;
 
-/// Divides ordinary endpoints among zones: those that are kept go first, the others where there
-/// is room beside the interruptible ones.
+/// Divides ordinary endpoints among zones: first those that are kept, then additional ones where
+/// there is room beside the interruptible ones.
 fn divide(
     wanted: u32,
     kept: &BTreeMap<name::Zone, u32>,
