--- a/src/scalewood/core/fingerprint.rs
+++ b/src/scalewood/core/fingerprint.rs
@@ -1,46 +1,48 @@
-//! What makes two requests the same one: path, caller and body, as the caller sent them.
+//! Request fingerprints: two requests are the same if path, caller and body are the same, as the
+//! caller sent them.
 //!
-//! A request's id is new with each arrival, and what an endpoint gets of it may differ from one
-//! attempt to the next (what is left of its time, what was delivered before). Its fingerprint is
-//! the same at each arrival, at each box. The caller is a part of it, so nobody can send what
-//! counts as another team's request.
+//! A request's id is new at each arrival, and what an endpoint is sent may differ between attempts
+//! (the remaining time, what was delivered before). Its fingerprint is the same at each arrival and
+//! at each box. It includes the caller, so no team can send a request with the fingerprint of
+//! another team's.
 
 use std::{fmt, ops::RangeInclusive, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use sha2::Digest as _;
 
-/// Hexadecimal digits of each part.
-const DIGITS: usize = 16;
+/// The number of hexadecimal digits of each part.
+const DIGITS_PER_PART: usize = 16;
 
-/// What a request is sent under, without its body. The host is left out: callers that name a box
-/// send another one to each.
+/// A request without its body. The host is left out, since callers that address boxes by name send
+/// a different host to each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head<'a> {
-    /// The team that asks.
+    /// The team that sends the request.
     pub team: &'a str,
     /// The HTTP method.
     pub method: &'a str,
-    /// The path with its query.
+    /// The path, including the query.
     pub target: &'a str,
 }
 
-/// The hash of a request's head and of its body's length: cheap, and different for almost all
-/// requests, so that a body is read only where it matters.
+/// The hash of a request's head and of the length of its body. It is cheap and differs for almost
+/// all requests, so that bodies are hashed only where needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeadHash(u64);
 
 impl HeadHash {
-    /// The hash of a head with a body of so many bytes.
+    /// Returns the hash of a head with a body of `length` bytes.
     pub fn of(head: &Head<'_>, length: usize) -> Self {
         let mut hash = sha2::Sha256::new();
         for part in [head.team, head.method, head.target] {
-            // Each part with its length, so that none can run over into the next.
+            // Each part is preceded by its length, so that different parts can't give the same
+            // input.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
         hash.update((length as u64).to_be_bytes());
-        Self(leading(&hash.finalize()))
+        Self(first_64_bits(&hash.finalize()))
     }
 }
 
@@ -53,16 +55,16 @@
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request. Reading a body of 4 MiB takes some 3 ms of a core with
+    /// Returns the fingerprint of a request. Hashing a body of 4 MiB takes some 3 ms on a core with
     /// SHA instructions.
     pub fn of(head: HeadHash, body: &[u8]) -> Self {
         Self {
             head,
-            body: leading(&sha2::Sha256::digest(body)),
+            body: first_64_bits(&sha2::Sha256::digest(body)),
         }
     }
 
-    /// All fingerprints of requests with a head.
+    /// Returns the range of all fingerprints of requests with this head.
     pub fn all_of(head: HeadHash) -> RangeInclusive<Self> {
         Self { head, body: 0 }..=Self {
             head,
@@ -71,8 +73,8 @@
     }
 }
 
-/// The first 64 bits of a hash.
-fn leading(hash: &[u8]) -> u64 {
+/// Returns the first 64 bits of a hash.
+fn first_64_bits(hash: &[u8]) -> u64 {
     let first = hash.first_chunk().expect("a SHA-256 has 32 bytes");
     u64::from_be_bytes(*first)
 }
@@ -89,7 +91,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The error for a text that is not a fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error;
 
@@ -115,7 +117,7 @@
 
 fn part(text: &str) -> Result<u64, Error> {
     let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if text.len() != DIGITS || !is_hex {
+    if text.len() != DIGITS_PER_PART || !is_hex {
         return Err(Error);
     }
     u64::from_str_radix(text, 16).map_err(|_| Error)
--- a/src/scalewood/core/mod.rs
+++ b/src/scalewood/core/mod.rs
@@ -1,8 +1,8 @@
-//! What things are and how decisions are made: pure types and state machines.
+//! The domain types, and the decision logic as pure state machines.
 //!
-//! Nothing here does I/O, spawns a task or reads a clock. A machine takes an
-//! input and the time, and returns outputs; the daemons, the randomised runs and
-//! the benchmarks drive the same code.
+//! Nothing here does I/O, spawns a task or reads a clock. A state machine takes an input and the
+//! time, and returns outputs; the daemons, the randomised runs and the benchmarks all run the same
+//! code.
 
 pub mod agree;
 pub mod attempt;
--- a/src/scalewood/core/name.rs
+++ b/src/scalewood/core/name.rs
@@ -1,16 +1,16 @@
 //! Names of the things that operators configure.
 //!
-//! Each kind of name is a type of its own, so that a team can't be passed where a
-//! service is meant. A name is cheap to clone: it is a shared string.
+//! Each kind of name has a type of its own, so that a team can't be passed where a service is
+//! expected. Names are shared strings, so cloning one is cheap.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_LEN: usize = 63;
 
-/// Why a text is no name.
+/// The error for a text that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     kind: &'static str,
@@ -43,7 +43,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -99,9 +99,9 @@
     Box = "box";
     /// An availability zone.
     Zone = "availability zone";
-    /// A region: some availability zones that lie close to each other.
+    /// A region: availability zones that are close to each other.
     Region = "region";
-    /// A service that callers ask.
+    /// A service that teams call.
     Service = "service";
     /// A class of requests within a service.
     Class = "class";
@@ -113,6 +113,6 @@
     Policy = "policy";
     /// A person or program that changes the configuration.
     Operator = "operator";
-    /// A model or adapter as callers name it, in the form that names take here.
+    /// A model or adapter as callers name it, in the syntax of names here.
     Model = "model";
 }
--- a/src/scalewood/core/prompt.rs
+++ b/src/scalewood/core/prompt.rs
@@ -1,20 +1,20 @@
-//! What prompts share, as dispatchers and hubs tell it.
+//! Shared prompt prefixes, as dispatchers and hubs exchange them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::unit;
 
-/// A hash over the start of a prompt. Prompts with the same prefix may share an
-/// engine's cached work.
+/// A hash of the beginning of a prompt. Prompts with the same prefix may share an engine's cached
+/// work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Prefix(pub u64);
 
-/// What decides where a prompt that others share is placed.
+/// The placement key of a prompt whose beginning other prompts share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placed {
-    /// The part of the prompt that others share.
+    /// The hash of the shared beginning.
     pub prefix: Prefix,
-    /// The tokens of that part.
+    /// The length of the shared beginning.
     pub shared: unit::Tokens,
 }
--- a/src/scalewood/core/residency.rs
+++ b/src/scalewood/core/residency.rs
@@ -1,4 +1,4 @@
-//! Residency: the regions in which a request may be served, and what it carries be kept.
+//! Data residency: the regions in which a request may be served and its data be kept.
 
 use std::{collections::BTreeSet, fmt, sync::Arc};
 
@@ -6,7 +6,7 @@
 
 use crate::core::{config, name, region};
 
-/// The regions in which something may be served; everywhere if none are named.
+/// The regions in which something may be served; all of them if none are listed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Allowed(Option<Arc<BTreeSet<name::Region>>>);
@@ -17,7 +17,8 @@
         Self(Some(Arc::new(regions.into_iter().collect())))
     }
 
-    /// Allows what both allow: where a route and a team name regions, both bind.
+    /// Allows the regions that both allow: if a route and a team each list regions, both lists
+    /// apply.
     #[must_use]
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
@@ -27,8 +28,8 @@
         }
     }
 
-    /// Whether a region is allowed. One that is not known is allowed only where no regions are
-    /// named: nothing may go where it is not known to be allowed.
+    /// Returns whether a region is allowed. An unknown region is allowed only if no regions are
+    /// listed, since nothing may be sent to a place that is not known to be allowed.
     pub fn permits(&self, region: Option<&name::Region>) -> bool {
         match &self.0 {
             None => true,
@@ -36,17 +37,17 @@
         }
     }
 
-    /// Whether it is allowed everywhere.
+    /// Returns whether all regions are allowed.
     pub fn is_everywhere(&self) -> bool {
         self.0.is_none()
     }
 
-    /// Whether it is allowed in no region at all.
+    /// Returns whether no region is allowed.
     pub fn is_nowhere(&self) -> bool {
         self.0.as_deref().is_some_and(BTreeSet::is_empty)
     }
 
-    /// Whether regions are named, and no availability zone that is known is in one of them.
+    /// Returns whether regions are listed, but no known availability zone is in one of them.
     pub fn is_unknown(&self, regions: &region::Map) -> bool {
         let known = regions.regions();
         self.0
@@ -54,7 +55,7 @@
             .is_some_and(|named| !named.iter().any(|region| known.contains(region)))
     }
 
-    /// The regions that are named, if any are.
+    /// Returns the listed regions, if there is a list.
     pub fn regions(&self) -> Option<&BTreeSet<name::Region>> {
         self.0.as_deref()
     }
@@ -76,15 +77,15 @@
     }
 }
 
-/// Why an item of a configuration that allows no region can't stand. Read as "everywhere" it
-/// would widen what somebody meant to narrow, and as "nowhere" it serves nobody.
+/// The error for an item of a configuration that allows no region. Taken as "everywhere", it would
+/// widen what was meant as a restriction; taken as "nowhere", it could serve nobody.
 pub(crate) const NOWHERE: &str =
     "its list of regions is empty; name one, or leave the list out to allow all";
 
-/// What says where a request may be served.
+/// The items of a configuration that decide where a request may be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A route, and the team that calls it, where that is known by a key.
+    /// A route, and the team that calls it if it is identified by a key.
     Route {
         /// The route.
         route: name::Class,
@@ -101,8 +102,9 @@
 }
 
 impl Source {
-    /// Where a request may be served by a configuration. What that no longer holds binds as
-    /// it did last: a route that is taken away while its requests run opens no region to them.
+    /// Returns where a request may be served under a configuration. For an item that the
+    /// configuration no longer has, the regions last in force still apply: removing a route allows
+    /// its running requests no further regions.
     pub fn in_force(&self, document: &config::Document, last: &Allowed) -> Allowed {
         let (item, team) = match self {
             Source::Route { route, team } => {
@@ -127,8 +129,8 @@
     }
 }
 
-/// The routes, classes and teams of a configuration whose regions are all unknown, the first
-/// `most` of them, as `kind name`.
+/// Returns the routes, classes and teams of a configuration that list only unknown regions, as
+/// `kind name`; at most the first `most` of them.
 pub fn unknown(document: &config::Document, regions: &region::Map, most: usize) -> Vec<String> {
     let routing = document.routing.as_deref();
     let routes = routing.into_iter().flat_map(|routing| &routing.routes);
--- a/src/scalewood/core/secret.rs
+++ b/src/scalewood/core/secret.rs
@@ -1,14 +1,14 @@
-//! Tokens of teams and operators, kept as hashes only.
+//! Tokens of teams and operators, of which only hashes are stored.
 //!
-//! Tokens are made by `scalewood token` with 256 random bits, so that a plain
-//! SHA-256 is enough: there is nothing to guess from a dictionary.
+//! `scalewood token` generates tokens with 256 random bits. As no dictionary attack can find such a
+//! token, a plain SHA-256 is sufficient.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use sha2::Digest as _;
 
-/// Bytes in a hash.
+/// The length of a hash, in bytes.
 const HASH_LEN: usize = 32;
 
 /// The SHA-256 of a token; written as 64 hexadecimal digits.
@@ -17,7 +17,7 @@
 pub struct Hash([u8; HASH_LEN]);
 
 impl Hash {
-    /// The hash of a token.
+    /// Returns the hash of a token.
     pub fn of(token: &str) -> Self {
         Self(sha2::Sha256::digest(token.as_bytes()).into())
     }
@@ -35,7 +35,7 @@
     }
 }
 
-/// A text that is no hash.
+/// The error for a text that is not a hash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error;
 
--- a/src/scalewood/core/unit.rs
+++ b/src/scalewood/core/unit.rs
@@ -1,4 +1,4 @@
-//! Quantities with their units: sizes, counts, rates and ranks.
+//! Types for quantities: sizes, counts, rates and ranks.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
@@ -33,18 +33,18 @@
 counts! {
     /// The rank of a class: 0 is the highest tier, larger numbers are lower.
     Tier(u8);
-    /// The number of an accepted configuration; it only rises.
+    /// The number of an accepted configuration; it only increases.
     Revision(u64);
     /// A number of model tokens.
     Tokens(u64);
-    /// How many requests an endpoint runs at once.
+    /// The number of requests that an endpoint runs concurrently.
     Slots(u32);
-    /// Which start of a box or an endpoint this is; it rises with each restart.
+    /// The number of a start of a box or an endpoint; it increases with each restart.
     Incarnation(u64);
 }
 
 impl Incarnation {
-    /// The one that all before this one are up to, if there can be any.
+    /// Returns the latest earlier incarnation, if there can be one.
     pub fn before(self) -> Option<Self> {
         self.0.checked_sub(1).map(Self)
     }
@@ -54,36 +54,36 @@
 pub const LOWEST_TIER: Tier = Tier(15);
 
 impl Tier {
-    /// Whether this tier ranks above `other`.
+    /// Returns whether this tier ranks above `other`.
     pub fn outranks(self, other: Tier) -> bool {
         self.0 < other.0
     }
 }
 
 impl Revision {
-    /// The revision that follows this one.
+    /// Returns the next revision.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// A rate in events for each second; finite and not negative.
+/// A rate in events per second; finite and not negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Rate(f64);
 
-/// A part of a whole, from 0 to 1.
+/// A fraction of a whole, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(f64);
 
-/// Why a number or text is not the quantity that was meant.
+/// The error for a number or text that is not a valid quantity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(&'static str);
 
 impl Error {
-    /// The error for a text that is no duration.
+    /// Returns the error for a text that is not a duration.
     pub(crate) fn duration() -> Self {
         Self("a duration is a whole number with ms, s, m or h, like `500ms`")
     }
@@ -100,7 +100,7 @@
 macro_rules! fractions {
     ($($name:ident, $low:literal ..= $high:expr, $why:literal;)*) => {$(
         impl $name {
-            /// The value as a plain number.
+            /// Returns the value as a plain number.
             pub fn get(self) -> f64 {
                 self.0
             }
@@ -160,12 +160,12 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        const WHY: Error = Error("a size is a whole number with B, KiB, MiB or GiB, like `1MiB`");
+        const ERROR: Error = Error("a size is a whole number with B, KiB, MiB or GiB, like `1MiB`");
         let unit = SIZE_UNITS.iter().find(|(suffix, _)| text.ends_with(suffix));
-        let (suffix, factor) = unit.ok_or(WHY)?;
+        let (suffix, factor) = unit.ok_or(ERROR)?;
         let digits = text.trim_end_matches(suffix).trim_end();
-        let count: usize = digits.parse().map_err(|_| WHY)?;
-        count.checked_mul(*factor).map(Self).ok_or(WHY)
+        let count: usize = digits.parse().map_err(|_| ERROR)?;
+        count.checked_mul(*factor).map(Self).ok_or(ERROR)
     }
 }
 
