--- a/src/scalewood/core/scaling.rs
+++ b/src/scalewood/core/scaling.rs
@@ -98,9 +98,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The target fraction of the slots in use at the recent peak. Where reading prompts is the
-    /// bottleneck, an endpoint is full long before all its slots are in use. With 64 slots per
-    /// endpoint, 0.15 raises the value of a day's service by 0.03 to 0.04 over 0.3; with 12 slots
-    /// the two are equal.
+    /// bottleneck, an endpoint is full long before all its slots are in use. On two days with
+    /// 64 slots per endpoint, 0.15 raises the value of a day's service by 0.03 and 0.04 over 0.3; on
+    /// two days with 12 slots the two are equal.
     pub utilisation: f64,
     /// The fraction of the slots that may be in use while interruptible endpoints are missing.
     /// Above it ordinary ones, which cost several times as much, are ordered in their place.
