--- a/src/scalewood/core/load/hub.rs
+++ b/src/scalewood/core/load/hub.rs
@@ -1,9 +1,9 @@
-//! Brings together what boxes have at endpoints.
+//! Aggregates the loads of boxes at endpoints.
 //!
-//! A hub keeps what each of its own boxes has, and what the other hubs' boxes have as one
-//! sum a hub. To its boxes it tells the total without their own part; to the other hubs it
-//! tells the sum over its own boxes, so nothing goes round in a circle. Boxes and hubs that
-//! fall silent are forgotten with all that they told.
+//! A hub keeps the loads of each of its own boxes, and one sum for each other hub over that hub's
+//! boxes. To a box it sends the total without the box's own part; to other hubs it sends the sum
+//! over its own boxes only, so that no load is counted twice by going round between hubs. A box
+//! or hub that falls silent is forgotten with everything it reported.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,10 +12,10 @@
 
 use super::{
     merge,
-    refused::{Sums, Unheard},
-    set,
+    refused::{Sums, Unsent},
+    set_or_remove,
     sizes::Sizes,
-    telling::worth_telling,
+    telling::significant_changes,
     Answer, Count, Load, Loaded, Loads, News, Outcome, Placement, Prompts, Risk,
 };
 use crate::core::{
@@ -26,36 +26,36 @@
     warm_up,
 };
 
-/// How long a box may be silent before what it told counts no more: it tells twice a second
-/// at least, unless its hub serves more than a hundred.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// How long another hub may be silent: it tells four times a second at least. Its boxes go to
-/// another hub when it is lost, and are counted twice until then.
-const HUB_SILENCE: Duration = Duration::from_millis(750);
-/// The placements that are remembered for boxes that have not heard of them yet.
+/// How long a box may be silent before its reports are dropped: it reports at least twice a
+/// second, unless its hub serves more than a hundred boxes.
+const BOX_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long another hub may be silent: hubs report at least four times a second. When a hub is
+/// lost its boxes move to another one, and are counted twice until this time has passed.
+const HUB_TIMEOUT: Duration = Duration::from_millis(750);
+/// The number of placements that are kept for boxes that have not received them yet.
 const MAX_PLACEMENTS: usize = 4096;
-/// The time, in seconds, in which counts of a box's requests fade to a third.
-const FADING: f64 = 4.0;
-/// Requests that a box is taken to have had answered beside those that were counted.
-const TRUST: f64 = 2.0;
+/// The time constant, in seconds, with which the counts of a box's requests decay (to 1/e).
+const COUNT_DECAY_S: f64 = 4.0;
+/// Answered requests that are added to a box's count when its failures are weighted.
+const PRIOR_ANSWERED: f64 = 2.0;
 
-/// A box that tells this hub what it has.
+/// A box that reports its load to this hub.
 #[derive(Debug)]
 struct Member {
     heard: Duration,
-    /// What it has at each endpoint.
+    /// Its load at each endpoint.
     own: Loads,
-    /// What it was told that the others have.
-    told: Loads,
-    /// The risks that it was told.
+    /// The loads of the other boxes as last sent to it.
+    sent: Loads,
+    /// The failure probabilities as last sent to it.
     risks: BTreeMap<name::Endpoint, Chance>,
-    /// The mean sizes of prompts that it was told.
+    /// The mean prompt sizes, in tokens, as last sent to it.
     sizes: BTreeMap<name::Class, u64>,
-    /// The serial number of the next placement that it has to hear of.
+    /// The serial number of the next placement to send to it.
     next: u64,
-    /// Up to where it has heard of requests under which endpoints have ended.
+    /// How far it has been sent the requests during which endpoints crashed.
     crashes: crash::Told,
-    /// Its requests of late, fading.
+    /// Its recent requests by outcome, decaying with time.
     answered: f64,
     failed: f64,
 }
@@ -65,7 +65,7 @@
         Self {
             heard: now,
             own: Loads::new(),
-            told: Loads::new(),
+            sent: Loads::new(),
             risks: BTreeMap::new(),
             sizes: BTreeMap::new(),
             next: 0,
@@ -75,126 +75,133 @@
         }
     }
 
-    /// Counts its requests; returns how much a failure that it met tells of the endpoint. A
-    /// box that meets failures everywhere is itself cut off.
-    fn weigh(&mut self, outcomes: &[Outcome], now: Duration) -> f64 {
+    /// Counts the box's outcomes; returns the weight, from 0 to 1, of the failures that it
+    /// reports. A box that sees failures everywhere is probably cut off itself, so its failures
+    /// say little about endpoints.
+    fn count_outcomes(&mut self, outcomes: &[Outcome], now: Duration) -> f64 {
         let passed = now.saturating_sub(self.heard).as_secs_f64();
-        let kept = (-passed / FADING).exp();
+        let kept = (-passed / COUNT_DECAY_S).exp();
         let sum = |part: fn(&Count) -> u32| -> f64 {
             outcomes.iter().map(|o| f64::from(part(&o.count))).sum()
         };
         self.answered = self.answered * kept + sum(|count| count.answered);
         self.failed = self.failed * kept + sum(|count| count.failed);
-        let answered = self.answered + TRUST;
+        let answered = self.answered + PRIOR_ANSWERED;
         answered / (answered + self.failed)
     }
 }
 
-/// Another hub.
+/// Another hub, as the sender of reports.
 #[derive(Debug, Default)]
 struct Peer {
     heard: Duration,
-    /// What its boxes have.
+    /// The sum of its boxes' loads.
     loads: Loads,
 }
 
-/// What another hub has been told.
+/// Another hub, as the receiver of reports: what it was sent, and what is still to be sent.
 #[derive(Debug, Default)]
 struct Link {
     loads: Loads,
-    /// The serial number of the next placement that it has to hear of.
+    /// The serial number of the next placement to send to it.
     next: u64,
-    /// What it has not heard of requests.
+    /// Outcomes that were not sent to it yet.
     outcomes: BTreeMap<name::Endpoint, Count>,
-    /// Prompts that it has not heard of.
+    /// Prompts that were not sent to it yet.
     prompts: Sizes,
-    /// Requests that came, began and got nothing, of which it has not heard.
-    refused: Unheard,
-    /// Up to where it has heard of requests under which endpoints have ended.
+    /// Requests that arrived, started or were refused, and were not sent to it yet.
+    refused: Unsent,
+    /// How far it has been sent the requests during which endpoints crashed.
     crashes: crash::Told,
 }
 
-/// Where a shared beginning was placed, and who told.
+/// Where a shared prefix was placed, and who reported it.
 #[derive(Debug)]
 struct Placed {
-    teller: name::Box,
-    /// Whether the teller is a box of this hub.
+    sender: name::Box,
+    /// Whether the sender is a box of this hub, not another hub.
     own: bool,
-    /// Nothing once its endpoint has started anew.
+    /// `None` once its endpoint has restarted.
     placement: Option<Placement>,
 }
 
-/// Brings together what boxes have at endpoints.
+/// Aggregates the loads of boxes at endpoints.
 #[derive(Debug, Default)]
 pub struct Hub {
     members: BTreeMap<name::Box, Member>,
     peers: BTreeMap<name::Box, Peer>,
     links: BTreeMap<name::Box, Link>,
-    /// What the members have.
+    /// The sum of the members' loads.
     local: Loads,
-    /// What the members and all other hubs' boxes have.
+    /// The sum of the loads of the members and of all other hubs' boxes.
     total: Loads,
     risks: BTreeMap<name::Endpoint, risk::Risk>,
     /// The prompts that all boxes have seen.
     sizes: Sizes,
-    /// What became of the requests that came to all boxes.
+    /// What became of the requests at all boxes.
     refused: Sums,
-    /// Since when requests wait for a first token at an endpoint and none has come.
-    waiting: BTreeMap<name::Endpoint, Duration>,
-    /// When that was looked at.
-    looked_at: Duration,
-    /// The last placements, and the number of those before.
+    /// By endpoint, since when requests have waited for a first token and none has come.
+    waiting_since: BTreeMap<name::Endpoint, Duration>,
+    /// When stalled endpoints were last looked for.
+    stalls_checked_at: Duration,
+    /// The last placements, and the number of earlier ones that were dropped.
     placements: VecDeque<Placed>,
     dropped: u64,
-    /// Who may send to endpoints that warm up.
+    /// The boxes that may send to endpoints that warm up.
     leases: warm_up::Leases,
-    /// The requests under which endpoints have ended.
+    /// The requests during which endpoints crashed.
     crashes: crash::Book,
 }
 
 impl Hub {
-    /// Takes what has changed at a box since it last told, or all of it if it starts
-    /// `anew`; returns what has changed for it at the others.
-    pub fn exchange(&mut self, from: &name::Box, anew: bool, told: News, now: Duration) -> Answer {
+    /// Applies a box's report: what has changed there since its last one, or its `full` state.
+    /// Returns what has changed for it at the other boxes.
+    pub fn exchange(
+        &mut self,
+        from: &name::Box,
+        full: bool,
+        report: News,
+        now: Duration,
+    ) -> Answer {
         self.forget_silent(now);
-        if anew {
+        if full {
             self.forget(from);
         }
         let member = self.members.entry(from.clone());
         let member = member.or_insert_with(|| Member::new(now));
-        let weight = member.weigh(&told.outcomes, now);
+        let weight = member.count_outcomes(&report.outcomes, now);
         member.heard = now;
-        let met: Vec<_> = told
+        let failed_at: Vec<_> = report
             .outcomes
             .iter()
             .filter(|o| o.count.failed > 0)
             .collect();
-        let met: Vec<_> = met.into_iter().map(|o| o.endpoint.clone()).collect();
-        self.take_own_loads(from, told.loads);
-        self.take_placements(from, true, told.placements);
-        self.pass_on(&told.outcomes, weight);
-        self.note_outcomes(&told.outcomes, weight, now);
-        self.sizes.add(&told.prompts);
-        self.refused.add(&told.refused, &told.traffic, now);
+        let failed_at: Vec<_> = failed_at.into_iter().map(|o| o.endpoint.clone()).collect();
+        self.take_own_loads(from, report.loads);
+        self.take_placements(from, true, report.placements);
+        self.queue_outcomes(&report.outcomes, weight);
+        self.apply_outcomes(&report.outcomes, weight, now);
+        self.sizes.add(&report.prompts);
+        self.refused.add(&report.refused, &report.traffic, now);
         for link in self.links.values_mut() {
-            link.prompts.add(&told.prompts);
-            link.refused.add(&told.refused, &told.traffic);
+            link.prompts.add(&report.prompts);
+            link.refused.add(&report.refused, &report.traffic);
         }
-        self.note_stalled(now);
-        self.take_crashes(told.crashes, true, now);
+        self.detect_stalled(now);
+        self.take_crashes(report.crashes, true, now);
         let news = News {
             loads: self.loads_for(from),
             placements: self.placements_for(from),
             prompts: self.sizes_for(from),
-            risks: self.risks_for(from, &met, now),
+            risks: self.risks_for(from, &failed_at, now),
             bounds: self.refused.bounds(now),
             crashes: self.crashes_for(from),
             ..News::default()
         };
         let leased = self
             .leases
-            .give(from, &told.wanted, self.members.len(), now);
-        // A voter serves some hundred boxes.
+            .give(from, &report.wanted, self.members.len(), now);
+        // A hub serves some hundred boxes, so the conversion doesn't saturate.
         let boxes = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         Answer {
             news,
@@ -203,20 +210,20 @@
         }
     }
 
-    /// How many requests all boxes together have at an endpoint.
+    /// Returns the number of requests that all boxes together run at an endpoint.
     pub fn running(&self, endpoint: &name::Endpoint) -> u32 {
         self.total.get(endpoint).map_or(0, |load| load.running)
     }
 
-    /// Ends what is believed of an endpoint that started anew. Which requests boxes have there
-    /// they tell by themselves.
+    /// Forgets the failures, waits and placements of an endpoint that has restarted. Loads stay:
+    /// the boxes report by themselves which of their requests have ended.
     pub fn restarted(&mut self, endpoint: &name::Endpoint) {
         self.risks.remove(endpoint);
-        self.waiting.remove(endpoint);
+        self.waiting_since.remove(endpoint);
         for link in self.links.values_mut() {
             link.outcomes.remove(endpoint);
         }
-        // Emptied rather than taken out: the others count them.
+        // Cleared in place, since serial numbers count every entry.
         let placed = self.placements.iter_mut();
         for placed in placed.filter(|p| {
             p.placement
@@ -227,16 +234,16 @@
         }
     }
 
-    /// Whether a box is known, so that it may tell differences.
+    /// Returns whether a box is known, so that it may send changes only.
     pub fn knows(&self, name: &name::Box) -> bool {
         self.members.contains_key(name)
     }
 
-    /// Takes what has changed at another hub's boxes, or all of it if it starts `anew`; false
-    /// if it has to start anew.
-    pub fn take(&mut self, from: &name::Box, anew: bool, told: News, now: Duration) -> bool {
+    /// Applies another hub's report: what has changed at its boxes, or its `full` state. Returns
+    /// false if that hub has to send its full state.
+    pub fn take(&mut self, from: &name::Box, full: bool, report: News, now: Duration) -> bool {
         self.forget_silent(now);
-        if anew {
+        if full {
             self.forget_peer(from);
             self.peers.insert(from.clone(), Peer::default());
         }
@@ -244,24 +251,24 @@
             return false;
         };
         peer.heard = now;
-        for loaded in &told.loads {
+        for loaded in &report.loads {
             let before = peer.loads.get(&loaded.endpoint).copied();
             replace(&mut self.total, loaded, before.unwrap_or_default());
         }
-        merge(&mut peer.loads, told.loads);
-        self.take_placements(from, false, told.placements);
-        self.note_outcomes(&told.outcomes, 1.0, now);
-        self.sizes.add(&told.prompts);
-        self.refused.add(&told.refused, &told.traffic, now);
-        self.take_crashes(told.crashes, false, now);
+        merge(&mut peer.loads, report.loads);
+        self.take_placements(from, false, report.placements);
+        self.apply_outcomes(&report.outcomes, 1.0, now);
+        self.sizes.add(&report.prompts);
+        self.refused.add(&report.refused, &report.traffic, now);
+        self.take_crashes(report.crashes, false, now);
         true
     }
 
-    /// What another hub has to hear: all that the boxes here have if it starts `anew`, else
-    /// what has changed since the last call.
-    pub fn news_for(&mut self, peer: &name::Box, anew: bool, now: Duration) -> News {
+    /// Returns the report for another hub: the `full` state of the boxes here, or what has
+    /// changed since the last call.
+    pub fn news_for(&mut self, peer: &name::Box, full: bool, now: Duration) -> News {
         self.forget_silent(now);
-        if anew {
+        if full {
             let next = self.dropped + self.placements.len() as u64;
             let link = Link {
                 next,
@@ -272,10 +279,10 @@
         let Some(link) = self.links.get_mut(peer) else {
             return News::default();
         };
-        let loads = worth_telling(&link.loads, &self.local, &Loads::new());
+        let loads = significant_changes(&link.loads, &self.local, &Loads::new());
         merge(&mut link.loads, loads.clone());
-        let unheard = unheard(&self.placements, self.dropped, &mut link.next);
-        let own = unheard.filter(|placed| placed.own);
+        let unsent = unsent(&self.placements, self.dropped, &mut link.next);
+        let own = unsent.filter(|placed| placed.own);
         let placements = own.filter_map(|placed| placed.placement.clone()).collect();
         let outcomes = std::mem::take(&mut link.outcomes);
         let outcome = |(endpoint, count)| Outcome { endpoint, count };
@@ -291,17 +298,18 @@
         news
     }
 
-    /// The requests under which endpoints have ended.
+    /// Returns the requests during which endpoints crashed.
     pub fn crashes(&self) -> &crash::Book {
         &self.crashes
     }
 
-    /// Takes over the requests that were held back before this process started.
+    /// Restores the requests that were held back before this process started.
     pub fn restore(&mut self, held_back: &[crash::Row], now: Duration) {
         self.take_crashes(held_back.to_vec(), true, now);
     }
 
-    /// Takes a request back into service by an operator's word; whether anything was known of it.
+    /// Clears a request that was held back, on an operator's order; returns whether anything was
+    /// known of it.
     pub fn pardon(&mut self, fingerprint: &Fingerprint, now: Duration) -> bool {
         self.crashes.clear(fingerprint, now)
     }
@@ -319,7 +327,7 @@
         self.crashes.news(&mut member.crashes, crash::Part::Wide)
     }
 
-    /// Forgets what another hub was told, since it can't be reached.
+    /// Forgets what was sent to another hub, since that hub can't be reached.
     pub fn unlink(&mut self, peer: &name::Box) {
         self.links.remove(peer);
     }
@@ -341,14 +349,14 @@
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
-        let news = worth_telling(&member.told, &self.total, &member.own);
-        merge(&mut member.told, news.clone());
+        let news = significant_changes(&member.sent, &self.total, &member.own);
+        merge(&mut member.sent, news.clone());
         news
     }
 
     fn take_placements(&mut self, from: &name::Box, own: bool, placements: Vec<Placement>) {
         let placed = placements.into_iter().map(|placement| Placed {
-            teller: from.clone(),
+            sender: from.clone(),
             own,
             placement: Some(placement),
         });
@@ -363,8 +371,8 @@
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
-        let unheard = unheard(&self.placements, self.dropped, &mut member.next);
-        let others = unheard.filter(|placed| placed.teller != *name);
+        let unsent = unsent(&self.placements, self.dropped, &mut member.next);
+        let others = unsent.filter(|placed| placed.sender != *name);
         others
             .filter_map(|placed| placed.placement.clone())
             .collect()
@@ -375,14 +383,14 @@
         member.map_or_else(Vec::new, |member| self.sizes.news(&mut member.sizes))
     }
 
-    /// Notes for the other hubs what came of a box's requests.
-    fn pass_on(&mut self, outcomes: &[Outcome], weight: f64) {
+    /// Queues a box's outcomes for the other hubs.
+    fn queue_outcomes(&mut self, outcomes: &[Outcome], weight: f64) {
         for link in self.links.values_mut() {
             for Outcome { endpoint, count } in outcomes {
                 let known = link.outcomes.entry(endpoint.clone()).or_default();
                 known.answered += count.answered;
-                // Failures of a box that is cut off are left out rather than weighed: the
-                // others would take each for a whole one.
+                // Failures of a box that is cut off are left out, not weighted: the message has
+                // no weight, so the other hubs would count each as a full failure.
                 if weight >= 0.5 {
                     known.failed += count.failed;
                 }
@@ -390,68 +398,76 @@
         }
     }
 
-    fn note_outcomes(&mut self, outcomes: &[Outcome], weight: f64, now: Duration) {
+    fn apply_outcomes(&mut self, outcomes: &[Outcome], weight: f64, now: Duration) {
         for Outcome { endpoint, count } in outcomes {
             if count.answered > 0 {
-                self.waiting.remove(endpoint);
+                self.waiting_since.remove(endpoint);
             }
             let known = self.risks.contains_key(endpoint);
             if count.failed == 0 && !known {
                 continue;
             }
             let risk = self.risks.entry(endpoint.clone()).or_default();
-            for _ in 0..count.failed.min(MOST_NOTED) {
+            for _ in 0..count.failed.min(MAX_OUTCOMES_COUNTED) {
                 risk.raise(weight, now);
             }
-            for _ in 0..count.answered.min(MOST_NOTED) {
+            for _ in 0..count.answered.min(MAX_OUTCOMES_COUNTED) {
                 risk.lower(now);
             }
         }
         self.risks.retain(|_, risk| !risk.has_faded(now));
     }
 
-    /// Finds the endpoints that leave all boxes' requests unanswered: a box by itself sees too
-    /// few of them to tell a busy endpoint from a silent one.
-    fn note_stalled(&mut self, now: Duration) {
-        if now < self.looked_at + LOOK {
+    /// Raises the risk of endpoints that leave the requests of all boxes without a first token. A
+    /// single box has too few requests there to tell a busy endpoint from a stalled one.
+    fn detect_stalled(&mut self, now: Duration) {
+        if now < self.stalls_checked_at + STALL_CHECK_INTERVAL {
             return;
         }
-        self.looked_at = now;
+        self.stalls_checked_at = now;
         let total = &self.total;
         let waits = |name: &name::Endpoint| total.get(name).is_some_and(|load| load.unread > 0);
-        self.waiting.retain(|name, _| waits(name));
+        self.waiting_since.retain(|name, _| waits(name));
         for (name, load) in &self.total {
             if load.unread == 0 {
                 continue;
             }
-            let since = *self.waiting.entry(name.clone()).or_insert(now);
+            let since = *self.waiting_since.entry(name.clone()).or_insert(now);
             let is_known = self
                 .risks
                 .get(name)
                 .is_some_and(|risk| !risk.has_faded(now));
-            if now >= since + STALLED && !is_known {
+            if now >= since + STALL_TIMEOUT && !is_known {
                 self.risks.entry(name.clone()).or_default().raise(1.0, now);
             }
         }
     }
 
-    /// The risks that a box has to hear of: those that have changed, and those of the
-    /// endpoints where it met failures, since it then guesses by itself.
-    fn risks_for(&mut self, name: &name::Box, met: &[name::Endpoint], now: Duration) -> Vec<Risk> {
+    /// Returns the failure probabilities to send to a box: those that have changed, and those of
+    /// the endpoints in `failed_at`, where it saw failures and has changed its own estimate.
+    fn risks_for(
+        &mut self,
+        name: &name::Box,
+        failed_at: &[name::Endpoint],
+        now: Duration,
+    ) -> Vec<Risk> {
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
         let mut news = Vec::new();
         let known: Vec<_> = member.risks.keys().cloned().collect();
         let risky = self.risks.keys().cloned();
-        let mut names: Vec<_> = risky.chain(known).chain(met.iter().cloned()).collect();
+        let mut names: Vec<_> = risky
+            .chain(known)
+            .chain(failed_at.iter().cloned())
+            .collect();
         names.sort_unstable();
         names.dedup();
         for endpoint in names {
             let risk = self.risks.get(&endpoint);
             let chance = risk.map_or(Chance::default(), |risk| risk.chance(now));
-            let told = member.risks.get(&endpoint).copied().unwrap_or_default();
-            if !chance.is_news(told) && !met.contains(&endpoint) {
+            let sent = member.risks.get(&endpoint).copied().unwrap_or_default();
+            if !chance.is_news(sent) && !failed_at.contains(&endpoint) {
                 continue;
             }
             if chance == Chance::default() {
@@ -465,13 +481,16 @@
     }
 
     fn forget_silent(&mut self, now: Duration) {
-        let silent = self.members.iter().filter(|(_, m)| m.heard + SILENCE < now);
+        let silent = self
+            .members
+            .iter()
+            .filter(|(_, m)| m.heard + BOX_TIMEOUT < now);
         let silent: Vec<_> = silent.map(|(name, _)| name.clone()).collect();
         for name in silent {
             self.forget(&name);
         }
         let silent = self.peers.iter();
-        let silent = silent.filter(|(_, peer)| peer.heard + HUB_SILENCE < now);
+        let silent = silent.filter(|(_, peer)| peer.heard + HUB_TIMEOUT < now);
         let silent: Vec<_> = silent.map(|(name, _)| name.clone()).collect();
         for name in silent {
             self.forget_peer(&name);
@@ -483,8 +502,8 @@
             return;
         };
         for (endpoint, own) in member.own {
-            take_off(&mut self.total, &endpoint, own);
-            take_off(&mut self.local, &endpoint, own);
+            subtract(&mut self.total, &endpoint, own);
+            subtract(&mut self.local, &endpoint, own);
         }
     }
 
@@ -493,46 +512,46 @@
             return;
         };
         for (endpoint, load) in peer.loads {
-            take_off(&mut self.total, &endpoint, load);
+            subtract(&mut self.total, &endpoint, load);
         }
     }
 }
 
-/// How long all requests at an endpoint may be without a first token: several times what the
-/// longest prompts take to be read, one of which ends each time.
-const STALLED: Duration = Duration::from_millis(1000);
+/// How long an endpoint with waiting requests may produce no first token: several times the
+/// prefill time of the longest prompts, since each prefill ends with a first token.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How often it is looked for such endpoints: a tenth of that time, in place of each of some
-/// hundred exchanges a second.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often stalled endpoints are looked for: ten times per `STALL_TIMEOUT` rather than in each
+/// of some hundred exchanges a second.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Outcomes of one kind, in one message, that change a risk: more change it no further.
-const MOST_NOTED: u32 = 16;
+/// The most outcomes of one kind in one message that change a risk. Further ones are ignored.
+const MAX_OUTCOMES_COUNTED: u32 = 16;
 
-/// The placements that were not heard of yet; moves the mark behind them.
-fn unheard<'a>(
+/// Returns the placements from `next` on, and moves `next` behind the last one.
+fn unsent<'a>(
     placements: &'a VecDeque<Placed>,
     dropped: u64,
     next: &mut u64,
 ) -> impl Iterator<Item = &'a Placed> {
-    let heard = next.saturating_sub(dropped);
+    let sent = next.saturating_sub(dropped);
     *next = dropped + placements.len() as u64;
     placements
         .iter()
-        .skip(usize::try_from(heard).unwrap_or(usize::MAX))
+        .skip(usize::try_from(sent).unwrap_or(usize::MAX))
 }
 
-/// Puts a load in place of the one that was counted before.
+/// Replaces `before`, an endpoint's part of the sum, by its new load.
 fn replace(loads: &mut Loads, loaded: &Loaded, before: Load) {
     let counted = loads.get(&loaded.endpoint).copied().unwrap_or_default();
-    set(
+    set_or_remove(
         loads,
         &loaded.endpoint,
         counted.minus(before).plus(loaded.load),
     );
 }
 
-fn take_off(loads: &mut Loads, endpoint: &name::Endpoint, load: Load) {
+fn subtract(loads: &mut Loads, endpoint: &name::Endpoint, load: Load) {
     let counted = loads.get(endpoint).copied().unwrap_or_default();
-    set(loads, endpoint, counted.minus(load));
+    set_or_remove(loads, endpoint, counted.minus(load));
 }
--- a/src/scalewood/core/load/losses.rs
+++ b/src/scalewood/core/load/losses.rs
@@ -1,13 +1,15 @@
-//! How many requests of each class are refused, and what less urgent ones give way for it.
+//! Counts how many requests of each class are refused, and limits less urgent classes in return.
 //!
-//! Who gives way is found from the bottom. The least urgent class gives way at the first sign
-//! that a class above finds no room: refusals whose callers are not back yet. A class
-//! above it gives way only where requests get nothing for good, and only once nothing below it
-//! begins: a caller that comes back and is served has lost nothing, and what is held back in
-//! vain has. So no class is held back for one above while larger, less urgent requests begin.
+//! The classes that give way to a class with refusals are found from the least urgent one
+//! upwards. The least urgent class is limited as soon as the other class has refusals that its
+//! callers have not retried yet. A more urgent class is limited only if requests are refused for
+//! good, and only once no class below it starts requests larger than the refused ones: a caller
+//! that retries and is served has lost nothing, while a request that is held back in vain has. So
+//! no class is held back for another while larger, less urgent requests start.
 //!
-//! Counts are kept for as long as a loss is borne. Counts that faded sooner would let the
-//! least urgent begin in the gaps between the refusals of a class with few requests.
+//! Counts are kept over the time over which refusals are judged. If they decayed sooner, the
+//! least urgent class could start requests in the gaps between the refusals of a class with few
+//! requests.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,42 +20,44 @@
 use super::window::Window;
 use crate::core::{name, unit};
 
-/// The time over which losses are borne or not, and a short one, by which a sudden overload
-/// shows before it makes up a part of the long one.
-const LONG: Duration = Duration::from_secs(5);
-const SHORT: Duration = Duration::from_secs(1);
-/// The part of a class's requests that may be refused before less urgent ones are held back:
-/// half of what is borne, so that the other half is left for the time that word takes.
-const LOW: f64 = 1.0 / 24.0;
-/// The part from which on nothing larger than those that are refused begins.
-const HIGH: f64 = 1.0 / 12.0;
-/// How many refusals are no chance.
-const FEW: u32 = 2;
-/// How many times as large as those that are refused a prompt has to be to be held back at
-/// `LOW`. The largest go first: each frees the most work.
-const WIDE: f64 = 4.0;
-/// How long after the last refusal less urgent requests are held back at most.
-const CALM: Duration = Duration::from_millis(2500);
-/// Requests of a class.
+/// The time over which refusals are judged, and a short one that shows a sudden overload before
+/// it makes up a large share of the long one.
+const LONG_WINDOW: Duration = Duration::from_secs(5);
+const SHORT_WINDOW: Duration = Duration::from_secs(1);
+/// The share of a class's requests that may be refused before less urgent ones are held back:
+/// half of the share that is tolerated; the other half is left for the time until all boxes know.
+const LOW_SHARE: f64 = 1.0 / 24.0;
+/// The share of refusals from which on no less urgent prompt larger than the mean refused one
+/// starts.
+const HIGH_SHARE: f64 = 1.0 / 12.0;
+/// The number of refusals below which they are taken as chance and ignored.
+const MIN_REFUSALS: u32 = 2;
+/// The size, as a multiple of the mean refused prompt, above which less urgent prompts are held
+/// back at `LOW_SHARE`. The largest are held back first, since each frees the most
+/// capacity.
+const MAX_SIZE_FACTOR: f64 = 4.0;
+/// How long after the last refusal of a class less urgent requests are still held back.
+const HOLD_AFTER_REFUSAL: Duration = Duration::from_millis(2500);
+/// Numbers of requests of a class, by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// The least urgent tier among them: teams differ within a class.
     pub tier: unit::Tier,
-    /// Those that came.
+    /// Requests that arrived.
     pub asked: u32,
-    /// Those that came back after a refusal.
+    /// Requests that are retries after a refusal.
     pub returned: u32,
-    /// Those that were refused and may come back.
+    /// Requests that were refused and may be retried.
     pub deferred: u32,
-    /// Tokens of those.
+    /// Prompt tokens of the deferred requests.
     pub deferred_tokens: u64,
-    /// Those that got nothing for good.
+    /// Requests that were refused for good.
     pub lost: u32,
-    /// Tokens of those.
+    /// Prompt tokens of the lost requests.
     pub lost_tokens: u64,
-    /// Those that began.
+    /// Requests that started.
     pub begun: u32,
-    /// Tokens of those.
+    /// Prompt tokens of the started requests.
     pub begun_tokens: u64,
 }
 
@@ -72,7 +76,7 @@
 }
 
 impl Counts {
-    /// The mean size of those that were refused.
+    /// Returns the mean prompt size of the refused requests, in tokens.
     fn refused_size(&self) -> f64 {
         mean(
             self.lost_tokens.saturating_add(self.deferred_tokens),
@@ -80,57 +84,58 @@
         )
     }
 
-    /// The part of those that came which were sent away, for good or until they come back.
-    fn refused_part(&self) -> f64 {
+    /// Returns the share of arrivals that were refused for good or have not been retried yet.
+    fn refused_share(&self) -> f64 {
         let away = self.deferred.saturating_sub(self.returned);
-        self.part(self.lost.saturating_add(away))
+        self.share(self.lost.saturating_add(away))
     }
 
-    /// The part of those that came which got nothing for good.
-    fn lost_part(&self) -> f64 {
-        self.part(self.lost)
+    /// Returns the share of arrivals that were refused for good.
+    fn lost_share(&self) -> f64 {
+        self.share(self.lost)
     }
 
-    /// The part that some are of those that came; 0 if they are few.
-    fn part(&self, some: u32) -> f64 {
-        if some < FEW {
+    /// Returns `some` as a share of the arrivals, or 0 if they are too few to count.
+    fn share(&self, some: u32) -> f64 {
+        if some < MIN_REFUSALS {
             return 0.0;
         }
-        // A refusal may be told before the request itself, which is counted with others.
+        // A refusal may be reported before the arrival of its request, so `asked` can be too low.
         f64::from(some) / f64::from(self.asked.max(some))
     }
 
-    /// Whether so few begin that they take nothing from others.
+    /// Returns whether so few requests start, as a share of the arrivals, that they take no
+    /// capacity from others.
     fn is_stopped(&self) -> bool {
-        f64::from(self.begun) <= f64::from(self.asked) * LOW
+        f64::from(self.begun) <= f64::from(self.asked) * LOW_SHARE
     }
 }
 
-/// Sums are far below 2^52 tokens, so the cast is exact.
+/// Returns the mean number of tokens. Sums stay far below 2^52, so the cast is exact.
 fn mean(tokens: u64, count: u32) -> f64 {
     tokens as f64 / f64::from(count.max(1))
 }
 
-/// What less urgent requests may begin.
+/// The limit that less urgent requests have to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
     /// The least urgent tier that is not held back.
     pub tier: unit::Tier,
-    /// The largest prompt that begins of a less urgent tier.
+    /// The largest prompt of a less urgent tier that may start.
     pub tokens: unit::Tokens,
 }
 
-/// What is known of a class.
+/// The recent requests of a class.
 #[derive(Clone, Copy, Debug, Default)]
-struct Course {
-    /// The least urgent tier that it is known to have.
+struct History {
+    /// The least urgent tier seen or configured for the class.
     tier: unit::Tier,
     window: Window<Counts>,
-    /// When a request was refused last.
+    /// When a request of the class was last refused.
     refused_at: Option<Duration>,
 }
 
-impl Course {
+impl History {
     fn add(&mut self, counts: Counts, now: Duration) {
         self.tier = self.tier.max(counts.tier);
         self.window.add(counts, now);
@@ -139,19 +144,20 @@
         }
     }
 
-    /// Whether nothing was refused for so long that nobody needs to give way.
-    fn is_calm(&self, now: Duration) -> bool {
-        self.refused_at.is_none_or(|at| now > at + CALM)
+    /// Returns whether the last refusal is so long ago that no other class has to give way.
+    fn is_quiet(&self, now: Duration) -> bool {
+        self.refused_at
+            .is_none_or(|at| now > at + HOLD_AFTER_REFUSAL)
     }
 
-    fn seen(&self, now: Duration) -> Seen {
-        let counts = self.window.sum(LONG, now);
-        // A calm class needs nobody to give way.
-        let parts = (!self.is_calm(now)).then(|| [counts, self.window.sum(SHORT, now)]);
+    fn recent(&self, now: Duration) -> Recent {
+        let counts = self.window.sum(LONG_WINDOW, now);
+        // Other classes don't give way to a class without recent refusals.
+        let parts = (!self.is_quiet(now)).then(|| [counts, self.window.sum(SHORT_WINDOW, now)]);
         let parts = parts.iter().flatten();
-        let refused = parts.clone().map(Counts::refused_part);
-        let lost = parts.map(Counts::lost_part);
-        Seen {
+        let refused = parts.clone().map(Counts::refused_share);
+        let lost = parts.map(Counts::lost_share);
+        Recent {
             tier: self.tier,
             counts,
             refused: refused.fold(0.0, f64::max),
@@ -160,82 +166,88 @@
     }
 }
 
-/// What a class met of late.
+/// A class's counts and refused shares at one moment.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Recent {
     /// Its least urgent tier.
     tier: unit::Tier,
-    /// Its requests.
+    /// Its requests over the long window.
     counts: Counts,
-    /// The part that was refused.
+    /// The share that was refused, with or without a retry to come; the larger one of both
+    /// windows.
     refused: f64,
-    /// The part that got nothing for good.
+    /// The share that was refused for good; the larger one of both windows.
     lost: f64,
 }
 
-impl Seen {
-    /// The largest prompt that begins of what is held back for this class.
+impl Recent {
+    /// Returns the largest prompt, in tokens, that may start among the requests held back for
+    /// this class. It falls with the refused share, from `MAX_SIZE_FACTOR` times the mean refused
+    /// size to that size.
     fn tokens(&self) -> unit::Tokens {
-        let height = ((self.refused - LOW) / (HIGH - LOW)).clamp(0.0, 1.0);
-        let times = WIDE - (WIDE - 1.0) * height;
-        // Casts of floating point numbers saturate.
-        unit::Tokens((self.counts.refused_size() * times) as u64)
+        let fraction = ((self.refused - LOW_SHARE) / (HIGH_SHARE - LOW_SHARE)).clamp(0.0, 1.0);
+        let factor = MAX_SIZE_FACTOR - (MAX_SIZE_FACTOR - 1.0) * fraction;
+        // Casts from floating point saturate.
+        unit::Tokens((self.counts.refused_size() * factor) as u64)
     }
 
-    /// Whether larger requests of it begin than those of a class that are refused.
-    fn takes_from(&self, losing: &Self) -> bool {
+    /// Returns whether this class starts requests that are larger, on average, than those that
+    /// `losing` has refused.
+    fn starts_larger_than(&self, losing: &Self) -> bool {
         let size = mean(self.counts.begun_tokens, self.counts.begun);
         !self.counts.is_stopped() && size > losing.counts.refused_size()
     }
 }
 
-/// What became of the requests of a service's classes, as far as is known here.
+/// The recent requests of a service's classes, as far as this process knows.
 #[derive(Debug, Default)]
-pub struct Losses(BTreeMap<name::Class, Course>);
+pub struct Losses(BTreeMap<name::Class, History>);
 
 impl Losses {
-    /// Counts requests of a class.
+    /// Adds the counts of a class.
     pub fn add(&mut self, class: &name::Class, counts: Counts, now: Duration) {
-        // Classes are few and named by each request.
-        if let Some(course) = self.0.get_mut(class) {
-            return course.add(counts, now);
+        // Looked up first, to clone the name only once per class: most calls find the class.
+        if let Some(history) = self.0.get_mut(class) {
+            return history.add(counts, now);
         }
-        let mut course = Course::default();
-        course.add(counts, now);
-        self.0.insert(class.clone(), course);
+        let mut history = History::default();
+        history.add(counts, now);
+        self.0.insert(class.clone(), history);
     }
 
-    /// Forgets classes of which nothing came of late; whether any is left.
+    /// Forgets classes without recent requests; returns whether any class is left.
     pub fn forget_idle(&mut self, now: Duration) -> bool {
-        self.0.retain(|_, course| {
-            let counts = course.window.sum(LONG, now);
+        self.0.retain(|_, history| {
+            let counts = history.window.sum(LONG_WINDOW, now);
             counts != Counts::default()
         });
         !self.0.is_empty()
     }
 
-    /// Sets the classes that there are, by their tiers. One of which nothing came yet may
-    /// begin elsewhere, and gives way before others do.
+    /// Sets the configured classes with their tiers. A class that has not sent requests here may
+    /// do so at other boxes, so it too has to give way before more urgent classes do.
     pub fn set_classes(&mut self, classes: &BTreeMap<name::Class, unit::Tier>) {
         self.0.retain(|class, _| classes.contains_key(class));
         for (class, tier) in classes {
-            let course = self.0.entry(class.clone()).or_default();
-            course.tier = course.tier.max(*tier);
+            let history = self.0.entry(class.clone()).or_default();
+            history.tier = history.tier.max(*tier);
         }
     }
 
-    /// What less urgent requests may begin now, by the class that they give way to.
+    /// Returns the limits in force, by the class that less urgent requests give way to.
     pub fn limits(&self, now: Duration) -> Vec<(name::Class, Limit)> {
-        // On calm days nothing has to be summed, however many classes there are.
-        if self.0.values().all(|course| course.is_calm(now)) {
+        // Without recent refusals nothing is summed, however many classes there are.
+        if self.0.values().all(|history| history.is_quiet(now)) {
             return Vec::new();
         }
-        let seen = self.0.iter();
-        let seen: Vec<_> = seen.map(|(class, c)| (class, c.seen(now))).collect();
-        let losing = seen.iter().filter(|(_, seen)| seen.refused >= LOW);
+        let recent = self.0.iter();
+        let recent: Vec<_> = recent.map(|(class, c)| (class, c.recent(now))).collect();
+        let losing = recent
+            .iter()
+            .filter(|(_, recent)| recent.refused >= LOW_SHARE);
         let limits = losing.map(|(class, losing)| {
             let limit = Limit {
-                tier: spared(losing, &seen),
+                tier: least_urgent_spared(losing, &recent),
                 tokens: losing.tokens(),
             };
             ((*class).clone(), limit)
@@ -244,19 +256,21 @@
     }
 }
 
-/// The least urgent tier that doesn't give way to a class: all below it do.
-fn spared(losing: &Seen, all: &[(&name::Class, Seen)]) -> unit::Tier {
+/// Returns the least urgent tier that doesn't give way to `losing`; all tiers below it do.
+fn least_urgent_spared(losing: &Recent, all: &[(&name::Class, Recent)]) -> unit::Tier {
     let own = losing.tier;
-    let below = all.iter().map(|(_, seen)| seen.tier);
+    let below = all.iter().map(|(_, recent)| recent.tier);
     let below: BTreeSet<_> = below.filter(|tier| own.outranks(*tier)).collect();
     let mut tiers = below.into_iter().rev().chain([own]);
-    let mut giving = tiers.next().unwrap_or(own);
+    let mut limited_from = tiers.next().unwrap_or(own);
     for tier in tiers {
-        let takes = |(_, seen): &&(_, Seen)| seen.tier >= giving && seen.takes_from(losing);
-        if losing.lost < LOW || all.iter().any(|seen| takes(&seen)) {
+        let takes = |(_, recent): &&(_, Recent)| {
+            recent.tier >= limited_from && recent.starts_larger_than(losing)
+        };
+        if losing.lost < LOW_SHARE || all.iter().any(|recent| takes(&recent)) {
             return tier;
         }
-        giving = tier;
+        limited_from = tier;
     }
     own
 }
--- a/src/scalewood/core/load/mod.rs
+++ b/src/scalewood/core/load/mod.rs
@@ -1,12 +1,12 @@
-//! What all boxes together have at endpoints, and what they met there.
+//! The load of all boxes together at endpoints, and the outcomes of their requests there.
 //!
-//! A box knows exactly what it has granted, and nothing of what the others have. So the
-//! boxes tell a [`Hub`], several times a second, what each of them has at each endpoint,
-//! where it has placed prompts that share their beginning, and which requests failed; they
-//! hear the same of the others. Only what has changed is told, both ways.
+//! A box knows exactly what it has granted itself, and nothing of the other boxes' grants. So,
+//! several times a second, each box reports to a [`Hub`] its load at each endpoint, where it has
+//! placed prompts with a shared prefix, and which requests failed; in return it receives the same
+//! about the other boxes. Only changes are sent, in both directions.
 //!
-//! There is a hub in each availability zone, so that what a box knows of the others does not
-//! grow older with their number. Hubs tell each other sums over their own boxes.
+//! There is a hub in each availability zone, so that the age of what a box knows of the others
+//! does not grow with the number of boxes. Hubs send each other sums over their own boxes.
 
 use std::collections::BTreeMap;
 
@@ -27,37 +27,36 @@
 pub use losses::{Counts, Limit, Losses};
 pub use refused::{Bound, Refused, Tally, Traffic};
 
-/// By how much a load has to change to be worth telling: about what the smallest prompts
-/// make.
-const UNREAD_NEWS: u64 = 400;
-const HELD_NEWS: u64 = 4000;
-const RUNNING_NEWS: u32 = 2;
+/// The smallest changes of a load that are sent: about what the smallest prompts cause.
+const MIN_UNREAD_CHANGE_TOKENS: u64 = 400;
+const MIN_HELD_CHANGE_TOKENS: u64 = 4000;
+const MIN_RUNNING_CHANGE: u32 = 2;
 
-/// What some boxes have at an endpoint.
+/// The load of one or more boxes at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Tokens of prompts that wait to be read or are being read.
+    /// Prompt tokens that wait for prefill or are in it.
     pub unread: u64,
-    /// How much of that is of less urgent requests than those of each tier.
+    /// The part of `unread` that belongs to requests less urgent than each tier.
     pub later: Later,
-    /// Tokens of all prompts that are held in its memory, shared parts counted once.
+    /// Prompt tokens held in the endpoint's KV cache, shared prefixes counted once.
     pub held: u64,
     /// Requests that hold a slot.
     pub running: u32,
 }
 
 impl Load {
-    /// Whether it differs so much from what was told that it is worth telling: all of it
-    /// is told in the end, since a load that ends is.
-    fn is_news(self, told: Self) -> bool {
+    /// Returns whether the load differs enough from the one last sent to be sent again. A load
+    /// that drops to zero always is, so no difference stays unsent for ever.
+    fn differs_enough(self, sent: Self) -> bool {
         self == Self::default()
-            || self.unread.abs_diff(told.unread) >= UNREAD_NEWS
-            || self.later.differs_by(told.later, UNREAD_NEWS)
-            || self.held.abs_diff(told.held) >= HELD_NEWS
-            || self.running.abs_diff(told.running) >= RUNNING_NEWS
+            || self.unread.abs_diff(sent.unread) >= MIN_UNREAD_CHANGE_TOKENS
+            || self.later.differs_by(sent.later, MIN_UNREAD_CHANGE_TOKENS)
+            || self.held.abs_diff(sent.held) >= MIN_HELD_CHANGE_TOKENS
+            || self.running.abs_diff(sent.running) >= MIN_RUNNING_CHANGE
     }
 
-    /// Both together.
+    /// Returns the sum of both loads.
     pub fn plus(self, other: Self) -> Self {
         Self {
             unread: self.unread + other.unread,
@@ -67,7 +66,7 @@
         }
     }
 
-    /// What is left without a part.
+    /// Returns the load without `part`.
     pub fn minus(self, part: Self) -> Self {
         Self {
             unread: self.unread.saturating_sub(part.unread),
@@ -78,7 +77,7 @@
     }
 }
 
-/// An endpoint with its load; written as a row, since there are many of them.
+/// An endpoint with its load. Serialized as a row (tuple) for size, since there are many of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "LoadedRow", into = "LoadedRow")]
 pub struct Loaded {
@@ -88,7 +87,7 @@
     pub load: Load,
 }
 
-/// Endpoint, unread, held, running, and what is unread of less urgent requests.
+/// Endpoint, unread, held, running, and the unread tokens of less urgent requests by tier.
 type LoadedRow = (name::Endpoint, u64, u64, u32, Later);
 
 impl From<LoadedRow> for Loaded {
@@ -109,17 +108,17 @@
     }
 }
 
-/// A shared beginning of prompts that an endpoint has read of late; written as a row.
+/// A shared prompt prefix that an endpoint has recently prefilled. Serialized as a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "PlacementRow", into = "PlacementRow")]
 pub struct Placement {
-    /// The beginning.
+    /// The prefix.
     pub prefix: Prefix,
     /// The endpoint.
     pub endpoint: name::Endpoint,
 }
 
-/// Beginning, endpoint.
+/// Prefix, endpoint.
 type PlacementRow = (Prefix, name::Endpoint);
 
 impl From<PlacementRow> for Placement {
@@ -134,22 +133,22 @@
     }
 }
 
-/// What came of requests at an endpoint since it was last told; written as a row.
+/// The outcomes of requests at an endpoint since the last message. Serialized as a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "OutcomeRow", into = "OutcomeRow")]
 pub struct Outcome {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// What came of them.
+    /// The requests by outcome.
     pub count: Count,
 }
 
-/// Requests by what came of them.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// Requests that got a first token or an answer.
     pub answered: u32,
-    /// Requests that failed, or whose callers left without one.
+    /// Requests that failed, or whose callers left before a first token or an answer.
     pub failed: u32,
 }
 
@@ -169,17 +168,17 @@
     }
 }
 
-/// How likely the next request fails at an endpoint; written as a row.
+/// The probability that the next request at an endpoint fails. Serialized as a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "RiskRow", into = "RiskRow")]
 pub struct Risk {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// How likely.
+    /// The probability of a failure.
     pub chance: risk::Chance,
 }
 
-/// Endpoint, chance.
+/// Endpoint, probability.
 type RiskRow = (name::Endpoint, risk::Chance);
 
 impl From<RiskRow> for Risk {
@@ -194,15 +193,15 @@
     }
 }
 
-/// Prompts of a class that boxes have seen; written as a row.
+/// The prompts of a class that boxes have seen. Serialized as a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "PromptsRow", into = "PromptsRow")]
 pub struct Prompts {
     /// The class.
     pub class: name::Class,
-    /// How many; those of long ago count less.
+    /// The number of prompts, with older ones weighted less.
     pub count: u32,
-    /// All their tokens.
+    /// The sum of their tokens, weighted alike.
     pub tokens: u64,
 }
 
@@ -225,44 +224,45 @@
     }
 }
 
-/// What is told in an exchange, either way.
+/// One message of an exchange between a box and a hub, or between hubs: what has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
     /// Loads that have changed.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<Loaded>,
-    /// Shared beginnings that were placed.
+    /// Shared prefixes that were placed.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub placements: Vec<Placement>,
-    /// What came of requests; told to hubs.
+    /// Outcomes of requests; sent to hubs only.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub outcomes: Vec<Outcome>,
-    /// Prompts by class: to hubs those that are new, to boxes what all have seen.
+    /// Prompts by class: to hubs the new ones, to boxes the sums over all boxes.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub prompts: Vec<Prompts>,
-    /// Risks that have changed; told to boxes.
+    /// Failure probabilities that have changed; sent to boxes only.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub risks: Vec<Risk>,
-    /// Requests that came and that got nothing; told to hubs.
+    /// Requests that arrived, and those of them that were refused for good; sent to hubs only.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<Refused>,
-    /// Requests that began, were refused and may come back, or came back; told to hubs.
+    /// Requests that started, were refused but may be retried, or were retried; sent to hubs only.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub traffic: Vec<Traffic>,
-    /// All bounds that refusals set to less urgent requests; told to boxes.
+    /// All bounds that refusals of a class set for less urgent requests; sent to boxes only.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub bounds: Vec<Bound>,
-    /// Endpoints that warm up and that a box wants to send to, the most wanted first; told to
-    /// hubs.
+    /// Endpoints that warm up and to which a box wants to send, the most wanted first; sent to
+    /// hubs only.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub wanted: Vec<name::Endpoint>,
-    /// Requests under which endpoints have ended, as far as that has changed.
+    /// Requests during which endpoints crashed, as far as this has changed.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<crash::Row>,
-    /// Endpoints that said in an answer that they leave; told to voters, whose registries pass it on.
+    /// Endpoints that announced in a response that they are leaving; sent to voters, whose
+    /// registries spread it.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<registry::Leaving>,
-    /// Limits that endpoints set, and permits that are wanted of these; told to voters.
+    /// Rate limits that endpoints set, and the permits that are wanted for them; sent to voters.
     #[serde(
         rename = "q",
         default,
@@ -272,35 +272,35 @@
 }
 
 impl News {
-    /// Adds what became of requests of a class.
+    /// Adds the counts of a class's requests.
     pub fn count(&mut self, service: &name::Service, class: &name::Class, counts: Counts) {
         self.refused.extend(Refused::of(service, class, counts));
         self.traffic.extend(Traffic::of(service, class, &counts));
     }
 
-    /// Whether it tells nothing.
+    /// Returns whether the message is empty.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What a hub answers a box.
+/// A hub's answer to a box.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// What has changed at the other boxes.
     pub news: News,
-    /// How many boxes this hub serves.
+    /// The number of boxes that this hub serves.
     pub boxes: u32,
-    /// Endpoints that warm up and that the box may send to, for as long as a lease holds from
-    /// when it asked.
+    /// Endpoints that warm up and to which the box may send. The lease runs from the time of the
+    /// box's request.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leased: Vec<name::Endpoint>,
 }
 
-/// Loads by endpoint; those without any are left out.
+/// Loads by endpoint. Endpoints without load are left out.
 pub type Loads = BTreeMap<name::Endpoint, Load>;
 
-/// Sets the loads that a message holds.
+/// Applies the changed loads of a message.
 pub fn merge(loads: &mut Loads, changed: Vec<Loaded>) {
     for Loaded { endpoint, load } in changed {
         if load == Load::default() {
@@ -311,16 +311,16 @@
     }
 }
 
-/// What is to be told to one who knows `told` so that it knows `loads`.
-pub fn difference(told: &Loads, loads: &Loads) -> Vec<Loaded> {
+/// Returns the changes that turn `sent` into `loads`.
+pub fn difference(sent: &Loads, loads: &Loads) -> Vec<Loaded> {
     let changed = loads
         .iter()
-        .filter(|(name, load)| told.get(*name) != Some(*load));
+        .filter(|(name, load)| sent.get(*name) != Some(*load));
     let changed = changed.map(|(name, load)| Loaded {
         endpoint: name.clone(),
         load: *load,
     });
-    let ended = told.keys().filter(|name| !loads.contains_key(*name));
+    let ended = sent.keys().filter(|name| !loads.contains_key(*name));
     let ended = ended.map(|name| Loaded {
         endpoint: name.clone(),
         load: Load::default(),
@@ -328,7 +328,7 @@
     changed.chain(ended).collect()
 }
 
-fn set(loads: &mut Loads, name: &name::Endpoint, load: Load) {
+fn set_or_remove(loads: &mut Loads, name: &name::Endpoint, load: Load) {
     if load == Load::default() {
         loads.remove(name);
     } else {
--- a/src/scalewood/core/load/refused.rs
+++ b/src/scalewood/core/load/refused.rs
@@ -1,9 +1,9 @@
-//! How requests that came, began and got nothing are told, and what less urgent ones give way.
+//! Messages about arrived, started and refused requests, and the bounds on less urgent ones.
 //!
-//! A box sees one request in some hundred, so what it refuses by itself tells it late and
-//! unsurely that more urgent requests find no room. Boxes tell how many came, began and got
-//! nothing; hubs add them up (`Losses`) and tell all boxes one bound, from which on prompts of
-//! less urgent tiers do not begin. Nothing has to be taken back.
+//! A box sees about one request in some hundred, so its own refusals show late and unreliably
+//! that more urgent requests find no capacity. Boxes report how many requests arrived, started
+//! and were refused; hubs add these up ([`Losses`]) and send all boxes one bound above which
+//! prompts of less urgent tiers don't start. Running requests are not stopped for it.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,7 +15,8 @@
 };
 use crate::core::{name, unit};
 
-/// Requests of a class, and those of them that got nothing for want of room; written as a row.
+/// Requests of a class, and those of them that were refused for good for lack of capacity.
+/// Serialized as a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "RefusedRow", into = "RefusedRow")]
 pub struct Refused {
@@ -23,12 +24,12 @@
     pub service: name::Service,
     /// The class.
     pub class: name::Class,
-    /// How many, by what came of them.
+    /// The numbers of requests.
     pub tally: Tally,
 }
 
 impl Refused {
-    /// What counts tell of requests that came and that got nothing, if that is anything.
+    /// Returns the arrivals and final refusals among `counts`, if there are any.
     pub fn of(service: &name::Service, class: &name::Class, counts: Counts) -> Option<Self> {
         let tally = Tally::from(counts);
         (!tally.is_empty()).then(|| Self {
@@ -39,21 +40,21 @@
     }
 }
 
-/// Requests, and those of them that got nothing for good.
+/// Numbers of requests, and of those that were refused for good.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// The least urgent tier among them: teams differ within a class.
     pub tier: unit::Tier,
-    /// Requests that came.
+    /// Requests that arrived.
     pub asked: u32,
-    /// Those that got nothing for want of room.
+    /// Requests that were refused for good, for lack of capacity.
     pub refused: u32,
-    /// Tokens of the prompts of these.
+    /// Prompt tokens of the refused requests.
     pub tokens: u64,
 }
 
 impl Tally {
-    /// Whether it tells of no request.
+    /// Returns whether it counts no request.
     fn is_empty(&self) -> bool {
         self.asked == 0 && self.refused == 0
     }
@@ -113,10 +114,11 @@
     }
 }
 
-/// Requests of a class that began, were refused and may come back, or came back; written as a
-/// row.
+/// Requests of a class that started, were refused but may be retried, or were retried. Serialized
+/// as a row.
 ///
-/// It stands beside [`Refused`], whose rows builds before it read.
+/// It is a row of its own beside [`Refused`], so that older builds can still read the rows of
+/// that one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "TrafficRow", into = "TrafficRow")]
 pub struct Traffic {
@@ -126,19 +128,19 @@
     pub class: name::Class,
     /// The least urgent tier among them.
     pub tier: unit::Tier,
-    /// Those that came back after a refusal.
+    /// Requests that are retries after a refusal.
     pub returned: u32,
-    /// Those that were refused and may come back.
+    /// Requests that were refused and may be retried.
     pub deferred: u32,
-    /// Tokens of those.
+    /// Prompt tokens of the deferred requests.
     pub deferred_tokens: u64,
-    /// Those that began.
+    /// Requests that started.
     pub begun: u32,
-    /// Tokens of those.
+    /// Prompt tokens of the started requests.
     pub begun_tokens: u64,
 }
 
-/// Service, class, tier, returned, deferred, their tokens, begun, their tokens.
+/// Service, class, tier, returned, deferred, deferred tokens, begun, begun tokens.
 type TrafficRow = (
     name::Service,
     name::Class,
@@ -151,7 +153,7 @@
 );
 
 impl Traffic {
-    /// What counts tell beside [`Tally`], if that is anything.
+    /// Returns the counts that [`Tally`] leaves out, if any is above zero.
     pub fn of(service: &name::Service, class: &name::Class, counts: &Counts) -> Option<Self> {
         let tells = counts.returned > 0 || counts.deferred > 0 || counts.begun > 0;
         tells.then(|| Self {
@@ -210,17 +212,17 @@
     }
 }
 
-/// The bound that the refusals of a class set to less urgent ones; written as a row.
+/// The bound that the refusals of a class set for less urgent requests. Serialized as a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "BoundRow", into = "BoundRow")]
 pub struct Bound {
     /// The service.
     pub service: name::Service,
-    /// The class that is refused.
+    /// The class whose requests are refused.
     pub class: name::Class,
     /// The least urgent tier that doesn't give way to it.
     pub tier: unit::Tier,
-    /// The largest prompt that begins of a less urgent tier.
+    /// The largest prompt of a less urgent tier that may start.
     pub tokens: unit::Tokens,
 }
 
@@ -248,12 +250,12 @@
 /// A class of a service.
 type Key = (name::Service, name::Class);
 
-/// What became of the requests of all services.
+/// The recent requests of all services.
 #[derive(Debug, Default)]
 pub(super) struct Sums(BTreeMap<name::Service, Losses>);
 
 impl Sums {
-    /// Counts requests.
+    /// Adds the counts of a message.
     pub(super) fn add(&mut self, refused: &[Refused], traffic: &[Traffic], now: Duration) {
         for row in refused {
             let losses = self.0.entry(row.service.clone()).or_default();
@@ -265,7 +267,7 @@
         }
     }
 
-    /// The bounds that stand.
+    /// Returns the bounds in force.
     pub(super) fn bounds(&mut self, now: Duration) -> Vec<Bound> {
         self.0.retain(|_, losses| losses.forget_idle(now));
         let limits = self.0.iter().flat_map(|(service, losses)| {
@@ -282,12 +284,12 @@
     }
 }
 
-/// Requests that another hub has not heard of.
+/// Counts that were not sent to another hub yet.
 #[derive(Debug, Default)]
-pub(super) struct Unheard(BTreeMap<Key, Counts>);
+pub(super) struct Unsent(BTreeMap<Key, Counts>);
 
-impl Unheard {
-    /// Counts requests.
+impl Unsent {
+    /// Adds the counts of a message.
     pub(super) fn add(&mut self, refused: &[Refused], traffic: &[Traffic]) {
         for row in refused {
             let key = (row.service.clone(), row.class.clone());
@@ -299,7 +301,7 @@
         }
     }
 
-    /// Moves all that was counted into what is told.
+    /// Moves all counts into a message.
     pub(super) fn take(&mut self, news: &mut News) {
         for ((service, class), counts) in std::mem::take(&mut self.0) {
             news.count(&service, &class, counts);
--- a/src/scalewood/core/load/sizes.rs
+++ b/src/scalewood/core/load/sizes.rs
@@ -1,21 +1,21 @@
-//! How large the prompts of each class are, as all boxes together have seen.
+//! The prompt sizes of each class, over all boxes.
 //!
-//! Whether a class has long prompts decides where it is placed, so boxes have to agree on it,
-//! and one that has just started has to know it before its first prompt. The sizes of a class
-//! spread widely: from the first few prompts alone, boxes come to different answers.
+//! Whether a class has long prompts decides where it is placed, so boxes have to agree on it, and
+//! a box that has just started has to know it before its first prompt. The sizes within a class
+//! vary widely: from only their own first few prompts boxes would reach different answers.
 
 use std::collections::BTreeMap;
 
 use super::Prompts;
 use crate::core::name;
 
-/// Prompts of a class from which on half of what was counted is forgotten: enough that the
-/// mean moves by a few hundredths only, few enough that it follows a class that changes.
-const MOST: u32 = 2000;
-/// The part, in hundredths, by which a mean has to change to be worth telling.
-const NEWS: u64 = 5;
+/// The count of a class's prompts above which count and tokens are halved: enough that the mean
+/// varies by only a few hundredths, and few enough that it follows a class that changes.
+const MAX_COUNTED_PROMPTS: u32 = 2000;
+/// The change of a mean, in percent, above which it is sent.
+const MIN_MEAN_CHANGE_PERCENT: u64 = 5;
 
-/// Prompts of one class.
+/// The number of prompts of one class and the sum of their tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Sum {
     count: u32,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Prompts by class.
+/// Prompt sums by class.
 #[derive(Debug, Default)]
 pub(super) struct Sizes(BTreeMap<name::Class, Sum>);
 
@@ -51,27 +51,28 @@
         for seen in prompts {
             let sum = self.0.entry(seen.class.clone()).or_default();
             sum.add(seen);
-            if sum.count > MOST {
+            if sum.count > MAX_COUNTED_PROMPTS {
                 sum.count /= 2;
                 sum.tokens /= 2;
             }
         }
     }
 
-    /// All that was counted; nothing is left.
+    /// Returns all sums and clears them.
     pub(super) fn take(&mut self) -> Vec<Prompts> {
         let sums = std::mem::take(&mut self.0);
         sums.iter().map(|(class, sum)| sum.of(class)).collect()
     }
 
-    /// The classes whose mean differs from what was told, which is noted.
-    pub(super) fn news(&self, told: &mut BTreeMap<name::Class, u64>) -> Vec<Prompts> {
+    /// Returns the classes whose mean differs enough from the one last sent, and records it in
+    /// `sent`.
+    pub(super) fn news(&self, sent: &mut BTreeMap<name::Class, u64>) -> Vec<Prompts> {
         let mut news = Vec::new();
         for (class, sum) in &self.0 {
             let mean = sum.mean();
-            let known = told.get(class).copied().unwrap_or_default();
-            if mean.abs_diff(known) * 100 > known * NEWS {
-                told.insert(class.clone(), mean);
+            let known = sent.get(class).copied().unwrap_or_default();
+            if mean.abs_diff(known) * 100 > known * MIN_MEAN_CHANGE_PERCENT {
+                sent.insert(class.clone(), mean);
                 news.push(sum.of(class));
             }
         }
--- a/src/scalewood/core/load/telling.rs
+++ b/src/scalewood/core/load/telling.rs
@@ -1,22 +1,22 @@
-//! What of the loads is worth telling, and how much of it at a time.
+//! Selects which changed loads are sent, and limits how many go into one message.
 //!
-//! A hub goes through all endpoints for each box that asks, some hundred times a second; so it
-//! walks the sorted maps side by side, once, in place of building what the box would see. At
-//! 3,000 endpoints that takes a tenth of the time.
+//! A hub compares all endpoints for each box that asks, some hundred times a second; so it walks
+//! the sorted maps side by side, once, instead of building each box's view. At 3,000 endpoints
+//! this takes a tenth of the time.
 
 use std::{cmp::Reverse, collections::btree_map};
 
 use super::{Load, Loaded, Loads};
 use crate::core::name;
 
-/// The most rows of one message: 8 KB. So what boxes hear grows with the endpoints up to here
-/// and no further; those that changed least wait for the next message.
-const MOST: usize = 256;
-/// What a request that holds a slot counts beside unread tokens, when changes are compared:
-/// about what a prompt has to be read of.
-const RUN: u64 = 1000;
+/// The most rows of one message: 8 KB. So the size of a message grows with the number of
+/// endpoints only up to here; the loads that changed least wait for the next message.
+const MAX_ROWS: usize = 256;
+/// The weight of a running request, in unread tokens, when changes are compared: about the
+/// prefill of one prompt.
+const RUNNING_WEIGHT_TOKENS: u64 = 1000;
 
-/// Walks a sorted map beside another one.
+/// Walks a sorted map in step with another one.
 struct Cursor<'a>(std::iter::Peekable<btree_map::Iter<'a, name::Endpoint, Load>>);
 
 impl<'a> Cursor<'a> {
@@ -24,60 +24,66 @@
         Self(loads.iter().peekable())
     }
 
-    /// The next entry whose name comes before another one.
+    /// Returns the next entry whose name sorts before `name`.
     fn next_before(&mut self, name: &name::Endpoint) -> Option<(&'a name::Endpoint, Load)> {
         let next = self.0.next_if(|(own, _)| *own < name)?;
         Some((next.0, *next.1))
     }
 
-    /// The load of a name, where no earlier entry is left.
+    /// Returns the load of `name`. All entries before it must have been consumed.
     fn load_of(&mut self, name: &name::Endpoint) -> Load {
         let found = self.0.next_if(|(own, _)| *own == name);
         found.map_or_else(Load::default, |(_, load)| *load)
     }
 }
 
-/// What is worth telling to one who knows `told`, so that it knows `total` without the part
-/// that is its `own`: what has changed, then what has ended.
-pub(super) fn worth_telling(told: &Loads, total: &Loads, own: &Loads) -> Vec<Loaded> {
+/// Returns the loads to send to a receiver that knows `sent`, so that it knows `total` without
+/// its `own` part: changed loads first, then those that have dropped to zero.
+pub(super) fn significant_changes(sent: &Loads, total: &Loads, own: &Loads) -> Vec<Loaded> {
     let mut news = Vec::new();
     let mut ended = Vec::new();
-    let mut told = Cursor::new(told);
+    let mut sent = Cursor::new(sent);
     let mut own = Cursor::new(own);
     for (name, total) in total {
-        while let Some((gone, known)) = told.next_before(name) {
-            note(&mut ended, gone, Load::default(), known);
+        while let Some((gone, known)) = sent.next_before(name) {
+            add_if_significant(&mut ended, gone, Load::default(), known);
         }
-        // What is its own is a part of the total, so nothing but the total can end it.
+        // `own` is a part of `total`, so an endpoint that is missing from `total` has no own
+        // load.
         while own.next_before(name).is_some() {}
         let others = total.minus(own.load_of(name));
-        note(&mut news, name, others, told.load_of(name));
+        add_if_significant(&mut news, name, others, sent.load_of(name));
     }
-    for (gone, known) in told.0 {
-        note(&mut ended, gone, Load::default(), *known);
+    for (gone, known) in sent.0 {
+        add_if_significant(&mut ended, gone, Load::default(), *known);
     }
     news.append(&mut ended);
-    if news.len() > MOST {
+    if news.len() > MAX_ROWS {
         news.sort_unstable_by_key(|(change, _)| Reverse(*change));
-        news.truncate(MOST);
+        news.truncate(MAX_ROWS);
     }
     news.into_iter().map(|(_, loaded)| loaded).collect()
 }
 
-/// Notes a load, with how much it has changed, if that is worth telling.
-fn note(news: &mut Vec<(u64, Loaded)>, endpoint: &name::Endpoint, load: Load, told: Load) {
-    if load == told || !load.is_news(told) {
+/// Adds a load, with the size of its change, if the change is large enough to be sent.
+fn add_if_significant(
+    news: &mut Vec<(u64, Loaded)>,
+    endpoint: &name::Endpoint,
+    load: Load,
+    sent: Load,
+) {
+    if load == sent || !load.differs_enough(sent) {
         return;
     }
     let loaded = Loaded {
         endpoint: endpoint.clone(),
         load,
     };
-    news.push((change(load, told), loaded));
+    news.push((change_tokens(load, sent), loaded));
 }
 
-/// How much a load has changed, in tokens.
-fn change(load: Load, told: Load) -> u64 {
-    let runs = u64::from(load.running.abs_diff(told.running));
-    load.unread.abs_diff(told.unread) + runs * RUN
+/// Returns the size of a load's change in tokens.
+fn change_tokens(load: Load, sent: Load) -> u64 {
+    let running = u64::from(load.running.abs_diff(sent.running));
+    load.unread.abs_diff(sent.unread) + running * RUNNING_WEIGHT_TOKENS
 }
--- a/src/scalewood/core/load/window.rs
+++ b/src/scalewood/core/load/window.rs
@@ -1,64 +1,64 @@
-//! Counts over the last five seconds.
+//! Counts over a sliding window of five seconds.
 
 use std::{ops::AddAssign, time::Duration};
 
-/// How long a slot is.
-const SLOT: Duration = Duration::from_millis(250);
-/// Slots that are kept: five seconds, over which a caller's loss is borne or not.
-const SLOTS: usize = 20;
+/// The width of a bucket.
+const BUCKET_WIDTH: Duration = Duration::from_millis(250);
+/// The number of buckets that are kept: five seconds, the time over which refusals are judged.
+const BUCKETS: usize = 20;
 
-/// Counts by the time at which they came. What is older than all slots is forgotten.
+/// Counts by the time at which they were added. What is older than all buckets is dropped.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Window<T> {
-    slots: [T; SLOTS],
-    /// The number of the newest slot, counted from the clock's start.
+    buckets: [T; BUCKETS],
+    /// The number of the newest bucket, counted from the clock's zero.
     newest: u64,
 }
 
 impl<T: Copy + Default> Default for Window<T> {
     fn default() -> Self {
         Self {
-            slots: [T::default(); SLOTS],
+            buckets: [T::default(); BUCKETS],
             newest: 0,
         }
     }
 }
 
 impl<T: Copy + Default + AddAssign> Window<T> {
-    /// Counts something now.
+    /// Adds counts to the current bucket.
     pub(super) fn add(&mut self, counts: T, now: Duration) {
-        let number = number(now);
+        let number = bucket_number(now);
         self.advance(number);
-        self.slots[place(number)] += counts;
+        self.buckets[bucket_index(number)] += counts;
     }
 
-    /// All that came within a time, to the width of a slot.
+    /// Returns the sum over the last `within`, to the precision of a bucket.
     pub(super) fn sum(&self, within: Duration, now: Duration) -> T {
-        let number = number(now);
-        let slots = within.as_millis().div_ceil(SLOT.as_millis());
-        let oldest = number.saturating_sub(u64::try_from(slots).unwrap_or(u64::MAX));
-        let kept = self.newest.saturating_sub(SLOTS as u64 - 1);
+        let number = bucket_number(now);
+        let buckets = within.as_millis().div_ceil(BUCKET_WIDTH.as_millis());
+        let oldest = number.saturating_sub(u64::try_from(buckets).unwrap_or(u64::MAX));
+        let kept = self.newest.saturating_sub(BUCKETS as u64 - 1);
         let mut sum = T::default();
         for number in oldest.max(kept)..=self.newest {
-            sum += self.slots[place(number)];
+            sum += self.buckets[bucket_index(number)];
         }
         sum
     }
 
-    /// Empties the slots between the newest one and this.
+    /// Clears the buckets between the newest one and bucket `number`.
     fn advance(&mut self, number: u64) {
-        let passed = number.saturating_sub(self.newest).min(SLOTS as u64);
+        let passed = number.saturating_sub(self.newest).min(BUCKETS as u64);
         for step in 0..passed {
-            self.slots[place(number - step)] = T::default();
+            self.buckets[bucket_index(number - step)] = T::default();
         }
         self.newest = self.newest.max(number);
     }
 }
 
-fn number(now: Duration) -> u64 {
-    u64::try_from(now.as_millis() / SLOT.as_millis()).unwrap_or(u64::MAX)
+fn bucket_number(now: Duration) -> u64 {
+    u64::try_from(now.as_millis() / BUCKET_WIDTH.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn place(number: u64) -> usize {
-    usize::try_from(number % SLOTS as u64).unwrap_or(0)
+fn bucket_index(number: u64) -> usize {
+    usize::try_from(number % BUCKETS as u64).unwrap_or(0)
 }
