--- a/src/scalewood/core/registry.rs
+++ b/src/scalewood/core/registry.rs
@@ -1,12 +1,12 @@
-//! The registry: endpoints that announce themselves.
+//! The registry of the endpoints that announce themselves.
 //!
-//! It is soft state. Each voter notes what endpoints tell it and pushes the differences
-//! to every entry box; an entry box merges what it hears from all voters. A start of an
-//! endpoint is known by the endpoint's name and the incarnation that it tells: a later one
-//! takes the place of an earlier one, and an earlier one that is heard late changes
-//! nothing. Within a start a number that rises with each heartbeat tells a late one from a
-//! new one. A start that has gone never comes back; where endpoints tell no incarnation,
-//! the name is the start. What is merged in any order, and twice, gives the same.
+//! It is soft state. Each voter records the heartbeats of endpoints and pushes the changes to
+//! every entry box; an entry box merges what it receives from all voters. A start of an endpoint
+//! is identified by the endpoint's name and the incarnation that it reports: a later start
+//! replaces an earlier one, and a late message of an earlier one changes nothing. Within a start
+//! a sequence number that rises with each heartbeat tells a late heartbeat from a new one. A
+//! start that has ended never comes back; where endpoints report no incarnation, the name alone
+//! identifies the start. Merging is commutative and idempotent.
 
 use std::{
     cmp::Ordering,
@@ -36,21 +36,21 @@
 pub use timing::Timing;
 pub use vouch::Voucher;
 
-/// What a merge changed.
+/// The result of a merge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merged {
-    /// Nothing: it was known, or late.
+    /// Nothing: the record was known or outdated.
     Nothing,
     /// Only that the endpoint is alive.
     Alive,
-    /// Something that others have to know.
+    /// Something that other processes have to know.
     Changed,
-    /// A later start took the place of an earlier one, and others have to know.
+    /// A later start has replaced an earlier one, which other processes have to know.
     Restarted,
 }
 
 impl Merged {
-    /// Whether others have to know.
+    /// Returns whether other processes have to know.
     pub fn is_news(self) -> bool {
         matches!(self, Self::Changed | Self::Restarted)
     }
@@ -59,22 +59,24 @@
 #[derive(Clone, Debug)]
 struct Entry {
     record: Record,
-    /// When it was heard of itself.
+    /// When a heartbeat or record of it was last received.
     heard: Duration,
-    /// Who says that it is alive.
+    /// The processes that vouch that it is alive.
     vouchers: vouch::Vouchers,
     /// The registry's stamp when the record last changed.
     stamp: u64,
-    /// Whether it is slow beside the others of its service.
+    /// Whether it is slow compared with the others of its service.
     slow: bool,
-    /// Whether it served before a loss of power and was not heard of since.
+    /// Whether it was restored after a power loss and has not been heard since.
     restored: bool,
-    /// When it started, as its heartbeats tell: in milliseconds of this process's clock,
-    /// before its zero as well. Heartbeats come late, so the earliest that was told counts.
-    started: i64,
-    /// The registry's stamp when it was heard that it said in an answer that it leaves.
-    leaves: Option<u64>,
-    /// Its warm-up; the record itself tells none, since what is left falls with time.
+    /// When it started, as estimated from its heartbeats, in milliseconds of this process's
+    /// clock; negative if before the clock's zero. Heartbeats can only be late, so the earliest
+    /// estimate counts.
+    started_ms: i64,
+    /// The registry's stamp when it became known that the endpoint announced in a response that
+    /// it is leaving.
+    leaving_stamp: Option<u64>,
+    /// Its warm-up. The record itself holds none, since the time that is left falls continuously.
     warm_up: warm_up::Belief,
 }
 
@@ -82,7 +84,7 @@
     fn new(
         record: Record,
         warm_up: warm_up::Belief,
-        started: i64,
+        started_ms: i64,
         stamp: u64,
         now: Duration,
     ) -> Self {
@@ -92,31 +94,31 @@
             stamp,
             slow: false,
             restored: false,
-            started,
-            leaves: None,
+            started_ms,
+            leaving_stamp: None,
             warm_up,
             record,
         }
     }
 
-    /// Whether it is the later one of two at the same address. Their incarnations decide where they
-    /// tell them, and one that tells none counts as earlier than one that does: where endpoints tell
-    /// theirs, it comes from another writer. Between two that tell none it is guessed.
+    /// Returns whether it started after another entry with the same address. The incarnations
+    /// decide where they are reported; an entry without one counts as earlier than one with it,
+    /// since where endpoints report theirs it comes from another writer. Between two without one,
+    /// a restored one counts as earlier, else the estimated start decides.
     fn is_after(&self, other: &Self) -> bool {
-        let rank = |entry: &Self| (entry.record.incarnation, !entry.restored, entry.started);
+        let rank = |entry: &Self| (entry.record.incarnation, !entry.restored, entry.started_ms);
         rank(self) > rank(other)
     }
 }
 
-/// The most endpoints of which is remembered that they fell silent: followers hear it within
-/// seconds.
+/// The most endpoints that are remembered as silent: followers receive this within seconds.
 const MAX_SILENT: usize = 32_768;
 
 /// The endpoints that have announced themselves.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     timing: Timing,
-    /// When others vouched for endpoints.
+    /// When other processes vouched for endpoints.
     vouched: vouch::Times,
     entries: BTreeMap<name::Endpoint, Entry>,
     /// The endpoints by the stamps of their entries.
@@ -124,24 +126,24 @@
     claims: address::Claims,
     /// The starts that have ended.
     ended: ended::Marks,
-    /// The endpoints that fell silent, by the stamps of that, and those stamps.
+    /// The endpoints that fell silent, by the stamp of that, and the stamps by endpoint.
     silent: changes::Changes,
     silent_at: BTreeMap<name::Endpoint, u64>,
     stamp: u64,
-    /// The stamp of the last change of a record, or of who counts as slow.
+    /// The stamp of the last change of a record, or of which endpoints count as slow.
     layout: u64,
-    /// When the first endpoint was heard of.
-    since: Option<Duration>,
-    /// How fast endpoints go, also those that have not announced themselves here.
+    /// When the first endpoint was heard.
+    first_heard_at: Option<Duration>,
+    /// The paces of endpoints, including those that have not announced themselves here.
     paces: paces::Paces,
-    /// The paces of announced endpoints, in order for each service.
+    /// The announced endpoints of each service, sorted by pace.
     ranks: BTreeMap<name::Service, ranks::Ranks>,
-    /// The services whose endpoints have to be compared anew.
+    /// The services whose endpoints have to be compared again.
     ungraded: BTreeSet<name::Service>,
 }
 
 impl Registry {
-    /// A registry of endpoints that tell of themselves as often as that.
+    /// Creates an empty registry for endpoints with that heartbeat interval.
     pub fn new(timing: Timing) -> Self {
         Self {
             timing,
@@ -149,17 +151,17 @@
         }
     }
 
-    /// Takes a heartbeat, or a record that another process has heard.
+    /// Merges a heartbeat, or a record that another process received.
     pub fn merge(&mut self, record: Record, now: Duration) -> Merged {
         if record.state == State::Gone {
             return self.end(&record.name, record.incarnation);
         }
-        if self.ended.has(&record.name, record.incarnation) {
+        if self.ended.has_ended(&record.name, record.incarnation) {
             return Merged::Nothing;
         }
         let Some(entry) = self.entries.get(&record.name) else {
-            let since = *self.since.get_or_insert(now);
-            self.insert(record, now > since + self.timing.found(), now);
+            let since = *self.first_heard_at.get_or_insert(now);
+            self.insert(record, now > since + self.timing.startup_window(), now);
             return Merged::Changed;
         };
         if record.rank() <= entry.record.rank() {
@@ -167,7 +169,7 @@
         }
         match record.incarnation.cmp(&entry.record.incarnation) {
             Ordering::Less => Merged::Nothing,
-            Ordering::Equal => self.go_on(record, now),
+            Ordering::Equal => self.refresh(record, now),
             Ordering::Greater => {
                 self.paces.remove(&record.name);
                 self.insert(record, true, now);
@@ -176,17 +178,17 @@
         }
     }
 
-    /// Takes a start that was not known, in place of an earlier one if there is one. It is `late`
-    /// if others served before it.
+    /// Inserts a new start, which replaces an earlier one if there is one. It is `late` if other
+    /// endpoints served before it.
     fn insert(&mut self, mut record: Record, late: bool, now: Duration) {
-        self.change();
+        self.advance_layout();
         let mut belief = warm_up::Belief::new(late, now);
         belief.hear(record.warm_up.take(), now);
         let (name, service) = (record.name.clone(), record.service.clone());
-        let started = self.timing.started(record.sequence, now);
-        let entry = Entry::new(record, belief, started, self.stamp, now);
+        let started_ms = self.timing.start_time_ms(record.sequence, now);
+        let entry = Entry::new(record, belief, started_ms, self.stamp, now);
         self.remove_entry(&name);
-        self.speaks(&name);
+        self.clear_silent(&name);
         self.changes.note(None, self.stamp, &name);
         self.claims.add(entry.record.address, &name);
         if let Some(pace) = self.paces.get(&name) {
@@ -209,23 +211,25 @@
         Some(entry)
     }
 
-    /// Takes a later heartbeat of a start that is known.
-    fn go_on(&mut self, mut record: Record, now: Duration) -> Merged {
+    /// Applies a later heartbeat of a known start.
+    fn refresh(&mut self, mut record: Record, now: Duration) -> Merged {
         let Some(entry) = self.entries.get_mut(&record.name) else {
             return Merged::Nothing;
         };
-        // Others may have forgotten it by then.
+        // Other processes may have forgotten it after so long a silence, so they have to be told.
         let last = entry.heard.max(self.vouched.latest(entry.vouchers));
         let was_silent = now >= last + self.timing.silence();
         entry.heard = now;
         entry.restored = false;
-        entry.started = entry.started.min(self.timing.started(record.sequence, now));
+        entry.started_ms = entry
+            .started_ms
+            .min(self.timing.start_time_ms(record.sequence, now));
         let warms = entry.warm_up.hear(record.warm_up.take(), now);
-        if entry.leaves.is_some() {
-            // The heartbeat may have been sent before the answer.
+        if entry.leaving_stamp.is_some() {
+            // The heartbeat may have been sent before that response.
             record.state = record.state.max(State::Leaving);
         }
-        let same = !warms && !was_silent && record.says_the_same(&entry.record);
+        let same = !warms && !was_silent && record.has_same_content(&entry.record);
         if record.address != entry.record.address {
             self.claims.remove(entry.record.address, &record.name);
             self.claims.add(record.address, &record.name);
@@ -252,29 +256,30 @@
         Merged::Changed
     }
 
-    /// Notes that a start of an endpoint said in an answer that it leaves. No heartbeat of this start
-    /// takes it back.
+    /// Records that a start of an endpoint announced in a response that it is leaving. No
+    /// heartbeat of this start reverts that.
     pub fn note_leaving(&mut self, name: &name::Endpoint, start: Start) -> Merged {
         let Some(entry) = self.entries.get_mut(name) else {
             return Merged::Nothing;
         };
-        if entry.record.incarnation != start || entry.leaves.is_some() {
+        if entry.record.incarnation != start || entry.leaving_stamp.is_some() {
             return Merged::Nothing;
         }
         self.stamp += 1;
         self.layout = self.stamp;
-        entry.leaves = Some(self.stamp);
+        entry.leaving_stamp = Some(self.stamp);
         self.changes.note(Some(entry.stamp), self.stamp, name);
         entry.stamp = self.stamp;
         entry.record.state = State::Leaving;
         Merged::Changed
     }
 
-    /// The starts of which it was heard after a stamp that they said in an answer that they leave.
+    /// Returns the starts of which it became known, within a range of stamps, that they announced
+    /// in a response that they are leaving.
     pub fn leaving_since(&self, span: impl Into<Span>) -> Vec<Leaving> {
         let span = span.into();
         let leaving = self.entries_since(span);
-        let leaving = leaving.filter(|entry| entry.leaves.is_some_and(|at| at > span.after));
+        let leaving = leaving.filter(|entry| entry.leaving_stamp.is_some_and(|at| at > span.after));
         let leaving = leaving.map(|entry| Leaving {
             name: entry.record.name.clone(),
             start: entry.record.incarnation,
@@ -282,8 +287,8 @@
         leaving.collect()
     }
 
-    /// Takes an endpoint that served before a loss of power: it is used until it should have
-    /// been heard of again. Every endpoint's next heartbeat takes more than a second.
+    /// Restores an endpoint that served before a power loss. It is used until its heartbeat is
+    /// overdue: before all endpoints have sent their next heartbeat, more than a second passes.
     pub fn restore(&mut self, record: Record, now: Duration) -> Merged {
         if self.entries.contains_key(&record.name) {
             return Merged::Nothing;
@@ -296,24 +301,26 @@
         merged
     }
 
-    /// Notes that an endpoint has gone which doesn't tell which start of it: the one that is known.
+    /// Records that an endpoint has shut down whose message doesn't name the start: the known one
+    /// has ended.
     pub fn leave(&mut self, name: &name::Endpoint) -> Merged {
         let known = self.entries.get(name);
         let known = known.map(|entry| entry.record.incarnation);
         let start = known.unwrap_or_else(|| self.ended.forgotten(name));
         let merged = self.end(name, start);
         if merged.is_news() && known.is_none() && start.is_none() {
-            self.ended.note_unnamed(name, self.stamp);
+            self.ended.note_without_start(name, self.stamp);
         }
         merged
     }
 
-    /// Notes that a start of an endpoint has ended, and so all before it. A later one goes on.
+    /// Records that a start of an endpoint, and all earlier ones, have ended. A later start
+    /// stays.
     pub fn end(&mut self, name: &name::Endpoint, start: Start) -> Merged {
         if !self.ended.raise(name, start, self.stamp + 1) {
             return Merged::Nothing;
         }
-        self.change();
+        self.advance_layout();
         let known = self.entries.get(name).map(|e| e.record.incarnation);
         if known.is_none_or(|known| known <= start) {
             self.remove_entry(name);
@@ -322,9 +329,9 @@
         Merged::Changed
     }
 
-    /// Takes what another process tells of endpoints that have `gone`, with the starts of those
-    /// that have `ended` in particular, and of those that `left` a moment ago; returns those of
-    /// which this is news.
+    /// Applies another process's list of endpoints that have `gone`, the starts that have `ended`
+    /// of those that report incarnations, and the endpoints that `left` while no start of them
+    /// was known there. Returns the endpoints for which this is new.
     pub fn take_ends(
         &mut self,
         gone: &[name::Endpoint],
@@ -336,7 +343,8 @@
             let merged = self.end(&ended.name, Some(ended.incarnation));
             news.extend(merged.is_news().then(|| ended.name.clone()));
         }
-        // The left ones go first: a leave is news only once.
+        // `left` goes before `gone`: once `gone` has raised the mark, the same leave would not be
+        // new.
         for name in left {
             news.extend(self.leave(name).is_news().then(|| name.clone()));
         }
@@ -346,12 +354,12 @@
         news
     }
 
-    /// Forgets an endpoint that was not heard of.
+    /// Forgets an endpoint that has been silent for too long.
     fn forget(&mut self, name: &name::Endpoint) {
         let Some(entry) = self.remove_entry(name) else {
             return;
         };
-        self.change();
+        self.advance_layout();
         self.note_silent(name);
         if let Some(start) = entry.record.incarnation {
             self.ended.forget(name, start);
@@ -363,24 +371,25 @@
         self.silent.note(before, self.stamp, name);
         if self.silent_at.len() > MAX_SILENT {
             if let Some(oldest) = self.silent.oldest().cloned() {
-                self.speaks(&oldest);
+                self.clear_silent(&oldest);
             }
         }
     }
 
-    /// Notes that an endpoint is not silent any more.
-    fn speaks(&mut self, name: &name::Endpoint) {
+    /// Removes an endpoint from those that are silent.
+    fn clear_silent(&mut self, name: &name::Endpoint) {
         if let Some(stamp) = self.silent_at.remove(name) {
             self.silent.forget(stamp);
         }
     }
 
-    /// The endpoints that fell silent after a stamp and were not heard of again.
+    /// Returns the endpoints that fell silent within a range of stamps and have not been heard
+    /// since.
     pub fn silent_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
         self.silent.since(span.into()).cloned().collect()
     }
 
-    /// Notes that an endpoint was heard of.
+    /// Records that an endpoint was heard.
     pub fn hear(&mut self, name: &name::Endpoint, now: Duration) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.heard = now;
@@ -388,8 +397,8 @@
         }
     }
 
-    /// The process of a name, as one that vouches for endpoints. What it vouched for before counts
-    /// no more: it tells all anew.
+    /// Returns a process as one that vouches for endpoints, or `None` if there are too many. What
+    /// it vouched for before is cleared, since it now reports everything again.
     pub fn voucher(&mut self, name: &name::Box) -> Option<Voucher> {
         let voucher = self.vouched.voucher(name)?;
         let last = self.vouched.of(voucher);
@@ -402,33 +411,34 @@
         Some(voucher)
     }
 
-    /// Notes that another process told of an endpoint, and vouches for it from now on.
+    /// Records that another process reported an endpoint, and vouches for it from now on.
     pub fn vouch_for(&mut self, name: &name::Endpoint, by: Voucher) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.vouchers.add(by);
         }
     }
 
-    /// Notes that another process says that the endpoints are alive that it vouches for.
+    /// Records that another process says that all endpoints are alive that it vouches for.
     pub fn vouched(&mut self, by: Voucher, now: Duration) {
         self.vouched.note(by, now);
     }
 
-    /// Notes that an endpoint fell silent towards another process.
+    /// Records that another process no longer vouches for an endpoint, which is silent there.
     pub fn withdraw(&mut self, name: &name::Endpoint, by: Voucher) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.vouchers.remove(by);
         }
     }
 
-    /// An endpoint by its name.
+    /// Returns an endpoint's record.
     pub fn get(&self, name: &name::Endpoint) -> Option<&Record> {
         self.entries.get(name).map(|entry| &entry.record)
     }
 
-    /// The endpoint that started later at an endpoint's address, if there is one: an address
-    /// belongs to one endpoint at a time. A heartbeat that was held up on its way may name one
-    /// that has crashed since; requests sent by its name would be turned away, one a box.
+    /// Returns the endpoint that started later at an endpoint's address, if there is one: an
+    /// address belongs to one endpoint at a time. A delayed heartbeat may name an endpoint that
+    /// has crashed since; requests sent under its name would be rejected by the new one, one per
+    /// box.
     pub fn displaced_by(&self, name: &name::Endpoint) -> Option<&name::Endpoint> {
         let own = self.entries.get(name)?;
         let is_later = |other: &&name::Endpoint| {
@@ -439,43 +449,43 @@
         rivals.iter().find(is_later)
     }
 
-    /// The endpoints that say that they are at an address.
+    /// Returns the endpoints that claim an address.
     pub fn at_address(&self, address: SocketAddr) -> &[name::Endpoint] {
         self.claims.of(address)
     }
 
-    /// All endpoints at whose address another one started later.
+    /// Returns all endpoints at whose address another one started later.
     pub fn displaced(&self) -> BTreeSet<name::Endpoint> {
         let contested = self.claims.contested();
         let displaced = contested.filter(|name| self.displaced_by(name).is_some());
         displaced.cloned().collect()
     }
 
-    /// Whether anything is known of an endpoint.
+    /// Returns whether anything is known of an endpoint.
     pub fn knows(&self, name: &name::Endpoint) -> bool {
         self.entries.contains_key(name) || self.paces.get(name).is_some()
     }
 
-    /// How many endpoints have not gone.
+    /// Returns the number of endpoints that have not gone.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether all endpoints have gone.
+    /// Returns whether there is no endpoint, or all have gone.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All endpoints that have not gone.
+    /// Returns the records of all endpoints that have not gone.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Notes how fast an endpoint goes, whether or not it has announced itself; tells whether
-    /// that was unknown. Which endpoints count as slow by it, `regrade` says.
+    /// Sets an endpoint's pace, whether or not it has announced itself; returns whether no pace
+    /// was known before. Call `regrade` to apply it to which endpoints count as slow.
     pub fn set_pace(&mut self, name: &name::Endpoint, pace: pace::Pace) -> bool {
         let known = self.paces.get(name);
-        let has_gone = self.ended.is_told(name) && !self.entries.contains_key(name);
+        let has_gone = self.ended.is_announced(name) && !self.entries.contains_key(name);
         if !pace.is_news(known) || has_gone {
             return false;
         }
@@ -494,8 +504,9 @@
         known.is_none()
     }
 
-    /// Compares the endpoints of those services with each other of which any pace changed, or was
-    /// known before its endpoint was; tells whether others count as slow than before.
+    /// Compares the endpoints of each service in which a pace has changed, or in which an
+    /// endpoint with a known pace was inserted; returns whether other endpoints count as slow
+    /// than before.
     pub fn regrade(&mut self) -> bool {
         let mut changed = false;
         for service in std::mem::take(&mut self.ungraded) {
@@ -511,31 +522,33 @@
             }
         }
         if changed {
-            self.change();
+            self.advance_layout();
         }
         changed
     }
 
-    /// The paces that changed after a stamp.
+    /// Returns the paces that changed within a range of stamps.
     pub fn paces_since(&self, span: impl Into<Span>) -> Vec<pace::Paced> {
         self.paces.since(span.into())
     }
 
-    /// All endpoints that have not gone, and whether each is slow beside the others of
-    /// its service.
+    /// Returns all endpoints that have not gone, and whether each is slow compared with the
+    /// others of its service.
     pub fn graded(&self) -> impl Iterator<Item = (&Record, bool)> {
         self.entries
             .values()
             .map(|entry| (&entry.record, entry.slow))
     }
 
-    /// An endpoint that has not gone, and whether it is slow beside the others of its service.
+    /// Returns an endpoint that has not gone, and whether it is slow compared with the others of
+    /// its service.
     pub fn graded_one(&self, name: &name::Endpoint) -> Option<(&Record, bool)> {
         let entry = self.entries.get(name)?;
         Some((&entry.record, entry.slow))
     }
 
-    /// The endpoints that changed, went or fell silent after a stamp, and those at their addresses.
+    /// Returns the endpoints that changed, went or fell silent after a stamp, and those that
+    /// share an address with one of them.
     pub fn touched_since(&self, stamp: u64) -> BTreeSet<name::Endpoint> {
         let changed = self.changes.since(stamp.into()).cloned();
         let mut touched: BTreeSet<_> = changed.collect();
@@ -550,8 +563,8 @@
         touched
     }
 
-    /// Up to which stamp a follower at a stamp is told in one message that holds so many records at
-    /// most, and paces and ends beside them.
+    /// Returns the last stamp that one message to a follower at `stamp` covers, if the message
+    /// holds at most `records` records, as many paces and as many ends.
     pub fn stamp_within(&self, stamp: u64, records: usize) -> u64 {
         let parts = [
             self.changes.stamp_after(stamp, records),
@@ -562,24 +575,24 @@
         first.unwrap_or(self.stamp)
     }
 
-    /// Rises with each change that others have to know.
+    /// Returns the stamp, which rises with each change that other processes have to know.
     pub fn stamp(&self) -> u64 {
         self.stamp
     }
 
-    /// Rises with each change that dispatchers have to know: paces alone are none. With some
-    /// thousand endpoints a pace changes many times a second, and it takes 4 ms to bring a
-    /// dispatcher up to as many records.
+    /// Returns the stamp of the last change that dispatchers have to know. Changes of paces alone
+    /// don't count: with some thousand endpoints a pace changes many times a second, and to
+    /// update a dispatcher with as many records takes 4 ms.
     pub fn layout(&self) -> u64 {
         self.layout
     }
 
-    fn change(&mut self) {
+    fn advance_layout(&mut self) {
         self.stamp += 1;
         self.layout = self.stamp;
     }
 
-    /// The records that changed after a stamp.
+    /// Returns the records that changed within a range of stamps.
     pub fn changed_since(&self, span: impl Into<Span>) -> Vec<Record> {
         let changed = self.entries_since(span.into());
         changed.map(|entry| entry.record.clone()).collect()
@@ -590,7 +603,7 @@
         names.filter_map(|name| self.entries.get(name))
     }
 
-    /// The same for another process: with what is left of warm-ups.
+    /// Returns the same for another process: with the remaining warm-up times.
     pub fn told_since(&self, span: impl Into<Span>, now: Duration) -> Vec<Record> {
         let mut told = self.changed_since(span);
         for record in &mut told {
@@ -600,42 +613,45 @@
         told
     }
 
-    /// What is believed of an endpoint's warm-up.
+    /// Returns the warm-up state of an endpoint, as far as it is known here.
     pub fn warm_up(&self, name: &name::Endpoint) -> Option<&warm_up::Belief> {
         self.entries.get(name).map(|entry| &entry.warm_up)
     }
 
-    /// The endpoints of which a start ended after a stamp.
+    /// Returns the endpoints of which a start ended within a range of stamps.
     pub fn gone_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
         self.ended.names_since(span.into())
     }
 
-    /// Which starts ended after a stamp, of the endpoints that tell their incarnations.
+    /// Returns the starts that ended within a range of stamps, of the endpoints that report
+    /// incarnations.
     pub fn ended_since(&self, span: impl Into<Span>) -> Vec<Ended> {
         self.ended.since(span.into())
     }
 
-    /// The endpoints that left after a stamp, of which no start was known here then.
+    /// Returns the endpoints that left within a range of stamps while no start of them was known
+    /// here.
     pub fn left_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
-        self.ended.unnamed_since(span.into())
+        self.ended.without_start_since(span.into())
     }
 
-    /// The endpoints that were heard of since a time.
+    /// Returns the endpoints that were heard, or vouched for, since a time.
     pub fn heard_since(&self, time: Duration) -> Vec<name::Endpoint> {
         let last = |entry: &Entry| entry.heard.max(self.vouched.latest(entry.vouchers));
         let heard = self.entries.values().filter(|entry| last(entry) >= time);
         heard.map(|entry| entry.record.name.clone()).collect()
     }
 
-    /// Forgets the endpoints that served before a loss of power and have not been heard of in
-    /// time; returns them.
+    /// Forgets the endpoints that were restored after a power loss and whose heartbeat is
+    /// overdue; returns them.
     pub fn expire_restored(&mut self, now: Duration) -> Vec<Record> {
         let restored = self.timing.restored();
         let is_over = |entry: &Entry| entry.restored && entry.heard + restored <= now;
         self.forget_those(is_over)
     }
 
-    /// Forgets the endpoints that were not heard of since `before`; returns them.
+    /// Forgets the endpoints that were neither heard nor vouched for since `before`; returns
+    /// them.
     pub fn expire(&mut self, before: Duration) -> Vec<Record> {
         let vouched = self.vouched.clone();
         let is_silent =
@@ -657,7 +673,7 @@
         over
     }
 
-    /// The times that follow from how often endpoints tell of themselves.
+    /// Returns the time limits that follow from the heartbeat interval.
     pub fn timing(&self) -> Timing {
         self.timing
     }
--- a/src/scalewood/core/registry/address.rs
+++ b/src/scalewood/core/registry/address.rs
@@ -1,7 +1,7 @@
-//! Which endpoints claim which address.
+//! The endpoints that claim each address.
 //!
-//! An address belongs to one endpoint at a time. Nearly always one endpoint claims it, so the
-//! few addresses with more are kept apart.
+//! An address belongs to one endpoint at a time. Nearly always only one endpoint claims it, so
+//! the few addresses with several claims are kept in a set of their own.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -10,16 +10,16 @@
 
 use crate::core::name;
 
-/// The endpoints by their addresses.
+/// The claims by address.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Claims {
     by_address: HashMap<SocketAddr, Vec<name::Endpoint>>,
-    /// The addresses that more than one endpoint claims.
+    /// The addresses that several endpoints claim.
     contested: BTreeSet<SocketAddr>,
 }
 
 impl Claims {
-    /// Notes that an endpoint claims an address.
+    /// Records that an endpoint claims an address.
     pub(super) fn add(&mut self, address: SocketAddr, name: &name::Endpoint) {
         let names = self.by_address.entry(address).or_default();
         if names.contains(name) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Notes that an endpoint claims an address no more.
+    /// Removes an endpoint's claim to an address.
     pub(super) fn remove(&mut self, address: SocketAddr, name: &name::Endpoint) {
         let Some(names) = self.by_address.get_mut(&address) else {
             return;
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The endpoints that claim an address.
+    /// Returns the endpoints that claim an address.
     pub(super) fn of(&self, address: SocketAddr) -> &[name::Endpoint] {
         self.by_address.get(&address).map_or(&[], Vec::as_slice)
     }
 
-    /// The endpoints that do not claim an address alone.
+    /// Returns the endpoints whose address is claimed by another one too.
     pub(super) fn contested(&self) -> impl Iterator<Item = &name::Endpoint> {
         self.contested.iter().flat_map(|address| self.of(*address))
     }
--- a/src/scalewood/core/registry/changes.rs
+++ b/src/scalewood/core/registry/changes.rs
@@ -1,20 +1,20 @@
-//! Names in the order of their last change.
+//! Endpoint names in the order of their last change.
 
 use std::{collections::BTreeMap, ops::Bound};
 
 use crate::core::name;
 
-/// Stamps of changes, after one and up to another one.
+/// A range of change stamps.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// The stamp after which it begins.
+    /// The stamp before the first one of the range.
     pub after: u64,
-    /// The last stamp in it.
+    /// The last stamp of the range.
     pub to: u64,
 }
 
 impl From<u64> for Span {
-    /// All after a stamp.
+    /// Returns the range of all stamps after `after`.
     fn from(after: u64) -> Self {
         Self {
             after,
@@ -23,12 +23,12 @@
     }
 }
 
-/// Which endpoints changed after a stamp, found without looking at the others.
+/// An index from stamps to endpoints, to find what changed after a stamp without a scan of all.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Changes(BTreeMap<u64, name::Endpoint>);
 
 impl Changes {
-    /// Notes a change at `stamp` of an endpoint that changed at `before` the last time.
+    /// Records a change at `stamp` of an endpoint whose last change was at `before`.
     pub(super) fn note(&mut self, before: Option<u64>, stamp: u64, name: &name::Endpoint) {
         if let Some(before) = before {
             self.0.remove(&before);
@@ -36,12 +36,12 @@
         self.0.insert(stamp, name.clone());
     }
 
-    /// Forgets the change at a stamp.
+    /// Removes the change at a stamp.
     pub(super) fn forget(&mut self, stamp: u64) {
         self.0.remove(&stamp);
     }
 
-    /// The endpoints that changed within a span, in the order of their names.
+    /// Returns the endpoints that changed within a range, sorted by name.
     pub(super) fn since(&self, span: Span) -> impl Iterator<Item = &name::Endpoint> {
         let changed = self
             .0
@@ -52,19 +52,20 @@
         names.into_iter()
     }
 
-    /// The stamp of the last of so many changes after a stamp, where there are more.
+    /// Returns the stamp of the `count`th change after `stamp`, or `None` if no more changes
+    /// follow it.
     pub(super) fn stamp_after(&self, stamp: u64, count: usize) -> Option<u64> {
         let mut after = self.0.range((Bound::Excluded(stamp), Bound::Unbounded));
         let last = after.nth(count.saturating_sub(1)).map(|(at, _)| *at);
         last.filter(|_| after.next().is_some())
     }
 
-    /// All endpoints, the earliest change first.
+    /// Returns all endpoints, the earliest change first.
     pub(super) fn in_order(&self) -> impl Iterator<Item = &name::Endpoint> {
         self.0.values()
     }
 
-    /// The endpoint that changed longest ago.
+    /// Returns the endpoint whose last change is the oldest.
     pub(super) fn oldest(&self) -> Option<&name::Endpoint> {
         self.in_order().next()
     }
--- a/src/scalewood/core/registry/ended.rs
+++ b/src/scalewood/core/registry/ended.rs
@@ -1,7 +1,9 @@
 //! Which starts of endpoints have ended.
 //!
-//! A mark says of a name up to which start all have ended; it only rises, so marks merge in any
-//! order. Starts that do not tell their incarnation count as one, before all that do.
+//! A start is one run of an endpoint's process, identified by its incarnation. An endpoint's mark
+//! is the latest start that has ended; all earlier ones have ended too. Marks only rise, so they
+//! can be merged in any order. Starts without a reported incarnation count as one start, before
+//! all others.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,57 +12,58 @@
 use super::changes::{Changes, Span};
 use crate::core::{name, unit};
 
-/// Which start of an endpoint this is; `None` is one that does not tell.
+/// A start of an endpoint, or `None` if it reports no incarnation.
 pub type Start = Option<unit::Incarnation>;
 
-/// A start that has ended, and all before it.
+/// A start that has ended, and with it all earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
     /// The endpoint.
     pub name: name::Endpoint,
-    /// The start.
+    /// The incarnation of the start.
     pub incarnation: unit::Incarnation,
 }
 
-/// The most names of which is remembered what has ended, at some 200 B each: an endpoint whose mark
-/// is forgotten too early comes back with a record that another process still tells.
-const MAX: usize = 32_768;
+/// The most endpoints whose marks are kept, at some 200 B each. If a mark is dropped too early,
+/// the endpoint reappears through a record that another process still sends.
+const MAX_MARKS: usize = 32_768;
 
 #[derive(Clone, Copy, Debug)]
 struct Mark {
-    /// Up to this start, all have ended.
+    /// The latest start that has ended.
     up_to: Start,
-    /// The registry's stamp of that, 0 if it isn't told on.
+    /// The registry's stamp at that change, or 0 if the mark is not sent to other processes.
     stamp: u64,
-    /// The stamp of the leave at which no start was known.
-    unnamed: u64,
-    /// The start that was known when the endpoint was forgotten.
+    /// The registry's stamp when the endpoint left while no start of it was known, or 0.
+    without_start: u64,
+    /// The start that was known when the endpoint was forgotten for its silence.
     forgotten: Start,
 }
 
-/// The marks of all names.
+/// The marks of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Marks {
     marks: BTreeMap<name::Endpoint, Mark>,
-    /// The names by the stamps of their marks, of those that are told on.
+    /// The endpoints by the stamps of those marks that are sent to others.
     changes: Changes,
-    /// The names by the stamps of the leaves at which no start was known.
-    unnamed: Changes,
+    /// The endpoints that left while no start of them was known, by the stamps of that.
+    without_start: Changes,
     order: VecDeque<name::Endpoint>,
 }
 
 impl Marks {
-    /// Whether a start has ended.
-    pub(super) fn has(&self, name: &name::Endpoint, start: Start) -> bool {
+    /// Returns whether a start has ended.
+    pub(super) fn has_ended(&self, name: &name::Endpoint, start: Start) -> bool {
         self.marks.get(name).is_some_and(|mark| start <= mark.up_to)
     }
 
-    /// Whether an endpoint said that a start of it has ended, or another process did.
-    pub(super) fn is_told(&self, name: &name::Endpoint) -> bool {
+    /// Returns whether the end of a start was announced, by the endpoint or by another process.
+    pub(super) fn is_announced(&self, name: &name::Endpoint) -> bool {
         self.marks.get(name).is_some_and(|mark| mark.stamp > 0)
     }
 
-    /// Raises the mark of an endpoint; tells whether it was lower. With stamp 0 others aren't told.
+    /// Raises an endpoint's mark; returns whether it was lower. With stamp 0 the mark is not sent
+    /// to others.
     pub(super) fn raise(&mut self, name: &name::Endpoint, up_to: Start, stamp: u64) -> bool {
         if let Some(mark) = self.marks.get_mut(name) {
             let is_new = mark.up_to < up_to;
@@ -76,7 +79,7 @@
         let mark = Mark {
             up_to,
             stamp,
-            unnamed: 0,
+            without_start: 0,
             forgotten: None,
         };
         self.order.push_back(name.clone());
@@ -84,7 +87,7 @@
         if stamp > 0 {
             self.changes.note(None, stamp, name);
         }
-        if self.order.len() > MAX {
+        if self.order.len() > MAX_MARKS {
             self.forget_oldest();
         }
         true
@@ -95,12 +98,12 @@
         let mark = oldest.and_then(|oldest| self.marks.remove(&oldest));
         if let Some(mark) = mark {
             self.changes.forget(mark.stamp);
-            self.unnamed.forget(mark.unnamed);
+            self.without_start.forget(mark.without_start);
         }
     }
 
-    /// Notes that an endpoint is forgotten that was not heard of. Its start may be heard of
-    /// again; those before it may not: a voter that was held up may tell them long after.
+    /// Records that an endpoint was forgotten for its silence. Its start may reappear, but no
+    /// earlier one may: a delayed voter may still send those long after.
     pub(super) fn forget(&mut self, name: &name::Endpoint, start: unit::Incarnation) {
         if let Some(before) = start.before() {
             self.raise(name, Some(before), 0);
@@ -110,30 +113,31 @@
         }
     }
 
-    /// The start of an endpoint that was known when it was forgotten.
+    /// Returns the start that was known when the endpoint was forgotten.
     pub(super) fn forgotten(&self, name: &name::Endpoint) -> Start {
         self.marks.get(name)?.forgotten
     }
 
-    /// Notes a leave at which no start was known.
-    pub(super) fn note_unnamed(&mut self, name: &name::Endpoint, stamp: u64) {
+    /// Records that an endpoint left while no start of it was known.
+    pub(super) fn note_without_start(&mut self, name: &name::Endpoint, stamp: u64) {
         if let Some(mark) = self.marks.get_mut(name) {
-            self.unnamed.note(Some(mark.unnamed), stamp, name);
-            mark.unnamed = stamp;
+            self.without_start
+                .note(Some(mark.without_start), stamp, name);
+            mark.without_start = stamp;
         }
     }
 
-    /// The stamp of the last of so many ends after a stamp, where there are more.
+    /// Returns the stamp of the `count`th end after `stamp`, or `None` if no more ends follow it.
     pub(super) fn stamp_after(&self, stamp: u64, count: usize) -> Option<u64> {
         self.changes.stamp_after(stamp, count)
     }
 
-    /// The endpoints of which a start ended after a stamp.
+    /// Returns the endpoints of which a start ended within a range of stamps.
     pub(super) fn names_since(&self, span: Span) -> Vec<name::Endpoint> {
         self.changes.since(span).cloned().collect()
     }
 
-    /// The starts that ended after a stamp, of those that told their incarnation.
+    /// Returns the starts that ended within a range of stamps, of those with an incarnation.
     pub(super) fn since(&self, span: Span) -> Vec<Ended> {
         let ended = self.changes.since(span).filter_map(|name| {
             Some(Ended {
@@ -144,8 +148,8 @@
         ended.collect()
     }
 
-    /// The endpoints that left after a stamp while no start of theirs was known.
-    pub(super) fn unnamed_since(&self, span: Span) -> Vec<name::Endpoint> {
-        self.unnamed.since(span).cloned().collect()
+    /// Returns the endpoints that left within a range of stamps while no start of them was known.
+    pub(super) fn without_start_since(&self, span: Span) -> Vec<name::Endpoint> {
+        self.without_start.since(span).cloned().collect()
     }
 }
--- a/src/scalewood/core/registry/ranks.rs
+++ b/src/scalewood/core/registry/ranks.rs
@@ -1,8 +1,8 @@
-//! The paces of a service's endpoints in their order.
+//! The endpoints of a service, sorted by pace.
 //!
-//! Who counts as slow depends on the pace that a third of the endpoints keep or beat. As that one
-//! moves a little, only endpoints near its limits can change their side, so these alone are looked
-//! at.
+//! Which endpoints count as slow depends on a reference pace, the one that a third of the
+//! endpoints match or beat. When it moves a little, only endpoints near the thresholds can change
+//! between slow and fast, so only these are compared again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,9 +16,9 @@
 pub(super) struct Ranks {
     paces: BTreeMap<name::Endpoint, Pace>,
     in_order: BTreeSet<(Pace, name::Endpoint)>,
-    /// The pace that the others were compared with last.
+    /// The reference pace of the last comparison.
     fast: Option<Pace>,
-    /// The endpoints whose own pace changed since then.
+    /// The endpoints whose own pace has changed since then.
     touched: BTreeSet<name::Endpoint>,
 }
 
@@ -32,7 +32,7 @@
         self.touched.insert(name.clone());
     }
 
-    /// Takes an endpoint out.
+    /// Removes an endpoint.
     pub(super) fn remove(&mut self, name: &name::Endpoint) {
         if let Some(before) = self.paces.remove(name) {
             self.in_order.remove(&(before, name.clone()));
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Compares the endpoints that may have changed their side; returns those that have, given who
-    /// `was_slow`.
+    /// Compares the endpoints that may have changed between slow and fast, given which one
+    /// `was_slow`; returns those that have, and whether they are slow now.
     pub(super) fn grade(
         &mut self,
         was_slow: impl Fn(&name::Endpoint) -> bool,
--- a/src/scalewood/core/registry/record.rs
+++ b/src/scalewood/core/registry/record.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves.
+//! The records that endpoints announce.
 
 use std::net::SocketAddr;
 
@@ -10,94 +10,94 @@
     unit, warm_up,
 };
 
-/// Whether an endpoint takes new work.
+/// An endpoint's state in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It takes work.
+    /// It takes new work.
     Ready,
-    /// It is about to go and takes no new work.
+    /// It is shutting down and takes no new work.
     Leaving,
-    /// It has gone.
+    /// It has shut down.
     Gone,
 }
 
-/// A start of an endpoint that said in an answer that it leaves.
+/// A start of an endpoint that announced in a response that it is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaving {
     /// The endpoint.
     #[serde(rename = "n")]
     pub name: name::Endpoint,
-    /// Which start of it.
+    /// The start, by its incarnation.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub start: registry::Start,
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's announcement of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its name. A new start has a new one, or a higher incarnation.
+    /// Its name. After a restart it has a new name or a higher incarnation.
     pub name: name::Endpoint,
     /// The service that it serves.
     pub service: name::Service,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: name::Zone,
     /// Its HTTP address.
     pub address: SocketAddr,
-    /// How many requests it runs at once.
+    /// The most requests that it runs at once.
     pub slots: unit::Slots,
     /// Whether it takes new work.
     pub state: State,
-    /// Rises with each heartbeat.
+    /// A number that rises with each heartbeat.
     pub sequence: u64,
-    /// Whether it is paid for as one that may be taken away.
+    /// Whether it runs on interruptible (spot) capacity that the provider may take away.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub interruptible: bool,
-    /// Which start of it this is, if it tells: a later start has a higher number. Numbers of
-    /// one endpoint are compared with each other only, never with a clock.
+    /// The incarnation, if it reports one: a later start has a higher number. Numbers of one
+    /// endpoint are only compared with each other, never with a clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<unit::Incarnation>,
-    /// How much longer it warms up, if it tells.
+    /// How much longer it warms up, if it reports that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub warm_up: Option<warm_up::Left>,
 }
 
-/// The most slots that an endpoint can have: some hundred times as many as model servers run at
-/// once. One that tells more would draw all requests.
+/// The most slots that an endpoint may have: some hundred times as many as model servers run at
+/// once. An endpoint that announces more would attract all requests.
 const MAX_SLOTS: unit::Slots = unit::Slots(16_384);
 
 impl Record {
-    /// Checks what the fields' types leave open.
+    /// Checks the constraints that the types of the fields don't express.
     ///
     /// # Errors
     ///
-    /// Fails if a value can't be one of an endpoint that is to be used.
+    /// Fails if the value of a field can't belong to a usable endpoint.
     pub fn check(&self) -> Result<(), Refusal> {
         let out = |why: String| Err(Refusal::new(Reason::OutOfRange, why));
         if self.slots < unit::Slots(1) || self.slots > MAX_SLOTS {
             return out(format!(
-                "it tells {} slots, of 1 to {MAX_SLOTS}",
+                "slots is {}, must be from 1 to {MAX_SLOTS}",
                 self.slots
             ));
         }
         let ip = self.address.ip();
         if self.address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
-            return out(format!("nothing can be sent to {}", self.address));
+            return out(format!("address {} can't be sent to", self.address));
         }
         Ok(())
     }
 
-    /// What makes it later than another record of the same endpoint: first the start, then the
-    /// heartbeat. Two that say different things under one number come from two writers; the rest
-    /// of the rank makes all who hear both keep the same one.
+    /// Returns the sort key by which the latest of an endpoint's records is found: first the
+    /// start, then the heartbeat. Two records with different content under one number come from
+    /// two writers; the rest of the key makes every process that receives both keep the same one.
     pub(super) fn rank(&self) -> impl Ord + '_ {
         let heartbeat = (self.incarnation, self.sequence, self.state);
         let place = (&self.address, &self.zone, &self.service);
         (heartbeat, place, self.slots, self.interruptible)
     }
 
-    /// Whether it differs from another one in nothing that others have to know.
-    pub(super) fn says_the_same(&self, other: &Self) -> bool {
+    /// Returns whether both records agree in everything that other processes have to know.
+    pub(super) fn has_same_content(&self, other: &Self) -> bool {
         let same = Self {
             sequence: self.sequence,
             warm_up: self.warm_up,
--- a/src/scalewood/core/registry/refusal.rs
+++ b/src/scalewood/core/registry/refusal.rs
@@ -1,26 +1,26 @@
-//! Why a heartbeat is not taken.
+//! Why a heartbeat is refused.
 
 use std::fmt;
 
-/// What is wrong with it.
+/// What is wrong with a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// Its bytes are no text of the form that is spoken here.
+    /// It can't be parsed.
     Unreadable,
-    /// It is longer than any heartbeat.
+    /// It is longer than any valid heartbeat.
     TooLong,
     /// A field is missing.
     Missing,
-    /// A field is of another type.
+    /// A field has the wrong type.
     Mistyped,
-    /// A field is of the right type, and its value can't be.
+    /// A field has the right type, but a value that is not allowed.
     OutOfRange,
-    /// It names a state or a service that is not known.
+    /// It names an unknown state or service.
     Unknown,
 }
 
 impl Reason {
-    /// It as a label.
+    /// Returns the metric label of the reason.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unreadable => "unreadable",
@@ -33,17 +33,17 @@
     }
 }
 
-/// Why a heartbeat is not taken, for who sent it and for who looks after the system.
+/// Why a heartbeat was refused, for its sender and for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// What is wrong.
     pub reason: Reason,
-    /// What exactly.
+    /// The details.
     pub why: String,
 }
 
 impl Refusal {
-    /// A refusal with its reason.
+    /// Creates a refusal.
     pub fn new(reason: Reason, why: impl Into<String>) -> Self {
         let why = why.into();
         Self { reason, why }
--- a/src/scalewood/core/registry/remembered.rs
+++ b/src/scalewood/core/registry/remembered.rs
@@ -1,22 +1,22 @@
-//! Endpoints that served before a voter started, for a moment after that.
+//! Endpoints that served before a voter started, kept for a short time after its start.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use super::Record;
 use crate::core::name;
 
-/// What a voter remembers itself, and what other voters that started with it do.
+/// The records that a voter stored itself, and those of other voters that started with it.
 #[derive(Clone, Debug, Default)]
 pub struct Remembered {
     until: Duration,
-    /// What this voter remembers itself comes first.
+    /// The records of this voter come first, then those of others.
     records: Vec<Record>,
     own: usize,
     names: BTreeSet<name::Endpoint>,
 }
 
 impl Remembered {
-    /// What a voter remembers of itself, until a time.
+    /// Creates the set from a voter's own stored records, which expire at `until`.
     pub fn new(records: Vec<Record>, until: Duration) -> Self {
         Self {
             until,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes what another voter remembers; whether any of it is new.
+    /// Adds the records of another voter; returns whether any of them is new.
     pub fn take(&mut self, records: Vec<Record>, now: Duration) -> bool {
         if now >= self.until {
             return false;
@@ -40,22 +40,22 @@
         self.records.len() > before
     }
 
-    /// What a box has not been told, after the `told` first ones.
-    pub fn for_box(&self, told: &mut usize, now: Duration) -> Vec<Record> {
-        self.after(told, self.records.len(), now)
+    /// Returns the records that a box has not received, which are all but the `sent` first ones.
+    pub fn for_box(&self, sent: &mut usize, now: Duration) -> Vec<Record> {
+        self.after(sent, self.records.len(), now)
     }
 
-    /// The same for another voter, which is told what this one remembers itself: what all pass on to all
-    /// would go round for ever.
-    pub fn for_voter(&self, told: &mut usize, now: Duration) -> Vec<Record> {
-        self.after(told, self.own, now)
+    /// Returns the same for another voter, but only this voter's own records: if every voter
+    /// passed on all records, they would circulate for ever.
+    pub fn for_voter(&self, sent: &mut usize, now: Duration) -> Vec<Record> {
+        self.after(sent, self.own, now)
     }
 
-    fn after(&self, told: &mut usize, to: usize, now: Duration) -> Vec<Record> {
+    fn after(&self, sent: &mut usize, to: usize, now: Duration) -> Vec<Record> {
         if now >= self.until {
             return Vec::new();
         }
-        let from = std::mem::replace(told, to).min(to);
+        let from = std::mem::replace(sent, to).min(to);
         self.records[from..to].to_vec()
     }
 }
--- a/src/scalewood/core/registry/timing.rs
+++ b/src/scalewood/core/registry/timing.rs
@@ -1,15 +1,15 @@
-//! How old what is known of endpoints may be, by how often they tell.
+//! The time limits of the registry, derived from the heartbeat interval.
 
 use std::time::Duration;
 
-/// How late a heartbeat may come, with its way over voters to a box.
-const LATE: Duration = Duration::from_millis(4500);
-/// How late the heartbeats of endpoints that started together may come.
-const FIRST_LATE: Duration = Duration::from_millis(200);
-/// How late the first heartbeat after a loss of power may come.
-const LATE_AGAIN: Duration = Duration::from_millis(1100);
+/// How late a heartbeat may reach a box, by way of the voters.
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(4500);
+/// How far apart the heartbeats of endpoints that started together may arrive.
+const MAX_STARTUP_SKEW: Duration = Duration::from_millis(200);
+/// How late the first heartbeat after a power loss may arrive.
+const MAX_DELAY_AFTER_POWER_LOSS: Duration = Duration::from_millis(1100);
 
-/// The times that follow from how often endpoints tell of themselves.
+/// The time limits that follow from the heartbeat interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// The time between two heartbeats of an endpoint.
@@ -25,27 +25,28 @@
 }
 
 impl Timing {
-    /// How long an endpoint may be silent before it is forgotten: one heartbeat is lost, and the
-    /// next one is late.
+    /// Returns how long an endpoint may be silent before it is forgotten: one heartbeat is lost,
+    /// and the next one is late.
     pub fn silence(&self) -> Duration {
-        2 * self.heartbeat + LATE
+        2 * self.heartbeat + MAX_HEARTBEAT_DELAY
     }
 
-    /// How long an endpoint that served before a loss of power is used without being heard of:
-    /// two heartbeats and some.
+    /// Returns how long an endpoint that served before a power loss is used without a new
+    /// heartbeat: two intervals, and the delay of the first one.
     pub fn restored(&self) -> Duration {
-        2 * self.heartbeat + LATE_AGAIN
+        2 * self.heartbeat + MAX_DELAY_AFTER_POWER_LOSS
     }
 
-    /// How long after the first endpoint was heard of others that are heard of count as having
-    /// served before: some heartbeats.
-    pub(super) fn found(&self) -> Duration {
-        4 * self.heartbeat + FIRST_LATE
+    /// Returns how long after the first endpoint was heard others count as having served before
+    /// this process started: four intervals, and the spread of arrivals.
+    pub(super) fn startup_window(&self) -> Duration {
+        4 * self.heartbeat + MAX_STARTUP_SKEW
     }
 
-    /// When an endpoint that tells no incarnation started, by a heartbeat that arrives now: in
-    /// milliseconds of this process's clock, before its zero as well.
-    pub(super) fn started(&self, sequence: u64, now: Duration) -> i64 {
+    /// Returns when an endpoint without incarnation started, as estimated from a heartbeat that
+    /// arrives now, in milliseconds of this process's clock. Negative if it was before the
+    /// clock's zero.
+    pub(super) fn start_time_ms(&self, sequence: u64, now: Duration) -> i64 {
         let now = i64::try_from(now.as_millis()).unwrap_or(i64::MAX);
         let running = self.heartbeat.as_millis().saturating_mul(sequence.into());
         now.saturating_sub(i64::try_from(running).unwrap_or(i64::MAX))
--- a/src/scalewood/core/registry/vouch.rs
+++ b/src/scalewood/core/registry/vouch.rs
@@ -1,16 +1,17 @@
-//! Who vouches for endpoints.
+//! The processes that vouch that endpoints are alive.
 //!
-//! A voter says once a second that all endpoints are alive that it has told of, and names those
-//! that fell silent. So what is said of life costs nothing for each endpoint.
+//! Once a second a voter vouches for all endpoints that it has reported, and it names those that
+//! have fallen silent. So liveness costs no message per endpoint.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::core::name;
 
-/// The most processes that may vouch at one: several times as many as a deployment has voters.
-const MAX: usize = 128;
+/// The most processes that may vouch to one receiver: several times as many as a deployment has
+/// voters, and one bit each in `Vouchers`.
+const MAX_VOUCHERS: usize = 128;
 
-/// Those who vouch for an endpoint, a bit each.
+/// The set of processes that vouch for an endpoint, one bit each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Vouchers(u128);
 
@@ -27,7 +28,7 @@
         self.0 & (1 << by.0) != 0
     }
 
-    fn each(self) -> impl Iterator<Item = usize> {
+    fn indices(self) -> impl Iterator<Item = usize> {
         let mut left = self.0;
         std::iter::from_fn(move || {
             let at = (left != 0).then(|| left.trailing_zeros())?;
@@ -37,28 +38,28 @@
     }
 }
 
-/// A process that vouches.
+/// A process that vouches, as an index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Voucher(u8);
 
-/// When each of them vouched last.
+/// When each process last vouched.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Times {
-    places: BTreeMap<name::Box, Voucher>,
+    by_name: BTreeMap<name::Box, Voucher>,
     last: Vec<Duration>,
 }
 
 impl Times {
-    /// The process of a name; nothing if there are too many.
+    /// Returns the index of a process, or `None` if there are too many.
     pub(super) fn voucher(&mut self, name: &name::Box) -> Option<Voucher> {
-        if let Some(known) = self.places.get(name) {
+        if let Some(known) = self.by_name.get(name) {
             return Some(*known);
         }
-        if self.last.len() >= MAX {
+        if self.last.len() >= MAX_VOUCHERS {
             return None;
         }
         let voucher = Voucher(u8::try_from(self.last.len()).ok()?);
-        self.places.insert(name.clone(), voucher);
+        self.by_name.insert(name.clone(), voucher);
         self.last.push(Duration::ZERO);
         Some(voucher)
     }
@@ -71,9 +72,9 @@
         self.last[usize::from(by.0)]
     }
 
-    /// When any of some vouched last.
+    /// Returns the latest time at which any of the processes vouched.
     pub(super) fn latest(&self, vouchers: Vouchers) -> Duration {
-        let times = vouchers.each().map(|at| self.last[at]);
+        let times = vouchers.indices().map(|at| self.last[at]);
         times.max().unwrap_or_default()
     }
 }
