--- a/src/scalewood/core/attempt.rs
+++ b/src/scalewood/core/attempt.rs
@@ -1,14 +1,14 @@
-//! Identities of requests and of the attempts to serve them.
+//! Identifiers of requests and of the attempts to serve them.
 //!
-//! A request is tried under a new attempt number each time it is queued. Grants,
-//! reports and answers all name the attempt, so that one which arrives late, or
-//! for an attempt that was given up, is told apart and dropped.
+//! A request gets a new attempt number each time it is queued. Grants, reports and answers all
+//! name the attempt, so that a late one, or one for an abandoned attempt, is recognized and
+//! dropped.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// A request, as the entry box that took it numbers it; random, 64 bits.
+/// A request's identifier: 64 random bits, drawn by the entry box that accepted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Request(pub u64);
@@ -30,19 +30,19 @@
 /// One attempt to serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The request that is tried.
+    /// The request.
     pub request: Request,
-    /// Which attempt this is, from 0.
+    /// The number of the attempt, from 0.
     pub number: u32,
 }
 
 impl Attempt {
-    /// The first attempt at a request.
+    /// Returns the first attempt at a request.
     pub fn first(request: Request) -> Self {
         Self { request, number: 0 }
     }
 
-    /// The attempt after this one.
+    /// Returns the attempt after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self {
--- a/src/scalewood/core/claim.rs
+++ b/src/scalewood/core/claim.rs
@@ -1,19 +1,18 @@
-//! Claims: a keyed call that may not be repeated is sent at most once.
+//! Claims: a call with an idempotency key that may not be repeated is sent at most once.
 //!
-//! Before a box sends such a call it claims the key at the key's three holders: the
-//! heaviest boxes by rendezvous hash over the *configured* boxes, in different
-//! availability zones where there are that many. Two of the three have to agree.
-//! Any two pairs of three share a holder, so no second claim can win while the
-//! first is remembered, and a claim survives the loss of one holder.
+//! Before a box sends such a call it claims the key at the key's three holders: the boxes with
+//! the highest rendezvous hash among the *configured* boxes, in different availability zones if
+//! there are that many. Two of the three have to agree. Any two majorities of the three share a
+//! holder, so no second claim can win while the first is remembered, and a claim survives the
+//! loss of one holder.
 //!
-//! A holder that starts anew has forgotten what it agreed to. It votes on a key only
-//! once it has read the claims back from *both* other holders of that key, or once
-//! the retention has passed since its start. To have read them back from a majority
-//! of all boxes is not enough: the one box that remembers may not be among them.
-//! When the set of boxes changes, holders move; every holder then reads back from
-//! all boxes before it votes again.
+//! A holder that restarts has forgotten its votes. It votes on a key only once it has read the
+//! claims back from *both* other holders of that key, or once the retention has passed since its
+//! start. Reading them back from a majority of all boxes is not enough: the one box that
+//! remembers a claim may not be among them. When the set of boxes changes, keys move to other
+//! holders; every holder then reads back from all boxes before it votes again.
 //!
-//! Where two holders can't be reached, the call is refused: at most once goes before
+//! If two holders can't be reached, the call is refused: at-most-once has precedence over
 //! availability.
 
 use std::{
@@ -26,20 +25,21 @@
 
 use crate::core::{attempt, name, rendezvous, secret, verdict};
 
-/// How many boxes hold a key.
+/// The number of boxes that hold a key.
 pub const HOLDERS: usize = 3;
-/// How many of them have to agree.
+/// The number of holders that have to agree.
 pub const QUORUM: usize = 2;
 
-/// A key: the hash over team, service and the caller's text.
+/// A key: the hash of team, service and the caller's key text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Key(secret::Hash);
 
 impl Key {
-    /// The key of a caller's text. Teams and services have keys of their own.
+    /// Returns the key of a caller's text. Equal texts of different teams or services have
+    /// different keys.
     pub fn new(team: &name::Team, service: &name::Service, text: &str) -> Self {
-        // Names hold no zero byte, so the parts can't run into each other.
+        // Names contain no zero byte, so the parts can't run into each other.
         Self(secret::Hash::of(&format!("{team}\0{service}\0{text}")))
     }
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// The boxes that hold a key, at most [`HOLDERS`] of them.
+/// Returns the boxes that hold a key, at most [`HOLDERS`] of them.
 pub fn holders(key: Key, boxes: &BTreeMap<name::Box, name::Zone>) -> Vec<name::Box> {
     let text = key.to_string();
     let ordered = rendezvous::order(&[text.as_str()], boxes.keys());
@@ -70,20 +70,20 @@
     chosen
 }
 
-/// How many of a key's holders have to agree; where fewer boxes than
-/// [`HOLDERS`] are configured, still a majority of them.
+/// Returns how many of a key's holders have to agree: a majority, also where fewer boxes than
+/// [`HOLDERS`] are configured.
 pub fn quorum(holders: usize) -> usize {
     holders / 2 + 1
 }
 
-/// What a holder remembers of a key.
+/// A holder's record of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The request that claimed the key.
     pub owner: attempt::Request,
-    /// What became of it, once known.
+    /// The verdict on that request, once known.
     pub ended: Option<verdict::Verdict>,
-    /// How long ago it was claimed. An age, since clocks differ.
+    /// How long ago the key was claimed. An age rather than a time, since clocks differ.
     pub age: Duration,
 }
 
@@ -91,27 +91,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// The key is the asking request's.
+    /// The requester now holds the key.
     Granted,
-    /// The key is another request's.
+    /// Another request holds the key.
     Taken(Record),
-    /// The holder has not read back what it may have forgotten.
+    /// The holder can't vote yet, since it has not read back the claims that it may have
+    /// forgotten.
     Unsettled,
 }
 
-/// What a claimant makes of its holders' answers.
+/// The result of a claim, from all holders' answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// The call may be sent, once.
+    /// A majority granted the claim: the call may be sent, once.
     Won,
-    /// Another request has the key.
+    /// Another request holds the key.
     Lost(Record),
-    /// No majority agreed. Nothing was sent under this claim; whether the key ran
-    /// under another is not known.
+    /// No majority agreed, and no holder knows another owner. Nothing was sent under this claim;
+    /// whether a call ran under another one is unknown.
     Undecided,
 }
 
-/// Counts the answers of a key's holders; `None` is one that did not answer.
+/// Evaluates the answers of a key's holders; `None` stands for a holder that did not answer.
 pub fn tally(replies: &[Option<Reply>]) -> Outcome {
     let granted = replies
         .iter()
@@ -124,7 +125,7 @@
         Reply::Taken(record) => Some(*record),
         Reply::Granted | Reply::Unsettled => None,
     });
-    // An end that one holder knows tells more than a claim.
+    // A record with a verdict has precedence over one without.
     match taken.max_by_key(|record| record.ended) {
         Some(record) => Outcome::Lost(record),
         None => Outcome::Undecided,
@@ -145,16 +146,16 @@
     boxes: BTreeMap<name::Box, name::Zone>,
     retention: Duration,
     claims: HashMap<Key, Claim>,
-    /// When nothing can be missing any more.
+    /// When the retention has passed, so that no claim can be missing any more.
     settled_at: Duration,
-    /// The boxes that were read back from.
-    heard: BTreeSet<name::Box>,
-    /// Whether the set of boxes changed, so that all have to be heard.
-    moved: bool,
+    /// The boxes whose claims were read back.
+    read_from: BTreeSet<name::Box>,
+    /// Whether the set of boxes has changed, so that claims have to be read back from all boxes.
+    boxes_changed: bool,
 }
 
 impl Holder {
-    /// A holder that has just started and may have forgotten claims.
+    /// Creates a holder that has just started and may have forgotten claims.
     pub fn new(own: name::Box, retention: Duration, now: Duration) -> Self {
         Self {
             own,
@@ -162,12 +163,12 @@
             retention,
             claims: HashMap::new(),
             settled_at: now + retention,
-            heard: BTreeSet::new(),
-            moved: false,
+            read_from: BTreeSet::new(),
+            boxes_changed: false,
         }
     }
 
-    /// How long a claim is remembered.
+    /// Returns how long a claim is remembered.
     pub fn retention(&self) -> Duration {
         self.retention
     }
@@ -178,26 +179,26 @@
             return;
         }
         if !self.boxes.is_empty() {
-            self.moved = true;
-            self.heard.clear();
+            self.boxes_changed = true;
+            self.read_from.clear();
             self.settled_at = now + self.retention;
         }
         self.boxes = boxes;
     }
 
-    /// The boxes that still have to be read back from.
+    /// Returns the boxes whose claims still have to be read back.
     pub fn unheard(&self, now: Duration) -> Vec<name::Box> {
         if now >= self.settled_at {
             return Vec::new();
         }
         let others = self.boxes.keys().filter(|name| **name != self.own);
         others
-            .filter(|name| !self.heard.contains(*name))
+            .filter(|name| !self.read_from.contains(*name))
             .cloned()
             .collect()
     }
 
-    /// Whether nothing that this box may have forgotten is missing.
+    /// Returns whether this box holds all claims that it may have forgotten.
     pub fn is_settled(&self, now: Duration) -> bool {
         now >= self.settled_at || (!self.boxes.is_empty() && self.unheard(now).is_empty())
     }
@@ -207,8 +208,8 @@
             return true;
         }
         let holders = holders(key, &self.boxes);
-        let heard = |name: &name::Box| *name == self.own || self.heard.contains(name);
-        !self.moved && !holders.is_empty() && holders.iter().all(heard)
+        let heard = |name: &name::Box| *name == self.own || self.read_from.contains(name);
+        !self.boxes_changed && !holders.is_empty() && holders.iter().all(heard)
     }
 
     /// Answers a claim.
@@ -233,7 +234,7 @@
         Reply::Granted
     }
 
-    /// Gives a claim back; its owner has sent nothing under it and never will.
+    /// Releases a claim whose owner has sent nothing under it and never will.
     pub fn release(&mut self, key: Key, owner: attempt::Request) {
         if self
             .claims
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Notes what became of a claim.
+    /// Records the verdict on a claim's request.
     pub fn end(&mut self, key: Key, owner: attempt::Request, verdict: verdict::Verdict) {
         let claim = self
             .claims
@@ -255,8 +256,8 @@
         }
     }
 
-    /// What another box may have forgotten: the claims on the keys that it holds
-    /// too. Nothing, while this box may have forgotten some of them itself.
+    /// Returns the claims that another box may have forgotten: those on keys that it holds too.
+    /// Returns `None` while this box may itself lack some.
     pub fn read_back(&self, by: &name::Box, now: Duration) -> Option<Vec<(Key, Record)>> {
         if !self.is_settled(now) {
             return None;
@@ -270,7 +271,7 @@
         )
     }
 
-    /// Takes in what another box remembers.
+    /// Merges the claims that another box remembers.
     pub fn absorb(&mut self, from: &name::Box, claims: Vec<(Key, Record)>, now: Duration) {
         for (key, record) in claims {
             let at = now.saturating_sub(record.age);
@@ -284,7 +285,7 @@
                 own.ended = own.ended.max(record.ended);
             }
         }
-        self.heard.insert(from.clone());
+        self.read_from.insert(from.clone());
     }
 
     /// Forgets the claims whose retention has passed.
@@ -294,12 +295,12 @@
             .retain(|_, claim| now.saturating_sub(claim.at) < retention);
     }
 
-    /// How many claims are held.
+    /// Returns the number of claims held.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is held.
+    /// Returns whether no claim is held.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
--- a/src/scalewood/core/follow.rs
+++ b/src/scalewood/core/follow.rs
@@ -1,59 +1,61 @@
-//! Which voters a box tracks.
+//! The choice of the voters that a box tracks.
 //!
-//! Each voter tells of all endpoints, so a box needs few of them: one, and a second one that tells
-//! the same while the first is cut off or behind. Voters of the box's own availability zone come
-//! first; among them each box has an order of its own, so that they share the boxes evenly. One
-//! that doesn't answer, or hears no majority of the voters, is tracked beside those after it.
+//! Each voter reports all endpoints, so a box needs only a few: one, and a second one that
+//! reports the same in case the first is cut off or lags. Voters of the box's own availability
+//! zone come first; within a zone each box has its own (rendezvous) order, so that the boxes are
+//! spread evenly over the voters. A voter that doesn't answer, or has no contact with a majority
+//! of the voters, doesn't count: the box tracks the next ones in addition to it.
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use crate::core::{name, rendezvous};
 
-/// How many voters a box tracks, where as many are in touch.
+/// The number of voters that a box tracks, if that many are in touch.
 pub const TRACKED: usize = 2;
-/// The number of voters up to which a box tracks all of them: each is the first to know of some
-/// endpoints and of some changes.
+/// The number of voters up to which a box tracks all of them, since each is the first to learn of
+/// some endpoints and of some changes.
 pub const ALL_TRACKED: usize = 9;
-/// How long a voter has to answer before another one is tracked beside it.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long a voter has to answer before another one is tracked in addition.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a voter stands.
+/// The state of a voter, as a box sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
     /// It is not tracked.
     #[default]
     Idle,
-    /// It was asked at that time, and has not told anything.
+    /// It was asked at that time, and has not reported yet.
     Asked(Duration),
-    /// It tells, and hears a majority of the voters.
+    /// It reports, and is in contact with a majority of the voters.
     InTouch,
-    /// It tells, and hears no majority of the voters.
+    /// It reports, but is not in contact with a majority of the voters.
     CutOff,
-    /// It doesn't answer, or is of a build that doesn't say what it hears.
+    /// It doesn't answer, or its build doesn't report which voters it is in contact with.
     Unknown,
 }
 
 impl State {
-    /// Whether it counts as one that tells what all voters know.
-    fn counts(self, now: Duration) -> bool {
+    /// Returns whether the voter is taken to report what all voters know. One that was not asked,
+    /// or only just now, is.
+    fn is_reliable(self, now: Duration) -> bool {
         match self {
             Self::Idle | Self::InTouch => true,
-            Self::Asked(at) => now < at + PATIENCE,
+            Self::Asked(at) => now < at + ANSWER_TIMEOUT,
             Self::CutOff | Self::Unknown => false,
         }
     }
 }
 
-/// A voter that is known.
+/// A voter that a box may track.
 #[derive(Clone, Debug, Default)]
 pub struct Candidate {
-    /// Its availability zone, if it is known.
+    /// Its availability zone, if known.
     pub zone: Option<name::Zone>,
-    /// How it stands.
+    /// Its state.
     pub state: State,
 }
 
-/// How many voters a box tracks of so many.
+/// Returns how many of so many voters a box tracks.
 pub fn tracked(voters: usize) -> usize {
     if voters <= ALL_TRACKED {
         voters
@@ -62,7 +64,7 @@
     }
 }
 
-/// The voters that a box of a zone tracks, the first choice first.
+/// Returns the voters that a box of a zone tracks, the most preferred first.
 pub fn choose(
     own: &name::Box,
     zone: &name::Zone,
@@ -72,27 +74,27 @@
     if voters.len() <= ALL_TRACKED {
         return order(own, zone, voters);
     }
-    let mut counted = 0;
+    let mut reliable = 0;
     let mut cut_off: BTreeMap<&Option<name::Zone>, usize> = BTreeMap::new();
     let mut chosen = Vec::new();
     for voter in order(own, zone, voters) {
-        if counted == TRACKED {
+        if reliable == TRACKED {
             break;
         }
         let candidate = &voters[&voter];
         let cut_off = cut_off.entry(&candidate.zone).or_default();
         if *cut_off == TRACKED {
-            // All of its zone are cut off, as far as is known.
+            // All voters of its zone are taken to be cut off.
             continue;
         }
         *cut_off += usize::from(candidate.state == State::CutOff);
-        counted += usize::from(candidate.state.counts(now));
+        reliable += usize::from(candidate.state.is_reliable(now));
         chosen.push(voter);
     }
     chosen
 }
 
-/// The voters in the order in which a box of a zone prefers them.
+/// Returns the voters in the order in which a box of a zone prefers them.
 pub fn order(
     own: &name::Box,
     zone: &name::Zone,
--- a/src/scalewood/core/limit.rs
+++ b/src/scalewood/core/limit.rs
@@ -1,18 +1,18 @@
-//! Limits of teams: token buckets for requests and for model tokens.
+//! Rate limits of teams: token buckets for requests and for model tokens.
 //!
-//! A bucket holds as much as two seconds bring. Requests are charged when they
-//! are taken; model tokens are charged when they are known, so a bucket may go
-//! below zero, and the team then waits until it has filled again. A full bucket
-//! says the same as none, so state is kept only for the teams in use.
+//! A bucket holds two seconds' worth of its rate. Requests are charged when they are accepted;
+//! model tokens are charged once their number is known, so a bucket may go below zero, and the
+//! team then waits until it has refilled. A full bucket is equivalent to none, so state is kept
+//! only for the teams in use.
 
 use std::time::Duration;
 
 use crate::core::unit;
 
-/// How many seconds' worth a bucket holds.
+/// The capacity of a bucket, in seconds of its rate.
 pub const BURST_SECONDS: f64 = 2.0;
 
-/// One bucket.
+/// A token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     level: f64,
@@ -20,7 +20,7 @@
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn full(rate: unit::Rate, now: Duration) -> Self {
         Self {
             level: capacity(rate),
@@ -34,7 +34,8 @@
         self.at = now.max(self.at);
     }
 
-    /// Takes `amount` if the bucket holds it, else says how long until it would.
+    /// Takes `amount` if the bucket holds it, or if the bucket is full and `amount` exceeds its
+    /// capacity. Otherwise returns how long until it can be taken.
     pub fn take(&mut self, amount: f64, rate: unit::Rate, now: Duration) -> Result<(), Duration> {
         self.refill(rate, now);
         let need = amount.min(capacity(rate));
@@ -45,13 +46,13 @@
         Err(wait(need - self.level, rate))
     }
 
-    /// Takes `amount` whether the bucket holds it or not.
+    /// Takes `amount`, even if the bucket goes below zero.
     pub fn charge(&mut self, amount: f64, rate: unit::Rate, now: Duration) {
         self.refill(rate, now);
         self.level -= amount;
     }
 
-    /// Whether the bucket is full, and so need not be kept.
+    /// Returns whether the bucket is full, so that its state need not be kept.
     pub fn is_full(&mut self, rate: unit::Rate, now: Duration) -> bool {
         self.refill(rate, now);
         self.level >= capacity(rate)
@@ -62,7 +63,7 @@
     (rate.get() * BURST_SECONDS).max(1.0)
 }
 
-/// The longest wait that is told to a caller.
+/// The longest wait that a caller is told.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
 
 fn wait(missing: f64, rate: unit::Rate) -> Duration {
--- a/src/scalewood/core/member.rs
+++ b/src/scalewood/core/member.rs
@@ -1,14 +1,13 @@
-//! Membership: which boxes of the availability zone are alive.
+//! Membership: which boxes of the availability zone are alive (a SWIM-style protocol).
 //!
-//! Each period a box probes a few peers, in a shuffled round so that each is probed
-//! in turn, and exchanges news with them. A peer that does not answer is suspected;
-//! the suspicion spreads as news, and if the peer does not refute it in time, by
-//! raising its incarnation, it counts as dead. News is sent a bounded number of
-//! times and a bounded number at once, so that the cost for each box stays flat
-//! however many boxes there are.
+//! Each period a box probes a few peers, in shuffled rounds in which each peer is probed once,
+//! and exchanges news (membership updates) with them. A peer that does not answer is suspected.
+//! The suspicion spreads as news, and a peer that does not refute it in time, by raising its
+//! incarnation, counts as dead. Both the number of times that an item is sent and the number of
+//! items in a message are bounded, so a box's cost does not grow with the number of boxes.
 //!
-//! The platform's list of live and leaving boxes lags, so it is only a hint: it
-//! names peers to probe, never who is alive.
+//! The platform's list of live and leaving boxes lags, so it is only a hint: it names peers to
+//! probe, and does not decide which are alive.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,18 +16,18 @@
 
 use crate::core::{name, unit};
 
-/// Settings of the membership.
+/// Settings of the membership protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The time between two rounds of probes.
     pub period: Duration,
-    /// Peers that are probed each period.
+    /// The number of peers that are probed each period.
     pub probes: usize,
-    /// How long a suspected peer has to refute.
+    /// How long a suspected peer has to refute the suspicion.
     pub suspicion: Duration,
-    /// Items of news in one message.
+    /// The most items of news in one message.
     pub news: usize,
-    /// How often one item is sent on.
+    /// How many times a box sends one item.
     pub repeats: u32,
 }
 
@@ -44,37 +43,37 @@
     }
 }
 
-/// How a peer stands.
+/// The status of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer, and may refute.
+    /// It did not answer a probe, and may still refute the suspicion.
     Suspect,
-    /// It did not refute, or said that it leaves.
+    /// It did not refute the suspicion in time, or announced that it leaves.
     Dead,
 }
 
-/// What a box says of another, or of itself.
+/// A membership update about a box, or about the sender itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Whom it is about.
+    /// The box that it is about.
     pub about: name::Box,
-    /// The incarnation that it is about.
+    /// The incarnation of that box.
     pub incarnation: unit::Incarnation,
-    /// How it stands.
+    /// The status of that box.
     pub status: Status,
 }
 
-/// A probe, and the answer to one.
+/// A probe, or the answer to one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// The sender.
     pub from: name::Box,
     /// The sender's incarnation.
     pub incarnation: unit::Incarnation,
-    /// News, the least repeated first.
+    /// News, the least often sent first.
     pub news: Vec<News>,
 }
 
@@ -83,7 +82,7 @@
     incarnation: unit::Incarnation,
     status: Status,
     since: Duration,
-    /// How often the news of its status is still to be sent.
+    /// How many more times the news of its status is to be sent.
     repeats: u32,
     /// Whether it was ever heard of, rather than only configured.
     known: bool,
@@ -104,8 +103,8 @@
 }
 
 impl Members {
-    /// A membership that knows only its own box. A start may have any incarnation: where
-    /// peers know a higher one of this box, it refutes that.
+    /// Creates a membership that knows only its own box. The incarnation may be any number: if
+    /// peers know a higher one of this box, it raises its own above that.
     pub fn new(
         settings: Settings,
         own: name::Box,
@@ -130,7 +129,7 @@
         let peers: Vec<_> = peers.into_iter().filter(|name| *name != self.own).collect();
         self.peers.retain(|name, _| peers.contains(name));
         for name in peers {
-            // An unheard peer is suspected: it gets no part before it answers.
+            // A new peer begins as suspected: it gets no share of the load before it answers.
             self.peers.entry(name).or_insert(Peer {
                 incarnation: unit::Incarnation(0),
                 status: Status::Suspect,
@@ -141,9 +140,9 @@
         }
     }
 
-    /// The boxes that are alive and don't leave, this one included.
+    /// Returns the boxes that are alive and not leaving, this one included.
     ///
-    /// A suspect that was heard of counts as alive until its time to refute is over.
+    /// A suspected peer that was heard of counts as alive until its time to refute is over.
     pub fn alive(&self) -> Vec<name::Box> {
         let counts = |peer: &Peer| match peer.status {
             Status::Alive => true,
@@ -159,7 +158,7 @@
         names
     }
 
-    /// Whether each of some peers was heard of or is known to be dead.
+    /// Returns whether each of some peers was heard of or counts as dead.
     pub fn has_heard_all<'a>(&self, mut of: impl Iterator<Item = &'a name::Box>) -> bool {
         of.all(|name| {
             self.peers
@@ -168,18 +167,17 @@
         })
     }
 
-    /// How a peer stands.
+    /// Returns the status of a peer.
     pub fn status(&self, of: &name::Box) -> Option<Status> {
         self.peers.get(of).map(|peer| peer.status)
     }
 
-    /// This box's incarnation.
+    /// Returns this box's incarnation.
     pub fn incarnation(&self) -> unit::Incarnation {
         self.incarnation
     }
 
-    /// Forgets who is alive, as after a start: this box was frozen, and what it knows is
-    /// out of date.
+    /// Suspects all peers, as after a start: this box was frozen, and its knowledge is outdated.
     pub fn rejoin(&mut self, now: Duration) {
         for peer in self.peers.values_mut() {
             peer.status = Status::Suspect;
@@ -189,15 +187,15 @@
         }
     }
 
-    /// Says that this box leaves.
+    /// Announces that this box leaves.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.own_repeats = self.settings.repeats;
     }
 
-    /// Moves on; returns the peers to probe now.
+    /// Advances to `now`; returns the peers to probe.
     pub fn tick(&mut self, now: Duration) -> Vec<name::Box> {
-        self.bury(now);
+        self.declare_dead(now);
         if now < self.next_at {
             return Vec::new();
         }
@@ -207,8 +205,8 @@
             .collect()
     }
 
-    /// Suspects that did not refute in time are dead.
-    fn bury(&mut self, now: Duration) {
+    /// Declares suspected peers dead that did not refute in time.
+    fn declare_dead(&mut self, now: Duration) {
         let Settings {
             suspicion, repeats, ..
         } = self.settings;
@@ -230,20 +228,20 @@
         self.peers.contains_key(&name).then_some(name)
     }
 
-    /// The message to probe with, or to answer a probe with.
+    /// Returns the message for a probe or for the answer to one.
     pub fn message(&mut self) -> Message {
         let mut news = Vec::new();
         if self.leaving && self.own_repeats > 0 {
             self.own_repeats -= 1;
             news.push(self.own_news());
         }
-        let mut fresh: Vec<_> = self
+        let mut unsent: Vec<_> = self
             .peers
             .iter_mut()
             .filter(|(_, p)| p.repeats > 0)
             .collect();
-        fresh.sort_by_key(|(_, peer)| std::cmp::Reverse(peer.repeats));
-        for (name, peer) in fresh.into_iter().take(self.settings.news) {
+        unsent.sort_by_key(|(_, peer)| std::cmp::Reverse(peer.repeats));
+        for (name, peer) in unsent.into_iter().take(self.settings.news) {
             peer.repeats -= 1;
             news.push(News {
                 about: name.clone(),
@@ -271,14 +269,14 @@
         }
     }
 
-    /// Takes a probe, or the answer to one.
+    /// Applies a probe, or the answer to one.
     pub fn hear(&mut self, message: Message, now: Duration) {
         let Message {
             from,
             incarnation,
             news,
         } = message;
-        self.learn(
+        self.apply(
             News {
                 about: from,
                 incarnation,
@@ -288,11 +286,11 @@
             now,
         );
         for item in news {
-            self.learn(item, false, now);
+            self.apply(item, false, now);
         }
     }
 
-    /// Notes that a peer did not answer a probe.
+    /// Records that a peer did not answer a probe.
     pub fn miss(&mut self, who: &name::Box, now: Duration) {
         let Some(peer) = self.peers.get_mut(who) else {
             return;
@@ -304,7 +302,7 @@
         }
     }
 
-    fn learn(&mut self, news: News, direct: bool, now: Duration) {
+    fn apply(&mut self, news: News, direct: bool, now: Duration) {
         if news.about == self.own {
             self.refute(&news);
             return;
@@ -313,14 +311,15 @@
         let Some(peer) = self.peers.get_mut(&news.about) else {
             return;
         };
-        // Hearing from a peer itself refutes a suspicion of the same incarnation,
-        // but not its own word that it leaves.
+        // A message from the peer itself refutes a suspicion of the same incarnation, but not the
+        // peer's own announcement that it leaves.
         let revived = direct
             && news.incarnation == peer.incarnation
             && (peer.status == Status::Suspect || !peer.known);
         let newer = (news.incarnation, news.status) > (peer.incarnation, peer.status);
         if direct && !newer && peer.status == Status::Dead {
-            // It does not know that it counts as dead; told so, it refutes.
+            // The peer doesn't know that it counts as dead. It refutes that once it receives this
+            // news.
             peer.repeats = repeats;
         }
         if !newer && !revived && (peer.known || !direct) {
@@ -335,7 +334,8 @@
         peer.known = true;
     }
 
-    /// Raises the own incarnation above a claim that this box is not alive.
+    /// Raises this box's incarnation above that of a claim that it is not alive, or above a
+    /// higher one that peers know.
     fn refute(&mut self, news: &News) {
         let wrong = news.status != Status::Alive && !self.leaving;
         if wrong && news.incarnation >= self.incarnation {
--- a/src/scalewood/core/retry.rs
+++ b/src/scalewood/core/retry.rs
@@ -1,23 +1,24 @@
 //! Retry budgets: how much a service's retries may add to its load.
 //!
-//! Each first attempt earns a part of a retry, each retry spends a whole one. When
-//! many attempts fail at once the budget runs dry, and failures are told to the
-//! callers in place of being multiplied. Waits between attempts have full jitter.
+//! Each first attempt adds a fraction of a retry to the budget, each retry takes a whole one.
+//! When many attempts fail at once the budget runs out, and failures are returned to the callers
+//! instead of being retried, which would multiply the load. The waits between attempts have full
+//! jitter.
 
 use std::time::Duration;
 
 /// Settings of a budget.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What a first attempt earns, in retries.
+    /// The retries that a first attempt adds to the budget.
     pub earned: f64,
-    /// The most that is saved up, in retries.
+    /// The most retries that the budget holds.
     pub most: f64,
-    /// The longest wait before the first retry; it doubles with each one.
+    /// The longest wait before the first retry; it doubles with each further one.
     pub base: Duration,
-    /// The longest wait before any retry.
+    /// The upper limit of the longest wait.
     pub cap: Duration,
-    /// Attempts at one request, the first included.
+    /// The most attempts at one request, including the first.
     pub attempts: u32,
 }
 
@@ -33,19 +34,19 @@
     }
 }
 
-/// What all boxes together may send to a service beyond the first of each request, whatever
-/// comes of it: what an endpoint turns away has arrived there too.
+/// The attempts that all boxes together may send to a service beyond the first one of each
+/// request, whatever their outcome: an attempt that an endpoint refuses has put load on it too.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// For each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Beside that, in any window.
+    /// Retries allowed in any window in addition to `ratio`.
     pub slack: f64,
 }
 
 impl Default for Allowance {
-    /// A fifth more load at most when everything fails, and some retries where there is next
-    /// to no traffic to earn them.
+    /// At most a fifth more load when everything fails, plus some retries where there is next to
+    /// no traffic to earn them.
     fn default() -> Self {
         Self {
             ratio: 0.2,
@@ -55,15 +56,15 @@
 }
 
 impl Allowance {
-    /// One box's part, where so many use the service. Requests earn all of their ratio but a
-    /// tenth, and the slack is shared out but for a fifth, for boxes that do not know yet
-    /// of others that have started.
+    /// Returns one box's share, if so many boxes use the service: the retries earned per request,
+    /// and the most that its budget holds. A tenth of the ratio and a fifth of the slack are left
+    /// out, as a reserve for boxes that have started and are not known here yet.
     pub fn part(&self, boxes: u32) -> (f64, f64) {
-        const EARNED: f64 = 0.9;
-        const SAVED: f64 = 0.8;
-        let most = self.slack * SAVED / f64::from(boxes.max(1));
-        // Below a whole retry a box could not make any.
-        (self.ratio * EARNED, most.max(1.0))
+        const EARNED_SHARE: f64 = 0.9;
+        const SLACK_SHARE: f64 = 0.8;
+        let most = self.slack * SLACK_SHARE / f64::from(boxes.max(1));
+        // With less than one whole retry a box could never retry.
+        (self.ratio * EARNED_SHARE, most.max(1.0))
     }
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: Settings) -> Self {
         Self {
             saved: settings.most,
@@ -83,25 +84,25 @@
         }
     }
 
-    /// Sets what a first attempt earns, and the most that is saved up.
+    /// Sets how much a first attempt adds, and the most that the budget holds.
     pub fn set(&mut self, (earned, most): (f64, f64)) {
         self.settings.earned = earned;
         self.settings.most = most;
         self.saved = self.saved.min(most);
     }
 
-    /// Whether a retry is left.
+    /// Returns whether a retry is left.
     pub fn has_any(&self) -> bool {
         self.saved >= 1.0
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + self.settings.earned).min(self.settings.most);
     }
 
-    /// Asks for a retry after `attempts` attempts. `random` is from 0 to 1. Returns
-    /// how long to wait first, or nothing if the budget or the attempts are used up.
+    /// Takes a retry from the budget after `attempts` attempts; `random` lies between 0 and 1.
+    /// Returns how long to wait first, or `None` if the budget or the attempts are used up.
     pub fn spend(&mut self, attempts: u32, random: f64) -> Option<Duration> {
         if attempts >= self.settings.attempts || self.saved < 1.0 {
             return None;
--- a/src/scalewood/core/verdict.rs
+++ b/src/scalewood/core/verdict.rs
@@ -1,8 +1,8 @@
-//! Whether a request that failed may have run.
+//! Verdicts: whether a failed request may have run.
 //!
-//! A caller may repeat a request that did not run. So `NotRun` is said only where
-//! the request's bytes can't have reached an endpoint, or where the endpoint
-//! itself said that it refused the request unread.
+//! A caller may repeat a request that did not run. So `NotRun` is returned only if the request's
+//! bytes can't have reached an endpoint, or if the endpoint itself reported that it refused the
+//! request without reading it.
 
 use std::{fmt, str::FromStr};
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The request did not run: asking again is safe.
+    /// The request did not run, so that it is safe to repeat it.
     NotRun,
     /// The request may have run, wholly or in part.
     MayHaveRun,
@@ -24,7 +24,7 @@
     /// All verdicts, from the weakest to the strongest.
     pub const ALL: [Verdict; 3] = [Verdict::NotRun, Verdict::MayHaveRun, Verdict::Ran];
 
-    /// The text that headers and bodies carry.
+    /// Returns the text used in headers and bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not-run",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The verdict over two attempts at one request.
+    /// Returns the combined verdict of two attempts at one request.
     #[must_use]
     pub fn and(self, other: Verdict) -> Verdict {
         self.max(other)
@@ -46,7 +46,7 @@
     }
 }
 
-/// A text that is no verdict.
+/// The error for a text that is not a verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error;
 
