--- a/src/scalewood/core/catchup.rs
+++ b/src/scalewood/core/catchup.rs
@@ -4,7 +4,8 @@
 //! asked as well, and the first successful answer wins. So the age of a box's configuration does
 //! not depend on the slowest voter. If two voters announce a revision but do not deliver it, a
 //! third one's configuration is in force after 1.05 s (`OTHER_ZONE_DELAY` and two times
-//! `HEDGE_DELAY`) plus the time of one fetch. The shortest time within which a change has to be in force is two seconds.
+//! `HEDGE_DELAY`) plus the time of one fetch. The shortest time within which a change has to be
+//! in force is two seconds.
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr, time::Duration};
 
