--- a/src/scalewood/ops/entry/claim.rs
+++ b/src/scalewood/ops/entry/claim.rs
@@ -1,4 +1,5 @@
-//! Claims: asks a key's holders, and reads claims back after a start.
+//! Claims of idempotency keys: claims a key at the boxes that hold it, and restores this box's
+//! claims from its peers after a start or a change of the configured boxes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,12 +16,13 @@
     wire::peer::PeerClient as _,
 };
 
-/// How often forgotten claims are asked for.
-const READ_BACK: Duration = Duration::from_millis(300);
-/// How long a holder may take to answer.
-const ANSWER: Duration = Duration::from_millis(800);
+/// How often peers are asked for claims that this box may lack after a restart or a change of the
+/// configured boxes.
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
+/// How long a peer may take to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Reads back what this box may have forgotten, and forgets what is over.
+/// Restores claims from peers that have not been read yet, and drops expired claims; runs forever.
 pub(super) async fn run(board: Shared) {
     let mut settled = false;
     loop {
@@ -32,10 +34,11 @@
             event!(board.log, ClaimsSettled, "claims" => lock(&board.claims).len());
         }
         settled = is_settled;
-        tokio::time::sleep(READ_BACK).await;
+        tokio::time::sleep(READ_BACK_INTERVAL).await;
     }
 }
 
+/// Restores the claims that a peer holds.
 async fn read_back(board: &Shared, peer: name::Box) {
     let Some(address) = address(board, &peer) else {
         return;
@@ -44,34 +47,37 @@
         let client = rpc::connect(address).await.ok()?;
         client.read_back(board.own.name.clone()).await.ok()?
     };
-    if let Ok(Some(claims)) = tokio::time::timeout(ANSWER, ask).await {
+    if let Ok(Some(claims)) = tokio::time::timeout(ANSWER_TIMEOUT, ask).await {
         lock(&board.claims).absorb(&peer, claims, now(board));
     }
 }
 
+/// Returns a box's address by the configuration in force.
 fn address(board: &Shared, name: &name::Box) -> Option<std::net::SocketAddr> {
     Some(board.view.load().document.boxes.get(name)?.address)
 }
 
-/// A claim that was won; tells the holders what became of it.
+/// A claim that was won. Dropping it before it ended tells the holders that the call may have run.
 #[derive(Debug)]
 pub(super) struct Claim {
     board: Shared,
     key: claim::Key,
     owner: attempt::Request,
     holders: Vec<name::Box>,
-    since: Duration,
+    /// When the holders were asked.
+    claimed_at: Duration,
+    /// Whether the holders were told how the call ended.
     ended: bool,
 }
 
-/// Claims a key for a request.
+/// Claims a key for a request. A claim that is not won is released at all holders.
 pub(super) async fn claim(
     board: &Shared,
     key: claim::Key,
     owner: attempt::Request,
 ) -> Result<Claim, claim::Outcome> {
     let holders = board.view.load().holders(key);
-    let since = now(board);
+    let claimed_at = now(board);
     let replies = holders.iter().map(|holder| ask(board, holder, key, owner));
     let replies = future::join_all(replies).await;
     let outcome = claim::tally(&replies);
@@ -80,7 +86,7 @@
         key,
         owner,
         holders,
-        since,
+        claimed_at,
         ended: false,
     };
     match outcome {
@@ -92,6 +98,7 @@
     }
 }
 
+/// Asks one holder for a key; `None` if it did not answer.
 async fn ask(
     board: &Shared,
     holder: &name::Box,
@@ -106,36 +113,38 @@
         let client = rpc::connect(address).await.ok()?;
         client.claim(key, owner).await.ok()
     };
-    tokio::time::timeout(ANSWER, ask).await.ok()?
+    tokio::time::timeout(ANSWER_TIMEOUT, ask).await.ok()?
 }
 
 impl Claim {
-    /// Whether the claim is remembered for long enough that the call can be sent under it.
-    /// A process that waited or was frozen for too long must not send it any more.
+    /// Returns whether the call may still be sent under the claim. After half the retention, as
+    /// when the process waited or was frozen for too long, the holders may drop the claim before
+    /// the call ends.
     pub(super) fn is_fresh(&self) -> bool {
         let retention = lock(&self.board.claims).retention();
-        now(&self.board).saturating_sub(self.since) < retention / 2
+        now(&self.board).saturating_sub(self.claimed_at) < retention / 2
     }
 
-    /// Tells the holders what became of the call.
+    /// Tells the holders whether the call ran.
     pub(super) fn end(&mut self, verdict: verdict::Verdict) {
         if verdict == verdict::Verdict::NotRun {
             return self.release();
         }
         self.ended = true;
-        self.tell(Told::End(verdict));
+        self.notify_holders(Notice::End(verdict));
     }
 
-    /// Gives the claim back: nothing was sent under it.
+    /// Releases the claim, because nothing was sent under it.
     fn release(&mut self) {
         self.ended = true;
-        self.tell(Told::Release);
+        self.notify_holders(Notice::Release);
     }
 
-    fn tell(&self, told: Told) {
+    /// Notifies all holders without waiting for them.
+    fn notify_holders(&self, notice: Notice) {
         for holder in self.holders.clone() {
             let (board, key, owner) = (self.board.clone(), self.key, self.owner);
-            tokio::spawn(async move { deliver(&board, &holder, key, owner, told).await });
+            tokio::spawn(async move { deliver(&board, &holder, key, owner, notice).await });
         }
     }
 }
@@ -143,30 +152,34 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if !self.ended {
-            // The call was given up while it may have been running.
+            // The call was cancelled and may be running.
             self.end(verdict::Verdict::MayHaveRun);
         }
     }
 }
 
+/// What the holders of a claim are told.
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum Notice {
+    /// Nothing was sent under the claim.
     Release,
+    /// The call has ended.
     End(verdict::Verdict),
 }
 
+/// Notifies one holder.
 async fn deliver(
     board: &Shared,
     holder: &name::Box,
     key: claim::Key,
     owner: attempt::Request,
-    told: Told,
+    notice: Notice,
 ) {
     if *holder == board.own.name {
         let mut claims = lock(&board.claims);
-        match told {
-            Told::Release => claims.release(key, owner),
-            Told::End(verdict) => claims.end(key, owner, verdict),
+        match notice {
+            Notice::Release => claims.release(key, owner),
+            Notice::End(verdict) => claims.end(key, owner, verdict),
         }
         return;
     }
@@ -177,10 +190,9 @@
         return;
     };
     let client = Arc::clone(&client);
-    // A holder that misses this still has the claim, which is all that is needed
-    // for at most once.
-    let _ = match told {
-        Told::Release => client.release(key, owner).await,
-        Told::End(verdict) => client.end(key, owner, verdict).await,
+    // A holder that misses this keeps the claim, so that the call still runs at most once.
+    let _ = match notice {
+        Notice::Release => client.release(key, owner).await,
+        Notice::End(verdict) => client.end(key, owner, verdict).await,
     };
 }
--- a/src/scalewood/ops/entry/model.rs
+++ b/src/scalewood/ops/entry/model.rs
@@ -1,10 +1,9 @@
-//! Streams of model engines.
+//! Streamed answers of model engines.
 //!
-//! A stream is passed on event by event. What was delivered is remembered, so that
-//! when the engine breaks or the run is preempted, another engine can go on from
-//! exactly there: the delivered text is sent along as the beginning of the answer
-//! that is to be continued. The caller sees one stream under one id. A stream that
-//! can't be resumed is ended visibly, never with a clean end.
+//! A stream is forwarded event by event, and the delivered text is kept. If the engine fails or the
+//! run is preempted, another engine continues from there: it gets the delivered text as the
+//! beginning of the answer. The caller sees one stream under one id. A stream that can't be resumed
+//! ends with an error event and a closed connection, never as if it were complete.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -37,18 +36,19 @@
 
 /// The data of a stream's last event.
 const END_MARK: &str = "[DONE]";
-/// What a caller was delivered, over all attempts.
+/// What was delivered to the caller over all attempts.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Chain {
+pub(super) struct Transcript {
     pub(super) text: String,
+    /// The number of events with text, each of which counts as one token.
     pub(super) tokens: unit::Tokens,
-    /// The id that the caller sees.
+    /// The stream's id as the caller sees it: that of the first attempt.
     id: Option<Value>,
-    /// The attempt whose pieces are passed on.
+    /// The attempt whose events are forwarded.
     attempt: Option<attempt::Attempt>,
 }
 
-/// The parts of a stream's event that matter here.
+/// The fields of a stream's event that are read.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -72,13 +72,14 @@
 }
 
 impl Chunk {
+    /// Returns the event's text if it has any.
     fn text(&self) -> Option<&str> {
         let choice = self.choices.first()?;
         let text = choice.delta.content.as_deref().or(choice.text.as_deref());
         text.filter(|text| !text.is_empty())
     }
 
-    /// Whether it only opens an answer: it has no text and ends nothing.
+    /// Returns whether the event only opens an answer: it has neither text nor a finish reason.
     fn is_opening(&self) -> bool {
         let ends = self
             .choices
@@ -88,7 +89,8 @@
     }
 }
 
-/// Serves a streamed request.
+/// Serves a streamed request: returns the response once the first event arrives, or the refusal if
+/// the request ends before that.
 pub(super) async fn serve(
     context: &Context,
     call: &Call,
@@ -102,7 +104,7 @@
         call: call.clone(),
         path,
         prompt,
-        chain: Chain::default(),
+        transcript: Transcript::default(),
         observer: Observer::new(&context.board, call),
         pieces: pieces.clone(),
         head: Some(head),
@@ -110,7 +112,7 @@
     tokio::spawn(async move {
         tokio::select! {
             () = run.serve() => {}
-            // The caller went away: dropping the run cancels it and frees its slot.
+            // The caller disconnected: dropping the run cancels it and frees its slot.
             () = pieces.closed() => {}
         }
     });
@@ -120,20 +122,21 @@
         Err(_) => Err(Refusal {
             status: StatusCode::INTERNAL_SERVER_ERROR,
             code: "internal",
-            message: "the request's task has stopped; this is a fault of the system".into(),
+            message: "the request's task stopped unexpectedly; this is a bug in scalewood".into(),
             verdict: verdict::Verdict::MayHaveRun,
             retry_after: None,
         }),
     }
 }
 
+/// Returns the response that streams the pieces of a receiver.
 fn stream_response(call: &Call, receiver: mpsc::Receiver<Piece>) -> Response<Answer> {
     let mut response = Response::new(Answer::Stream(receiver));
     let kind = header::HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
     let cache = header::HeaderValue::from_static("no-cache");
     response.headers_mut().insert(header::CACHE_CONTROL, cache);
-    plain::stamp(&mut response, call);
+    plain::add_headers(&mut response, call);
     response
 }
 
@@ -143,38 +146,40 @@
     call: Call,
     path: &'static str,
     prompt: Prompt,
-    chain: Chain,
+    transcript: Transcript,
     observer: Observer,
     pieces: mpsc::Sender<Piece>,
-    /// Tells the handler how the answer begins; gone once it has.
+    /// Reports to the handler whether the answer starts or is refused; `None` once reported.
     head: Option<oneshot::Sender<Result<(), Refusal>>>,
 }
 
 /// How an attempt at a stream ended.
-enum Ended {
-    Whole,
+enum Outcome {
+    /// The end mark was delivered.
+    Complete,
     Preempted,
     Failed(Failure),
-    /// The engine answered with something else than a stream.
-    Other(StatusCode, Bytes),
-    /// The caller went away.
-    Left,
+    /// The engine answered with another status than 200.
+    ErrorStatus(StatusCode, Bytes),
+    /// The caller disconnected.
+    Disconnected,
 }
 
-/// What the attempts at a request came to so far.
-struct Past {
+/// The results of the attempts at a request so far.
+struct History {
     verdict: verdict::Verdict,
     failures: u32,
     preempted: u32,
-    /// The endpoint that failed last.
+    /// The endpoint of the last attempt, if it failed there.
     avoid: Option<name::Endpoint>,
 }
 
 impl Run {
+    /// Makes attempts until the request is complete or has failed.
     async fn serve(mut self) {
         let board = self.context.board.clone();
         let mut ask = self.call.ask(&board, self.prompt.is_resumable());
-        let mut past = Past {
+        let mut history = History {
             verdict: verdict::Verdict::NotRun,
             failures: 0,
             preempted: 0,
@@ -196,18 +201,18 @@
                     let refusal = self.call.shed(reason, retry);
                     return self
                         .fail(Refusal {
-                            verdict: past.verdict,
+                            verdict: history.verdict,
                             ..refusal
                         })
                         .await;
                 }
-                Got::HeldBack => return self.fail(Refusal::held_back(past.verdict)).await,
+                Got::HeldBack => return self.fail(Refusal::held_back(history.verdict)).await,
             };
             let attempt = turn.attempt();
             let sent_at = now(&board);
-            let ended = self.attempt(&mut turn, &endpoint).await;
+            let outcome = self.attempt(&mut turn, &endpoint).await;
             if !self
-                .goes_on(turn, (endpoint, sent_at), ended, &mut past)
+                .finish_attempt(turn, (endpoint, sent_at), outcome, &mut history)
                 .await
             {
                 return;
@@ -215,93 +220,103 @@
             ask = dispatch::Ask {
                 attempt: attempt.next(),
                 age: now(&board).saturating_sub(self.call.arrived),
-                // What has begun to stream is not shed for having waited.
+                // A stream that has begun must not be shed because of the time it took so far.
                 deadline: self.deadline(),
-                delivered: self.chain.tokens,
-                preempted: past.preempted,
-                avoid: past.avoid.clone(),
+                delivered: self.transcript.tokens,
+                preempted: history.preempted,
+                avoid: history.avoid.clone(),
                 ..ask
             };
         }
     }
 
-    /// Gives the slot back and draws the consequences; false if the request is over.
-    async fn goes_on(
+    /// Releases the slot and handles the attempt's outcome. Returns whether there is to be another
+    /// attempt.
+    async fn finish_attempt(
         &mut self,
         turn: Turn,
         (endpoint, sent_at): (name::Endpoint, Duration),
-        ended: Ended,
-        past: &mut Past,
+        outcome: Outcome,
+        history: &mut History,
     ) -> bool {
-        match ended {
-            Ended::Whole => {
+        match outcome {
+            Outcome::Complete => {
                 turn.end(dispatch::End::Done);
-                call::charge(&self.context.board, &self.call, self.chain.tokens);
-                self.observer.done(self.chain.tokens);
+                call::charge(&self.context.board, &self.call, self.transcript.tokens);
+                self.observer.done(self.transcript.tokens);
                 return false;
             }
-            // The turn gives its slot back as it is dropped.
-            Ended::Left => return false,
-            Ended::Other(status, body) => {
+            // Dropping the turn releases its slot.
+            Outcome::Disconnected => return false,
+            Outcome::ErrorStatus(status, body) => {
                 turn.end(dispatch::End::Done);
-                self.fail(other(status, &body)).await;
+                self.fail(engine_error(status, &body)).await;
                 return false;
             }
-            Ended::Preempted => {
+            Outcome::Preempted => {
                 turn.end(dispatch::End::Preempted);
-                past.preempted += 1;
-                past.verdict = past.verdict.and(verdict::Verdict::MayHaveRun);
-                past.avoid = None;
+                history.preempted += 1;
+                history.verdict = history.verdict.and(verdict::Verdict::MayHaveRun);
+                history.avoid = None;
             }
-            Ended::Failed(failure) => {
+            Outcome::Failed(failure) => {
                 event!(self.context.board.log, EndpointFailed, "endpoint" => %endpoint,
                     "attempt" => %turn.attempt(), "how" => ?failure.end);
                 turn.end(failure.end);
                 let to = (&endpoint, sent_at);
-                plain::note_end(&self.context.board, &self.call, to, failure).await;
-                past.failures += 1;
-                past.verdict = past.verdict.and(failure.verdict);
-                past.avoid = Some(endpoint);
-                if let Err(refusal) = self.may_go_on(failure, past).await {
+                plain::record_if_ended(&self.context.board, &self.call, to, failure).await;
+                history.failures += 1;
+                history.verdict = history.verdict.and(failure.verdict);
+                history.avoid = Some(endpoint);
+                if let Err(refusal) = self.wait_for_retry(failure, history).await {
                     self.fail(refusal).await;
                     return false;
                 }
             }
         }
-        if past.verdict > verdict::Verdict::NotRun {
-            // The prompt and what was delivered have to be processed once more.
-            let again = self.call.prompt.0 + self.chain.tokens.0;
+        if history.verdict > verdict::Verdict::NotRun {
+            // The next engine has to process the prompt and the delivered text again.
+            let again = self.call.prompt.0 + self.transcript.tokens.0;
             self.observer.wasted(unit::Tokens(again));
         }
         true
     }
 
-    /// The deadline of the next attempt: a resumed stream gets its class's deadline
-    /// anew, since its caller has been served in part.
+    /// Returns the deadline of the next attempt, counted from the request's arrival. A resumed
+    /// stream gets its class's full deadline again, since its caller was served in part.
     fn deadline(&self) -> Duration {
         let class = &self.call.class;
-        if self.chain.tokens.0 == 0 {
+        if self.transcript.tokens.0 == 0 {
             return class.deadline;
         }
         now(&self.context.board).saturating_sub(self.call.arrived) + class.deadline
     }
 
-    async fn may_go_on(&self, failure: Failure, past: &Past) -> Result<(), Refusal> {
-        let begun = self.chain.tokens.0 > 0;
+    /// Waits for the next attempt, or returns the refusal if there is to be none.
+    async fn wait_for_retry(&self, failure: Failure, history: &History) -> Result<(), Refusal> {
+        let begun = self.transcript.tokens.0 > 0;
         let board = &self.context.board;
         if begun && !self.prompt.is_resumable() {
             return Err(Refusal {
                 status: StatusCode::BAD_GATEWAY,
                 code: "stream-broke",
-                message: "the stream broke and can't be resumed; ask again".into(),
-                verdict: past.verdict,
+                message: "the stream broke and can't be resumed; send the request again".into(),
+                verdict: history.verdict,
                 retry_after: Some(Duration::from_secs(1)),
             });
         }
-        plain::may_retry(board, &self.call, failure, past.verdict, past.failures).await
+        plain::wait_for_retry(
+            board,
+            &self.call,
+            failure,
+            history.verdict,
+            history.failures,
+        )
+        .await
     }
 
-    /// Ends the request with an error that the caller sees.
+    /// Ends the request with an error: as the response if the stream has not started, else as an
+    /// event, after which the connection is closed.
     async fn fail(&mut self, refusal: Refusal) {
         self.observer.refused(&refusal);
         if let Some(head) = self.head.take() {
@@ -314,34 +329,35 @@
     }
 
     /// Runs one attempt at an endpoint.
-    async fn attempt(&mut self, turn: &mut Turn, endpoint: &name::Endpoint) -> Ended {
+    async fn attempt(&mut self, turn: &mut Turn, endpoint: &name::Endpoint) -> Outcome {
         let address = match plain::address(&self.context.board, endpoint) {
             Ok(address) => address,
-            Err(failure) => return Ended::Failed(failure),
+            Err(failure) => return Outcome::Failed(failure),
         };
-        let body = self.prompt.body(&self.call, &self.chain);
+        let body = self.prompt.body(&self.call, &self.transcript);
         let outgoing = self.prompt.request(self.path, body);
-        self.chain.attempt = Some(turn.attempt());
+        self.transcript.attempt = Some(turn.attempt());
         let permitted = turn.permission(endpoint);
         let opened = tokio::select! {
             opened = self.open(endpoint, address, &outgoing, &permitted) => opened,
-            () = turn.preempted() => return Ended::Preempted,
+            () = turn.preempted() => return Outcome::Preempted,
         };
         let response = match opened {
             Ok(response) => response,
-            Err(failure) => return Ended::Failed(failure),
+            Err(failure) => return Outcome::Failed(failure),
         };
         let status = response.status();
         if status != StatusCode::OK {
             return match response.into_body().collect().await {
-                Ok(body) => Ended::Other(status, body.to_bytes()),
-                Err(_) => Ended::Failed(Failure::BROKEN),
+                Ok(body) => Outcome::ErrorStatus(status, body.to_bytes()),
+                Err(_) => Outcome::Failed(Failure::BROKEN),
             };
         }
         let events = response.into_body().into_data_stream().eventsource();
-        self.pass_on(turn, std::pin::pin!(events)).await
+        self.forward(turn, std::pin::pin!(events)).await
     }
 
+    /// Sends the request and waits for the head of the answer.
     async fn open(
         &self,
         endpoint: &name::Endpoint,
@@ -359,7 +375,7 @@
             (limits.connect, limits.silence),
             is_permitted,
         );
-        // The connection is not used again: a stream is seldom read to its last byte.
+        // The connection is not reused, because a stream is seldom read to its last byte.
         let (_, response) = sent.await?;
         let said = said::hear_own(board, &self.call.key.service, &at, &response);
         if said == Said::Refused {
@@ -368,56 +384,58 @@
         Ok(response)
     }
 
-    /// Passes events on until the end mark, or until something stops it.
-    async fn pass_on<E, S>(&mut self, turn: &mut Turn, mut events: std::pin::Pin<&mut S>) -> Ended
+    /// Forwards events to the caller until the end mark, a failure, a preemption, or until the
+    /// caller disconnects.
+    async fn forward<E, S>(&mut self, turn: &mut Turn, mut events: std::pin::Pin<&mut S>) -> Outcome
     where
         S: Stream<Item = Result<eventsource_stream::Event, E>>,
     {
         let silence = self.context.limits.silence;
-        let resumed = self.chain.tokens.0 > 0;
+        let resumed = self.transcript.tokens.0 > 0;
         let mut own = 0;
         loop {
             let next = tokio::select! {
                 next = tokio::time::timeout(silence, events.next()) => next,
-                () = turn.preempted() => return Ended::Preempted,
+                () = turn.preempted() => return Outcome::Preempted,
             };
             let event = match next {
-                Err(_) => return Ended::Failed(Failure::SILENT),
-                Ok(None | Some(Err(_))) => return Ended::Failed(Failure::BROKEN),
+                Err(_) => return Outcome::Failed(Failure::SILENT),
+                Ok(None | Some(Err(_))) => return Outcome::Failed(Failure::BROKEN),
                 Ok(Some(Ok(event))) => event,
             };
             if event.data == END_MARK {
                 return if self.send("data: [DONE]\n\n".into()).await {
-                    Ended::Whole
+                    Outcome::Complete
                 } else {
-                    Ended::Left
+                    Outcome::Disconnected
                 };
             }
             let Ok(chunk) = serde_json::from_str::<Chunk>(&event.data) else {
-                return Ended::Failed(Failure::BROKEN);
+                return Outcome::Failed(Failure::BROKEN);
             };
             let text = chunk.text();
             if resumed && own == 0 && chunk.is_opening() {
-                // The caller has seen the beginning of the answer already.
+                // The caller got the opening event from an earlier attempt.
                 continue;
             }
             let piece = self.piece(&event.data, resumed);
             if text.is_some() {
                 own += 1;
-                self.note_token(turn, own);
+                self.record_token(turn, own);
             }
-            self.check_chain(turn);
+            self.check_attempt(turn);
             if !self.send(piece).await {
-                return Ended::Left;
+                return Outcome::Disconnected;
             }
             if let Some(text) = text {
-                self.chain.text.push_str(text);
-                self.chain.tokens.0 += 1;
+                self.transcript.text.push_str(text);
+                self.transcript.tokens.0 += 1;
             }
         }
     }
 
-    fn note_token(&mut self, turn: &mut Turn, own: u64) {
+    /// Records a token; `own` is the number of tokens of this attempt.
+    fn record_token(&mut self, turn: &mut Turn, own: u64) {
         if own == 1 {
             turn.first();
         }
@@ -425,34 +443,36 @@
         turn.progress(unit::Tokens(own));
     }
 
-    fn check_chain(&self, turn: &Turn) {
-        let current = self.chain.attempt == Some(turn.attempt());
+    /// Checks that events are forwarded from the current attempt only.
+    fn check_attempt(&self, turn: &Turn) {
+        let current = self.transcript.attempt == Some(turn.attempt());
         invariant::check(current, invariant::Rule::AttemptChain, || {
             format!(
                 "a piece of {} follows one of {:?}",
                 turn.attempt(),
-                self.chain.attempt
+                self.transcript.attempt
             )
         });
     }
 
-    /// An event as the caller sees it: under the id of the first attempt.
+    /// Returns an event for the caller, with its id replaced by that of the first attempt. Only the
+    /// event that sets the id and those of a resumed stream are parsed.
     fn piece(&mut self, data: &str, resumed: bool) -> Bytes {
-        if !resumed && self.chain.id.is_some() {
+        if !resumed && self.transcript.id.is_some() {
             return format!("data: {data}\n\n").into();
         }
         let Ok(mut value) = serde_json::from_str::<Value>(data) else {
             return format!("data: {data}\n\n").into();
         };
-        match (&self.chain.id, value.get_mut("id")) {
+        match (&self.transcript.id, value.get_mut("id")) {
             (Some(id), Some(own)) => own.clone_from(id),
-            (None, Some(own)) => self.chain.id = Some(own.clone()),
+            (None, Some(own)) => self.transcript.id = Some(own.clone()),
             (_, None) => {}
         }
         format!("data: {value}\n\n").into()
     }
 
-    /// Sends a piece to the caller; false if it went away.
+    /// Sends a piece to the caller. Returns false if the caller disconnected.
     async fn send(&mut self, piece: Bytes) -> bool {
         if let Some(head) = self.head.take() {
             if head.send(Ok(())).is_err() {
@@ -463,11 +483,11 @@
     }
 }
 
-/// The refusal for an engine's answer that is no stream: its own error, passed on.
-fn other(status: StatusCode, body: &Bytes) -> Refusal {
-    let told: String = String::from_utf8_lossy(body).chars().take(512).collect();
+/// Returns the refusal for an engine's error answer, with the first 512 characters of its body.
+fn engine_error(status: StatusCode, body: &Bytes) -> Refusal {
+    let text: String = String::from_utf8_lossy(body).chars().take(512).collect();
     let verdict = verdict::Verdict::MayHaveRun;
-    let message = format!("the engine answered {status}: {told}");
+    let message = format!("the engine answered {status}: {text}");
     Refusal {
         status,
         code: "engine-error",
--- a/src/scalewood/ops/entry/plain.rs
+++ b/src/scalewood/ops/entry/plain.rs
@@ -1,8 +1,8 @@
-//! Calls of plain services, and of models without a stream.
+//! Calls of plain services, and non-streamed calls of models.
 //!
-//! The answer is read whole before the caller gets any of it, so that a repeatable
-//! call can be tried again wherever its endpoint failed. A call that may not be
-//! repeated is sent at most once; with a key, its key is claimed first.
+//! The complete answer is read before any of it is sent to the caller, so that a repeatable call
+//! can be retried whenever its endpoint fails. A call that is not repeatable is retried only if it
+//! did not run. If such a call has an idempotency key, the key is claimed before it is sent.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -22,7 +22,7 @@
         now,
         observer::Observer,
         prompt,
-        reply::{Refusal, REQUEST, VERDICT},
+        reply::{Refusal, REQUEST_HEADER, VERDICT_HEADER},
         said,
         turn::{Got, Turn},
         upstream::{Failure, Pool},
@@ -30,13 +30,13 @@
     },
 };
 
-/// The header that carries a caller's key.
-const KEY: &str = "idempotency-key";
-/// The longest key, in bytes.
-const MAX_KEY: usize = 256;
+/// The header that carries a caller's idempotency key.
+const KEY_HEADER: &str = "idempotency-key";
+/// The maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
 
-/// Headers that belong to one connection, or that this box sets itself.
-const OWN_HEADERS: [header::HeaderName; 9] = [
+/// Headers that are not forwarded: they concern one connection only, or this box sets them.
+const UNFORWARDED_HEADERS: [header::HeaderName; 9] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::CONTENT_LENGTH,
@@ -48,7 +48,7 @@
     header::EXPECT,
 ];
 
-/// What is sent to an endpoint.
+/// A request to send to an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Outgoing {
     pub(super) method: Method,
@@ -59,7 +59,8 @@
 }
 
 impl Outgoing {
-    /// The request for an endpoint.
+    /// Returns the HTTP request for an endpoint at an address, without the headers that are not
+    /// forwarded.
     pub(super) fn request(
         &self,
         address: SocketAddr,
@@ -69,19 +70,19 @@
             .method(self.method.clone())
             .uri(&self.target);
         for (name, value) in &self.headers {
-            if !OWN_HEADERS.contains(name) && !name.as_str().starts_with("scalewood-") {
+            if !UNFORWARDED_HEADERS.contains(name) && !name.as_str().starts_with("scalewood-") {
                 request = request.header(name, value);
             }
         }
         request = request.header(header::HOST, address.to_string());
-        request = request.header(REQUEST, call.request.to_string());
+        request = request.header(REQUEST_HEADER, call.request.to_string());
         request
             .body(Full::new(self.body.clone()))
             .map_err(|_| Failure::REFUSED)
     }
 }
 
-/// The parts of this box that a call needs.
+/// The state of this box that serving a call needs.
 #[derive(Clone, Debug)]
 pub(super) struct Context {
     pub(super) board: Shared,
@@ -89,7 +90,8 @@
     pub(super) limits: Limits,
 }
 
-/// Serves a call and answers with the endpoint's whole answer.
+/// Serves a call and returns the endpoint's complete answer. Claims the idempotency key first if
+/// the call has one and is not repeatable.
 pub(super) async fn serve(
     context: &Context,
     call: &Call,
@@ -97,7 +99,7 @@
     key: Option<&str>,
 ) -> Result<Response<Answer>, Refusal> {
     let mut claimed = match key {
-        Some(key) if !call.class.repeatable => Some(take_claim(context, call, key).await?),
+        Some(key) if !call.class.repeatable => Some(claim_key(context, call, key).await?),
         _ => None,
     };
     let served = attempts(context, call, outgoing, claimed.as_ref()).await;
@@ -110,41 +112,42 @@
     served
 }
 
-/// A caller's key, if it sent one.
+/// Returns the caller's idempotency key if it sent one.
 pub(super) fn key_of(headers: &HeaderMap) -> Result<Option<&str>, Refusal> {
-    let Some(value) = headers.get(KEY) else {
+    let Some(value) = headers.get(KEY_HEADER) else {
         return Ok(None);
     };
     let text = value
         .to_str()
         .ok()
-        .filter(|text| !text.is_empty() && text.len() <= MAX_KEY);
+        .filter(|text| !text.is_empty() && text.len() <= MAX_KEY_BYTES);
     text.map(Some).ok_or_else(|| {
-        let why = format!("the {KEY} must have 1 to {MAX_KEY} visible ASCII characters");
+        let why =
+            format!("the {KEY_HEADER} must have 1 to {MAX_KEY_BYTES} visible ASCII characters");
         Refusal::not_run(StatusCode::BAD_REQUEST, "bad-key", why)
     })
 }
 
-async fn take_claim(context: &Context, call: &Call, text: &str) -> Result<claim::Claim, Refusal> {
+/// Claims an idempotency key for a call.
+async fn claim_key(context: &Context, call: &Call, text: &str) -> Result<claim::Claim, Refusal> {
     let key = core::claim::Key::new(&call.team, &call.key.service, text);
     let claimed = claim::claim(&context.board, key, call.request).await;
     claimed.map_err(|outcome| match outcome {
-        core::claim::Outcome::Lost(record) => taken(&record),
-        _ => undecided(),
+        core::claim::Outcome::Lost(record) => key_taken(&record),
+        _ => key_undecided(),
     })
 }
 
-/// The refusal of a call whose key another request has.
-fn taken(record: &core::claim::Record) -> Refusal {
+/// Returns the refusal of a call whose key is claimed by another request.
+fn key_taken(record: &core::claim::Record) -> Refusal {
     let (verdict, why) = match record.ended {
         Some(verdict) => (
             verdict,
-            "a call with this key has been served; take a new key for a new call",
+            "a call with this key has been served; use a new key for a new call",
         ),
         None => {
-            let why =
-                "a call with this key is under way, or its box was lost; do not send it under \
-                       another key before you know what became of it";
+            let why = "a call with this key is running, or its box was lost; do not send it under \
+                       another key before you know whether it ran";
             (verdict::Verdict::MayHaveRun, why)
         }
     };
@@ -157,13 +160,13 @@
     }
 }
 
-/// The refusal of a call whose key could not be claimed. Nothing was sent for it, but
-/// whether an earlier call with the key ran is not known.
-fn undecided() -> Refusal {
+/// Returns the refusal of a call whose key could be neither claimed nor found claimed. Nothing was
+/// sent for it, but an earlier call with the key may have run.
+fn key_undecided() -> Refusal {
     Refusal {
         status: StatusCode::SERVICE_UNAVAILABLE,
         code: "key-undecided",
-        message: "two holders of this key can't be asked now, so it is not known whether it was \
+        message: "too few holders of this key can answer now, so it is not known whether it was \
                   used; send the call again with the same key"
             .into(),
         verdict: verdict::Verdict::MayHaveRun,
@@ -171,13 +174,14 @@
     }
 }
 
-/// The refusal of a call that waited for so long that its claim may be forgotten.
-fn stale_claim() -> Refusal {
-    let why = "it waited for too long to be sent under its key; send it again";
+/// Returns the refusal of a call that waited for so long that the holders may drop its claim.
+fn key_stale() -> Refusal {
+    let why = "the call waited too long for a slot to be sent under its key; send it again";
     Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "key-stale", why)
         .after(Duration::from_secs(1))
 }
 
+/// Makes attempts at a call until one is answered or there may be no more.
 async fn attempts(
     context: &Context,
     call: &Call,
@@ -187,7 +191,7 @@
     let board = &context.board;
     let mut ask = call.ask(board, false);
     let mut observer = Observer::new(board, call);
-    let mut sofar = verdict::Verdict::NotRun;
+    let mut verdict_so_far = verdict::Verdict::NotRun;
     loop {
         let mut turn = Turn::ask(
             board,
@@ -201,14 +205,14 @@
             Got::Granted(endpoint) => endpoint,
             Got::Shed(reason, retry, _) => {
                 let refusal = Refusal {
-                    verdict: sofar,
+                    verdict: verdict_so_far,
                     ..call.shed(reason, retry)
                 };
                 observer.refused(&refusal);
                 return Err(refusal);
             }
             Got::HeldBack => {
-                let refusal = Refusal::held_back(sofar);
+                let refusal = Refusal::held_back(verdict_so_far);
                 observer.refused(&refusal);
                 return Err(refusal);
             }
@@ -218,14 +222,14 @@
         if claimed.is_some_and(|claim| !claim.is_fresh()) {
             turn.end(dispatch::End::Unused);
             let refusal = Refusal {
-                verdict: sofar,
-                ..stale_claim()
+                verdict: verdict_so_far,
+                ..key_stale()
             };
             observer.refused(&refusal);
             return Err(refusal);
         }
         invariant::check(
-            claimed.is_none() || sofar == verdict::Verdict::NotRun,
+            claimed.is_none() || verdict_so_far == verdict::Verdict::NotRun,
             invariant::Rule::KeyOnce,
             || format!("{attempt} sends a keyed call that may have run"),
         );
@@ -242,10 +246,10 @@
                 turn.end(failure.end);
                 event!(board.log, EndpointFailed, "endpoint" => %endpoint, "attempt" => %attempt,
                     "how" => ?failure.end);
-                note_end(board, call, (&endpoint, sent_at), failure).await;
-                sofar = sofar.and(failure.verdict);
+                record_if_ended(board, call, (&endpoint, sent_at), failure).await;
+                verdict_so_far = verdict_so_far.and(failure.verdict);
                 if let Err(refusal) =
-                    may_retry(board, call, failure, sofar, attempt.number + 1).await
+                    wait_for_retry(board, call, failure, verdict_so_far, attempt.number + 1).await
                 {
                     observer.refused(&refusal);
                     return Err(refusal);
@@ -261,8 +265,8 @@
     }
 }
 
-/// Finds out whether an endpoint has ended, if it broke off a request.
-pub(super) async fn note_end(
+/// Checks and records whether an endpoint has ended, if it broke off the request.
+pub(super) async fn record_if_ended(
     board: &Shared,
     call: &Call,
     (endpoint, sent_at): (&name::Endpoint, Duration),
@@ -282,16 +286,17 @@
     crash::note(board, &call.content, &call.request.to_string(), &at).await;
 }
 
-/// Waits for the next attempt if there may be one, else says how the request failed.
-pub(super) async fn may_retry(
+/// Waits until the next attempt, or returns the refusal if there may be none. A retry needs a
+/// failure without a run or a repeatable class, and room in the service's retry budget.
+pub(super) async fn wait_for_retry(
     board: &Shared,
     call: &Call,
     failure: Failure,
-    sofar: verdict::Verdict,
+    verdict_so_far: verdict::Verdict,
     attempts: u32,
 ) -> Result<(), Refusal> {
-    let harmless = failure.verdict == verdict::Verdict::NotRun;
-    let wait = if harmless || call.class.repeatable {
+    let did_not_run = failure.verdict == verdict::Verdict::NotRun;
+    let wait = if did_not_run || call.class.repeatable {
         let mut shard = board.budgets.shard(&call.key.service);
         let budget = shard
             .entry(call.key.service.clone())
@@ -304,13 +309,14 @@
         None
     };
     let Some(wait) = wait else {
-        return Err(failed(failure, sofar));
+        return Err(failure_refusal(failure, verdict_so_far));
     };
     tokio::time::sleep(wait).await;
     Ok(())
 }
 
-fn failed(failure: Failure, verdict: verdict::Verdict) -> Refusal {
+/// Returns the refusal of a request whose last attempt failed.
+fn failure_refusal(failure: Failure, verdict: verdict::Verdict) -> Refusal {
     let (status, code, message) = match failure.end {
         dispatch::End::Silent => (
             StatusCode::GATEWAY_TIMEOUT,
@@ -320,7 +326,7 @@
         dispatch::End::Unreachable | dispatch::End::Refused | dispatch::End::Unused => (
             StatusCode::SERVICE_UNAVAILABLE,
             "endpoint-unreachable",
-            "no endpoint took the request",
+            "no endpoint accepted the request",
         ),
         _ => (
             StatusCode::BAD_GATEWAY,
@@ -329,8 +335,8 @@
         ),
     };
     let advice = match verdict {
-        verdict::Verdict::NotRun => "it did not run; ask again later",
-        _ => "it may have run; ask again only if it may run twice",
+        verdict::Verdict::NotRun => "it did not run; retry later",
+        _ => "it may have run; retry only if it may run twice",
     };
     let message = format!("{message}; {advice}");
     Refusal {
@@ -342,44 +348,47 @@
     }
 }
 
-/// An endpoint's whole answer.
-struct Whole {
+/// An endpoint's complete answer.
+struct Reply {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
+    /// The tokens that a model's answer states; 0 for plain services.
     tokens: unit::Tokens,
 }
 
-impl Whole {
+impl Reply {
+    /// Returns the response for the caller.
     fn response(self, call: &Call) -> Response<Answer> {
         let mut response = Response::new(Answer::whole(self.body));
         *response.status_mut() = self.status;
         for (name, value) in &self.headers {
-            if !OWN_HEADERS.contains(name) {
+            if !UNFORWARDED_HEADERS.contains(name) {
                 response.headers_mut().append(name, value.clone());
             }
         }
-        stamp(&mut response, call);
+        add_headers(&mut response, call);
         response
     }
 }
 
-/// Adds the headers of a request that ran.
-pub(super) fn stamp(response: &mut Response<Answer>, call: &Call) {
+/// Adds the verdict and the request's id to the response of a request that ran.
+pub(super) fn add_headers(response: &mut Response<Answer>, call: &Call) {
     let headers = response.headers_mut();
     let ran = header::HeaderValue::from_static(verdict::Verdict::Ran.as_str());
-    headers.insert(VERDICT, ran);
+    headers.insert(VERDICT_HEADER, ran);
     if let Ok(value) = header::HeaderValue::from_str(&call.request.to_string()) {
-        headers.insert(REQUEST, value);
+        headers.insert(REQUEST_HEADER, value);
     }
 }
 
+/// Sends a call to an endpoint and reads the complete answer.
 async fn exchange(
     context: &Context,
     call: &Call,
     outgoing: &Outgoing,
     (turn, endpoint): (&Turn, &name::Endpoint),
-) -> Result<Whole, Failure> {
+) -> Result<Reply, Failure> {
     let address = address(&context.board, endpoint)?;
     let request = outgoing.request(address, call)?;
     let Limits {
@@ -414,7 +423,7 @@
         Some(config::Kind::Model) => prompt::tokens_of(&body),
         _ => unit::Tokens(0),
     };
-    Ok(Whole {
+    Ok(Reply {
         status: parts.status,
         headers: parts.headers,
         body,
@@ -422,18 +431,18 @@
     })
 }
 
-/// An endpoint that something is sent to now.
+/// Returns the record of a request that is sent to a configured endpoint now.
 pub(super) fn at(board: &Shared, endpoint: &name::Endpoint, address: SocketAddr) -> At {
     At {
         endpoint: endpoint.clone(),
-        // Configured endpoints tell no starts.
+        // Configured endpoints don't report their starts.
         start: None,
         address,
         sent_at: now(board),
     }
 }
 
-/// Where an endpoint is, if it may be sent something.
+/// Returns a configured endpoint's address, unless the endpoint is cordoned or rests.
 pub(super) fn address(board: &Shared, endpoint: &name::Endpoint) -> Result<SocketAddr, Failure> {
     if board.is_cordoned(endpoint) || board.rest_left(endpoint).is_some() {
         return Err(Failure::BARRED);
@@ -446,8 +455,9 @@
         .ok_or(Failure::UNREACHABLE)
 }
 
-async fn read(body: Incoming, most: unit::Size, silence: Duration) -> Result<Bytes, Failure> {
-    let whole = Limited::new(body, most.0).collect();
+/// Reads an answer's body within the limits on size and time.
+async fn read(body: Incoming, max: unit::Size, silence: Duration) -> Result<Bytes, Failure> {
+    let whole = Limited::new(body, max.0).collect();
     match tokio::time::timeout(silence, whole).await {
         Err(_) => Err(Failure::SILENT),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
--- a/src/scalewood/ops/entry/prompt.rs
+++ b/src/scalewood/ops/entry/prompt.rs
@@ -1,4 +1,4 @@
-//! Model requests: what is read of a caller's, and what is sent to an engine.
+//! Model requests: parses the caller's request and builds the request for an engine.
 
 use bytes::Bytes;
 use hyper::{header, StatusCode};
@@ -9,33 +9,33 @@
     core::{dispatch, rendezvous, unit},
     ops::entry::{
         call::{Call, Size},
-        model::Chain,
+        model::Transcript,
         plain::Outgoing,
         reply::Refusal,
     },
 };
 
-/// Bytes of text that count as a token when no engine has counted them.
+/// The bytes of text per token assumed by the estimate of a prompt's length.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Bytes of a prompt that make its prefix.
+/// The number of leading bytes of a prompt that its prefix hash covers.
 const PREFIX_BYTES: usize = 2048;
-/// What a model answers at most when the caller does not say.
-const DEFAULT_MAX_OUTPUT: u64 = 512;
+/// The assumed maximum length of an answer in tokens if the caller states none.
+const DEFAULT_MAX_OUTPUT_TOKENS: u64 = 512;
 
-/// A model request, read.
+/// A parsed model request.
 #[derive(Clone, Debug)]
 pub(super) struct Prompt {
     body: Value,
     /// The model's name.
     pub(super) model: String,
-    /// Whether the answer is to be streamed.
+    /// Whether the caller asked for a stream.
     pub(super) stream: bool,
-    /// Whether a stream can be resumed.
+    /// Whether a stream of the request can be resumed at another engine.
     resumable: bool,
 }
 
 impl Prompt {
-    /// Reads a request's body.
+    /// Parses a request's body.
     pub(super) fn read(bytes: &[u8]) -> Result<Self, Refusal> {
         let bad = |why: String| Refusal::not_run(StatusCode::BAD_REQUEST, "bad-request", why);
         let body: Value = serde_json::from_slice(bytes)
@@ -59,12 +59,13 @@
         })
     }
 
-    /// Whether a stream of this request can be resumed.
+    /// Returns whether a stream of this request can be resumed.
     pub(super) fn is_resumable(&self) -> bool {
         self.resumable
     }
 
-    fn text(&self) -> impl Iterator<Item = &str> {
+    /// Returns the texts of the prompt: `prompt`, then the content of each message.
+    fn texts(&self) -> impl Iterator<Item = &str> {
         let prompt = self.body.get("prompt").and_then(Value::as_str);
         let messages = self.body.get("messages").and_then(Value::as_array);
         let contents = messages
@@ -74,26 +75,27 @@
         prompt.into_iter().chain(contents)
     }
 
-    /// The request's size, as estimated.
+    /// Returns the request's estimated size.
     pub(super) fn size(&self) -> Size {
-        let bytes: usize = self.text().map(str::len).sum();
+        let bytes: usize = self.texts().map(str::len).sum();
         Size {
             prompt: unit::Tokens(bytes as u64 / BYTES_PER_TOKEN + 1),
-            max_output: unit::Tokens(self.max_tokens().unwrap_or(DEFAULT_MAX_OUTPUT)),
+            max_output: unit::Tokens(self.max_tokens().unwrap_or(DEFAULT_MAX_OUTPUT_TOKENS)),
         }
     }
 
+    /// Returns the maximum length of the answer that the caller states.
     fn max_tokens(&self) -> Option<u64> {
         let keys = ["max_completion_tokens", "max_tokens"];
         keys.into_iter()
             .find_map(|key| self.body.get(key)?.as_u64())
     }
 
-    /// A hash over the prompt's beginning.
+    /// Returns a hash of the model's name and the beginning of the prompt.
     pub(super) fn prefix(&self) -> dispatch::Prefix {
         let mut left = PREFIX_BYTES;
         let mut parts = vec![self.model.as_str()];
-        for text in self.text() {
+        for text in self.texts() {
             let cut = (0..=left.min(text.len()))
                 .rev()
                 .find(|i| text.is_char_boundary(*i));
@@ -104,25 +106,25 @@
         dispatch::Prefix(rendezvous::hash(&parts))
     }
 
-    /// The body for an engine: with the tier as its priority, and with what was
-    /// delivered as the beginning of the answer.
-    pub(super) fn body(&self, call: &Call, chain: &Chain) -> Bytes {
+    /// Returns the body for an engine, with the tier as its priority and with the text delivered so
+    /// far as the beginning of the answer.
+    pub(super) fn body(&self, call: &Call, transcript: &Transcript) -> Bytes {
         let mut body = self.body.clone();
         if let Value::Object(fields) = &mut body {
             fields.insert("priority".into(), call.class.tier.0.into());
-            if chain.tokens.0 > 0 {
-                resume(fields, self.max_tokens(), chain);
+            if transcript.tokens.0 > 0 {
+                resume(fields, self.max_tokens(), transcript);
             }
         }
         body.to_string().into()
     }
 
-    /// What is sent to an engine that answers without a stream.
+    /// Returns the request for an engine that answers without a stream.
     pub(super) fn outgoing(&self, path: &str, call: &Call) -> Outgoing {
-        self.request(path, self.body(call, &Chain::default()))
+        self.request(path, self.body(call, &Transcript::default()))
     }
 
-    /// The request that carries a body to an engine.
+    /// Returns the request that sends a body to an engine.
     pub(super) fn request(&self, path: &str, body: Bytes) -> Outgoing {
         let mut headers = hyper::HeaderMap::new();
         let json = header::HeaderValue::from_static("application/json");
@@ -136,7 +138,8 @@
     }
 }
 
-/// Whether a stream of this request can be resumed: a chat with one plain answer.
+/// Returns whether a stream of a request can be resumed: it must be a chat with a single answer of
+/// plain text.
 fn is_resumable(body: &Value) -> bool {
     let one = body.get("n").is_none_or(|n| n.as_u64() == Some(1));
     let plain = ["tools", "functions", "logprobs", "response_format"];
@@ -144,10 +147,14 @@
     body.get("messages").is_some_and(Value::is_array) && one && plain
 }
 
-/// Adds what was delivered, as the answer to be continued.
-fn resume(fields: &mut serde_json::Map<String, Value>, max_tokens: Option<u64>, chain: &Chain) {
+/// Makes the engine continue the delivered text, and subtracts its tokens from the maximum.
+fn resume(
+    fields: &mut serde_json::Map<String, Value>,
+    max_tokens: Option<u64>,
+    transcript: &Transcript,
+) {
     if let Some(Value::Array(messages)) = fields.get_mut("messages") {
-        messages.push(serde_json::json!({ "role": "assistant", "content": chain.text }));
+        messages.push(serde_json::json!({ "role": "assistant", "content": transcript.text }));
     }
     fields.insert("continue_final_message".into(), true.into());
     fields.insert("add_generation_prompt".into(), false.into());
@@ -155,23 +162,24 @@
         fields.remove("max_completion_tokens");
         fields.insert(
             "max_tokens".into(),
-            max.saturating_sub(chain.tokens.0).max(1).into(),
+            max.saturating_sub(transcript.tokens.0).max(1).into(),
         );
     }
 }
 
-/// The parts of a whole answer that matter here.
+/// The fields of a non-streamed answer that are read.
 #[derive(Debug, Deserialize)]
 struct WholeAnswer {
     usage: Option<Usage>,
 }
 
+/// The token counts of an answer.
 #[derive(Debug, Deserialize)]
 struct Usage {
     completion_tokens: u64,
 }
 
-/// The tokens that an engine's whole answer says it has.
+/// Returns the token count that a non-streamed answer states, or 0 if it states none.
 pub(super) fn tokens_of(body: &[u8]) -> unit::Tokens {
     let answer: Option<WholeAnswer> = serde_json::from_slice(body).ok();
     let usage = answer.and_then(|answer| answer.usage);
--- a/src/scalewood/ops/entry/reply.rs
+++ b/src/scalewood/ops/entry/reply.rs
@@ -1,7 +1,7 @@
-//! Answers that this box makes by itself: refusals and failures.
+//! Error answers that this box generates: refusals and failures.
 //!
-//! Each says, in a header and in the body, whether the request may have run; and
-//! when to come back, where that helps.
+//! Each states in a header and in the body whether the request may have run, and when to retry if
+//! that may help.
 
 use std::time::Duration;
 
@@ -14,31 +14,32 @@
 };
 
 /// The header that carries the verdict.
-pub(super) const VERDICT: &str = "scalewood-verdict";
-/// The header that carries the request's identity.
-pub(super) const REQUEST: &str = "scalewood-request";
+pub(super) const VERDICT_HEADER: &str = "scalewood-verdict";
+/// The header that carries the request's id.
+pub(super) const REQUEST_HEADER: &str = "scalewood-request";
 
 /// Why a request was refused or failed.
 #[derive(Clone, Debug)]
 pub(super) struct Refusal {
     pub(super) status: StatusCode,
-    /// A short name for programs.
+    /// The error code for programs.
     pub(super) code: &'static str,
     /// What failed, why, and what to do.
     pub(super) message: String,
     pub(super) verdict: verdict::Verdict,
-    /// When to come back.
+    /// How long to wait before a retry.
     pub(super) retry_after: Option<Duration>,
 }
 
-/// The body of a refusal, in the form that callers of model servers know.
+/// The body of a refusal, in the error format of OpenAI-compatible model servers.
 #[derive(Debug, Serialize)]
 struct Body<'a> {
-    error: Inner<'a>,
+    error: Detail<'a>,
 }
 
+/// The error object in the body of a refusal.
 #[derive(Debug, Serialize)]
-struct Inner<'a> {
+struct Detail<'a> {
     code: &'a str,
     message: &'a str,
     verdict: verdict::Verdict,
@@ -47,7 +48,7 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Returns the refusal of a request that did not run.
     pub(super) fn not_run(
         status: StatusCode,
         code: &'static str,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The same with the time to come back.
+    /// Sets how long the caller is to wait before a retry.
     pub(super) fn after(self, wait: Duration) -> Self {
         Self {
             retry_after: Some(wait),
@@ -70,9 +71,9 @@
         }
     }
 
-    /// The answer to a request under which endpoints end. 429 says that it is this caller's
-    /// request that has used up what it may, not that the system is busy, and most clients leave it
-    /// alone until the time named. What ran before can't be refused as not run.
+    /// Returns the refusal of a request under which endpoints ended. Status 429 says that this
+    /// caller's request is over its limit, not that the system is busy, and most clients don't
+    /// retry before the stated time. If an earlier attempt may have run, the status is 502 instead.
     pub(super) fn held_back(verdict: verdict::Verdict) -> Self {
         let status = match verdict {
             verdict::Verdict::NotRun => StatusCode::TOO_MANY_REQUESTS,
@@ -82,33 +83,33 @@
             status,
             code: "ends-endpoints",
             message: "several endpoints have ended under this request; do not send it again, or \
-                      ask an operator to take it back into service"
+                      ask an operator to permit it again"
                 .into(),
             verdict,
             retry_after: Some(crash::REMEMBERED),
         }
     }
 
-    /// Whole seconds to come back after, rounded up, at least one.
+    /// Returns the whole seconds to wait before a retry, rounded up, at least one.
     fn seconds(&self) -> Option<u64> {
         self.retry_after
             .map(|wait| wait.as_secs() + u64::from(wait.subsec_nanos() > 0))
             .map(|s| s.max(1))
     }
 
-    /// The refusal as JSON.
+    /// Returns the refusal as JSON.
     pub(super) fn json(&self) -> Vec<u8> {
-        let inner = Inner {
+        let detail = Detail {
             code: self.code,
             message: &self.message,
             verdict: self.verdict,
             retry_after_s: self.seconds(),
         };
-        // A structure of texts and numbers always has a text.
-        serde_json::to_vec(&Body { error: inner }).unwrap_or_default()
+        // Strings and numbers can always be serialised.
+        serde_json::to_vec(&Body { error: detail }).unwrap_or_default()
     }
 
-    /// The refusal as an answer.
+    /// Returns the refusal as an HTTP response.
     pub(super) fn response(&self) -> Response<Answer> {
         let mut response = Response::new(Answer::whole(self.json()));
         *response.status_mut() = self.status;
@@ -118,7 +119,7 @@
             header::HeaderValue::from_static("application/json"),
         );
         headers.insert(
-            VERDICT,
+            VERDICT_HEADER,
             header::HeaderValue::from_static(self.verdict.as_str()),
         );
         if let Some(seconds) = self.seconds() {
