--- a/src/scalewood/ops/entry/dialect.rs
+++ b/src/scalewood/ops/entry/dialect.rs
@@ -1,8 +1,8 @@
-//! What callers and endpoints of routes speak: which headers say what.
+//! The HTTP headers that callers and endpoints of routes use.
 //!
-//! A [`Dialect`] only translates: it reads a caller's head into a [`Head`], writes the
-//! system's [`Instruction`] into the head for an endpoint, and tells what an endpoint's
-//! head says. All decisions are made elsewhere.
+//! A [`Dialect`] only translates: it parses a caller's headers into a [`Head`], writes an
+//! [`Instruction`] into the headers for an endpoint, and classifies the head of an endpoint's
+//! answer. It makes no decisions.
 
 use std::time::Duration;
 
@@ -10,175 +10,186 @@
 
 use crate::core::{name, unit, verdict};
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt that other requests may have in common, so that its KV cache is reusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Part {
-    /// Its identity.
+    /// Identifies the part's content.
     pub id: u64,
-    /// Its length.
+    /// The part's length.
     pub tokens: unit::Tokens,
 }
 
-/// What a caller's head says.
+/// The values that are read from a caller's headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
-    /// The caller's own identity for the request.
+    /// The caller's id for the request.
     pub id: Option<String>,
     /// The team's key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
-    /// The size of the prompt.
+    /// The length of the prompt.
     pub prompt: unit::Tokens,
-    /// The most tokens that the answer may have.
+    /// The maximum length of the answer.
     pub output: unit::Tokens,
-    /// The parts of the prompt, in order.
+    /// The parts of the prompt, in their order in the prompt.
     pub parts: Vec<Part>,
-    /// The last event that the caller has of a stream.
+    /// The id of the last event of a stream that the caller received.
     pub after: Option<String>,
 }
 
-/// What the system tells an endpoint beside the caller's own head.
+/// The values that are added to a caller's headers for an endpoint.
 #[derive(Clone, Debug)]
 pub struct Instruction<'a> {
-    /// The endpoint that is meant.
+    /// The endpoint that is to run the request; another one that receives it refuses it.
     pub endpoint: &'a name::Endpoint,
-    /// How long the answer is waited for.
+    /// The time left until the request's deadline.
     pub left: Duration,
-    /// The team that asks.
+    /// The team that sent the request.
     pub team: Option<&'a name::Team>,
-    /// The request's place in the order of all ranks.
+    /// The request's tier, by which the endpoint may prioritise it.
     pub rank: unit::Tier,
-    /// The last event that the caller has of a stream, where it is resumed.
+    /// The id of the last event that the caller received, if a stream is resumed.
     pub after: Option<&'a str>,
 }
 
-/// What an endpoint's head says.
+/// The class of an endpoint's answer, by its status and headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// It answers this request.
+    /// It is the answer to this request.
     Answer,
-    /// It did not run this request, and takes no more of the kind now.
+    /// The endpoint did not run this request and accepts no more of its kind for now.
     Refused,
-    /// It is not the endpoint that was meant, and did not run the request.
+    /// Another endpoint than the intended one received the request, and did not run it.
     Mistaken,
-    /// It is no whole answer to this request.
+    /// It is not a complete answer to this request: it echoes another id, or lacks a header that
+    /// the dialect requires.
     Foreign,
 }
 
-/// Which headers say what, towards callers and endpoints of routes.
+/// Maps between headers and the values that the system works with.
 pub trait Dialect: Clone + std::fmt::Debug + Send + Sync + 'static {
-    /// The path at which the platform asks whether this box takes work.
+    /// The path of the readiness check.
     const READY: &'static str;
 
-    /// The headers, in lower case, through which the system speaks to endpoints, and those
-    /// that are between a caller and the system. None of them reaches an endpoint as a
-    /// caller sent it; everything that [`Dialect::instruct`] writes stands here.
+    /// The headers, in lower case, that are removed from a caller's request before it is forwarded:
+    /// those by which the system communicates with endpoints, which include all that
+    /// [`Dialect::instruct`] writes, and those that only concern the caller and the system.
     const RESERVED: &'static [&'static str];
 
-    /// The header, in lower case, in which an endpoint names the requests a second that it takes
-    /// from all boxes together, as a decimal number.
+    /// The header, in lower case, in which an endpoint states the requests per second that it
+    /// accepts from all boxes together, as a decimal number.
     const LIMIT: &'static str;
 
-    /// What a caller's head says.
+    /// Parses a caller's headers.
     fn head(headers: &HeaderMap) -> Head;
 
-    /// Writes the instruction into a head that holds none of [`Dialect::RESERVED`].
+    /// Writes the instruction into headers from which all [`Dialect::RESERVED`] were removed.
     fn instruct(headers: &mut HeaderMap, instruction: &Instruction<'_>);
 
-    /// What an endpoint's head says, to a request of this id.
+    /// Classifies an endpoint's answer to the request of the given id.
     fn said(status: StatusCode, headers: &HeaderMap, id: Option<&str>) -> Said;
 
-    /// Whether an endpoint's head says that it leaves.
+    /// Returns whether the headers of an answer say that the endpoint leaves.
     fn leaves(headers: &HeaderMap) -> bool;
 
-    /// The id of an event, from one line of a stream.
+    /// Returns the event id if a line of a stream holds one.
     fn event_id(line: &[u8]) -> Option<&[u8]> {
         line.strip_prefix(b"id:").map(<[u8]>::trim_ascii)
     }
 
-    /// Marks an answer that this box makes by itself.
+    /// Adds the request's id and the verdict to an answer that this box generates.
     fn mark(headers: &mut HeaderMap, id: Option<&str>, verdict: verdict::Verdict);
 
-    /// When to come back, as `Retry-After` has it.
+    /// Returns the value of `Retry-After` for a wait.
     fn retry_after(wait: Duration) -> String;
 }
 
-/// The product's own headers.
+/// scalewood's own headers.
 #[derive(Clone, Debug)]
 pub struct Native;
 
-/// The caller's own identity for a request.
-const ID: &str = "scalewood-id";
-/// How long the caller waits, in milliseconds.
-const DEADLINE: &str = "scalewood-deadline-ms";
-/// Tokens of the prompt and of the answer at most, with a comma.
-const TOKENS: &str = "scalewood-tokens";
-/// The parts of the prompt in order, with commas, each as its identity (hexadecimal), a colon and
-/// its tokens. What begins alike is read together.
-const PARTS: &str = "scalewood-parts";
-/// The endpoint that is meant.
-const ENDPOINT: &str = "scalewood-endpoint";
-/// The team that asks.
-const TEAM: &str = "scalewood-team";
-/// The request's rank.
-const RANK: &str = "scalewood-rank";
-/// Whether the request ran.
-const VERDICT: &str = "scalewood-verdict";
-/// The last event that the caller has of a stream.
-const AFTER: &str = "last-event-id";
-/// Says that the endpoint leaves.
-const LEAVING: &str = "scalewood-leaving";
+/// The caller's id for a request.
+const ID_HEADER: &str = "scalewood-id";
+/// How long the caller waits for the answer, in milliseconds.
+const DEADLINE_MS_HEADER: &str = "scalewood-deadline-ms";
+/// The tokens of the prompt and the maximum tokens of the answer, separated by a comma.
+const TOKENS_HEADER: &str = "scalewood-tokens";
+/// The parts of the prompt in order, separated by commas, each as its id in hexadecimal, a colon
+/// and its tokens. Requests whose first parts are equal are placed together.
+const PARTS_HEADER: &str = "scalewood-parts";
+/// The endpoint that is to run the request.
+const ENDPOINT_HEADER: &str = "scalewood-endpoint";
+/// The team that sent the request.
+const TEAM_HEADER: &str = "scalewood-team";
+/// The request's tier.
+const RANK_HEADER: &str = "scalewood-rank";
+/// Whether the request may have run.
+const VERDICT_HEADER: &str = "scalewood-verdict";
+/// The id of the last event of a stream that the caller received.
+const LAST_EVENT_HEADER: &str = "last-event-id";
+/// `1` if the endpoint leaves.
+const LEAVING_HEADER: &str = "scalewood-leaving";
 
 impl Dialect for Native {
     const READY: &'static str = "/readyz";
 
     const RESERVED: &'static [&'static str] = &[
         "authorization",
-        DEADLINE,
-        ENDPOINT,
-        TEAM,
-        RANK,
-        VERDICT,
-        AFTER,
+        DEADLINE_MS_HEADER,
+        ENDPOINT_HEADER,
+        TEAM_HEADER,
+        RANK_HEADER,
+        VERDICT_HEADER,
+        LAST_EVENT_HEADER,
     ];
 
     const LIMIT: &'static str = "scalewood-limit";
 
     fn head(headers: &HeaderMap) -> Head {
-        let tokens = text(headers, TOKENS).and_then(|text| text.split_once(','));
+        let tokens = text(headers, TOKENS_HEADER).and_then(|text| text.split_once(','));
         let count = |text: &str| unit::Tokens(text.trim().parse().unwrap_or(0));
         let key = text(headers, header::AUTHORIZATION.as_str());
         Head {
-            id: text(headers, ID).map(str::to_owned),
+            id: text(headers, ID_HEADER).map(str::to_owned),
             key: key
                 .and_then(|key| key.strip_prefix("Bearer "))
                 .map(str::to_owned),
-            deadline: text(headers, DEADLINE)
+            deadline: text(headers, DEADLINE_MS_HEADER)
                 .and_then(|text| text.parse().ok())
                 .map(Duration::from_millis),
             prompt: tokens.map_or(unit::Tokens(0), |(prompt, _)| count(prompt)),
             output: tokens.map_or(unit::Tokens(0), |(_, output)| count(output)),
-            parts: text(headers, PARTS).and_then(parts).unwrap_or_default(),
-            after: text(headers, AFTER).map(str::to_owned),
+            parts: text(headers, PARTS_HEADER)
+                .and_then(parse_parts)
+                .unwrap_or_default(),
+            after: text(headers, LAST_EVENT_HEADER).map(str::to_owned),
         }
     }
 
     fn instruct(headers: &mut HeaderMap, instruction: &Instruction<'_>) {
-        set(headers, ENDPOINT, Some(instruction.endpoint.as_str()));
+        set(
+            headers,
+            ENDPOINT_HEADER,
+            Some(instruction.endpoint.as_str()),
+        );
         let left = instruction.left.as_millis().to_string();
-        set(headers, DEADLINE, Some(&left));
-        set(headers, TEAM, instruction.team.map(name::Team::as_str));
-        set(headers, RANK, Some(&instruction.rank.to_string()));
-        set(headers, AFTER, instruction.after);
+        set(headers, DEADLINE_MS_HEADER, Some(&left));
+        set(
+            headers,
+            TEAM_HEADER,
+            instruction.team.map(name::Team::as_str),
+        );
+        set(headers, RANK_HEADER, Some(&instruction.rank.to_string()));
+        set(headers, LAST_EVENT_HEADER, instruction.after);
     }
 
     fn said(status: StatusCode, headers: &HeaderMap, id: Option<&str>) -> Said {
-        let echoed = text(headers, ID);
+        let echoed = text(headers, ID_HEADER);
         if status == StatusCode::MISDIRECTED_REQUEST {
             return Said::Mistaken;
         }
-        match text(headers, VERDICT) {
+        match text(headers, VERDICT_HEADER) {
             Some("not-run") => Said::Refused,
             _ if echoed.is_some() && echoed != id => Said::Foreign,
             _ => Said::Answer,
@@ -186,12 +197,12 @@
     }
 
     fn leaves(headers: &HeaderMap) -> bool {
-        text(headers, LEAVING) == Some("1")
+        text(headers, LEAVING_HEADER) == Some("1")
     }
 
     fn mark(headers: &mut HeaderMap, id: Option<&str>, verdict: verdict::Verdict) {
-        set(headers, VERDICT, Some(verdict.as_str()));
-        set(headers, ID, id);
+        set(headers, VERDICT_HEADER, Some(verdict.as_str()));
+        set(headers, ID_HEADER, id);
     }
 
     fn retry_after(wait: Duration) -> String {
@@ -200,8 +211,8 @@
     }
 }
 
-/// The parts of a prompt, as [`PARTS`] has them; nothing if one can't be read.
-fn parts(text: &str) -> Option<Vec<Part>> {
+/// Parses the value of [`PARTS_HEADER`]; `None` if any part is malformed.
+fn parse_parts(text: &str) -> Option<Vec<Part>> {
     let part = |text: &str| {
         let (id, tokens) = text.trim().split_once(':')?;
         Some(Part {
@@ -212,19 +223,19 @@
     text.split(',').map(part).collect()
 }
 
-/// Takes out of a caller's head what only the system may tell an endpoint.
+/// Removes the reserved headers from a caller's request.
 pub fn strip<D: Dialect>(headers: &mut HeaderMap) {
     for name in D::RESERVED {
         headers.remove(*name);
     }
 }
 
-/// A header's text.
+/// Returns a header's value if it is text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Sets a header, or takes it out.
+/// Sets a header, or removes it if the value is `None` or not valid in a header.
 pub fn set(headers: &mut HeaderMap, name: &'static str, value: Option<&str>) {
     match value.and_then(|value| header::HeaderValue::from_str(value).ok()) {
         Some(value) => drop(headers.insert(name, value)),
--- a/src/scalewood/ops/entry/said.rs
+++ b/src/scalewood/ops/entry/said.rs
@@ -1,7 +1,7 @@
-//! What endpoints say in an answer's head, beside the answer itself.
+//! Signals in the head of an endpoint's answer: a requested rest, a request limit, and leaving.
 //!
-//! Each way to an endpoint reads it here: routes, streams, plain calls and the questions how an
-//! endpoint does. So what one of them hears all go by.
+//! Routed requests, streams, plain calls and health checks all read them here, so that a signal
+//! seen by one of them applies to all.
 
 use std::time::Duration;
 
@@ -21,12 +21,13 @@
     util::{clock::Clock as _, lock::lock},
 };
 
-/// How long a configured endpoint gets nothing that says in an answer that it leaves. It announces
-/// nothing, so no new start of it is ever heard of: after that time one request finds out.
-const CONFIGURED_LEAVES: Duration = Duration::from_secs(10);
+/// How long a configured endpoint that signals in an answer that it leaves gets no requests. It
+/// does not register, so this box never learns of a new start of it: after this time a request
+/// tries it again.
+const CONFIGURED_LEAVING_REST: Duration = Duration::from_secs(10);
 
-/// Reads the head of an answer that a start of an endpoint gave to a request of a service, with
-/// the request's own id, and notes what concerns more than this request.
+/// Classifies the answer of an endpoint to a request of a service, and records the signals that
+/// concern other requests too. `id` is the request's id, which the answer may echo.
 pub(super) fn hear<D: Dialect, B>(
     board: &Shared,
     service: &name::Service,
@@ -34,14 +35,15 @@
     response: &Response<B>,
     id: Option<&str>,
 ) -> Said {
-    let said = hear_all_but_limit::<D, B>(board, service, at, response, id);
+    let said = observe_all_but_limit::<D, B>(board, service, at, response, id);
     if said != Said::Mistaken {
         throttle::hear::<D, B>(board, at, response, said == Said::Answer);
     }
     said
 }
 
-fn hear_all_but_limit<D: Dialect, B>(
+/// Does what [`hear`] does, but ignores the request limit.
+fn observe_all_but_limit<D: Dialect, B>(
     board: &Shared,
     service: &name::Service,
     at: &At,
@@ -50,48 +52,49 @@
 ) -> Said {
     let (status, headers) = (response.status(), response.headers());
     let said = D::said(status, headers, id);
-    // Another endpoint speaks for itself.
+    // The answer came from another endpoint, so its signals don't concern this one.
     if said == Said::Mistaken {
         return said;
     }
     if ops::rest::is_meant(status, said == Said::Refused) {
-        hear_rest(board, service, at, response);
+        record_rest(board, service, at, response);
     }
     if D::leaves(headers) {
-        hear_leaving(board, service, at);
+        record_leaving(board, service, at);
     }
     said
 }
 
-/// The same for an answer in the product's own interface.
+/// Does what [`hear`] does for an answer to a request of scalewood's own API.
 pub(super) fn hear_own<B>(
     board: &Shared,
     service: &name::Service,
     at: &At,
     response: &Response<B>,
 ) -> Said {
-    // Endpoints of this interface echo no id.
+    // Endpoints of this API echo no id.
     match hear::<Native, B>(board, service, at, response, None) {
         Said::Refused if response.status() == StatusCode::SERVICE_UNAVAILABLE => Said::Refused,
-        // What is no refusal is passed on as the endpoint's own answer.
+        // All else is passed on to the caller as the endpoint's answer.
         _ => Said::Answer,
     }
 }
 
-/// The same for an answer to the question how an endpoint does. It may name a limit, but says nothing
-/// of its end: endpoints need not name it to who sends them no requests.
+/// Does what [`hear`] does for an answer to a health check. It may set a limit, but a missing limit
+/// does not end one: endpoints need not repeat their limit in answers to health checks.
 pub(super) fn hear_health<B>(
     board: &Shared,
     service: &name::Service,
     at: &At,
     response: &Response<B>,
 ) {
-    if hear_all_but_limit::<Native, B>(board, service, at, response, None) != Said::Mistaken {
+    if observe_all_but_limit::<Native, B>(board, service, at, response, None) != Said::Mistaken {
         throttle::hear::<Native, B>(board, at, response, false);
     }
 }
 
-fn hear_rest<B>(board: &Shared, service: &name::Service, at: &At, response: &Response<B>) {
+/// Records the rest that an endpoint requests, if it does.
+fn record_rest<B>(board: &Shared, service: &name::Service, at: &At, response: &Response<B>) {
     let headers = response.headers();
     let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), now(board));
     match ops::rest::asked(headers, unix_ms) {
@@ -111,10 +114,12 @@
     }
 }
 
-fn hear_leaving(board: &Shared, service: &name::Service, at: &At) {
+/// Records that an endpoint leaves. A configured endpoint, which isn't in the registry, rests
+/// instead.
+fn record_leaving(board: &Shared, service: &name::Service, at: &At) {
     if lock(&board.registry).get(&at.endpoint).is_none() {
         let now = now(board);
-        let length = CONFIGURED_LEAVES;
+        let length = CONFIGURED_LEAVING_REST;
         return lock(&board.rests).note(&at.endpoint, service, at.start, length, now);
     }
     let noted = lock(&board.registry).note_leaving(&at.endpoint, at.start);
--- a/src/scalewood/ops/entry/turn.rs
+++ b/src/scalewood/ops/entry/turn.rs
@@ -1,7 +1,7 @@
-//! A request's turn: from asking for a slot to giving it back.
+//! A request's turn at an endpoint's slot: from asking a dispatcher for it to releasing it.
 //!
-//! A turn that is dropped, because its caller went away, withdraws or gives its slot
-//! back by itself; so no path through the code can lose a slot.
+//! A turn that is dropped, as when its caller disconnects, withdraws its request or releases its
+//! slot, so that no code path can leak a slot.
 
 use std::time::Duration;
 
@@ -15,33 +15,35 @@
     util::{lock::lock, metric},
 };
 
-/// What a request got.
+/// The result of waiting for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Got {
-    /// It may run at the endpoint.
+    /// The request may run at the endpoint.
     Granted(name::Endpoint),
-    /// It is shed, and may come back after the time given; why, where room was wanting and a
-    /// dispatcher of this box decided.
+    /// The request was shed and may be retried after the given time. The cause is known if the
+    /// reason is a lack of capacity and a dispatcher of this box decided.
     Shed(dispatch::Reason, Duration, Option<dispatch::Cause>),
-    /// Endpoints end under it, so it is sent to none.
+    /// Endpoints ended under the request, so it is sent to none.
     HeldBack,
 }
 
-/// How long after its deadline a request waits for a dispatcher to say so.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long after its deadline a request waits for a dispatcher to shed it, and how long the caller
+/// is then told to wait if none did.
+const SHED_GRACE: Duration = Duration::from_secs(1);
 
-/// A request's turn at one attempt.
+/// A request's turn at a slot. Its attempt number rises with each new ask.
 #[derive(Debug)]
 pub(super) struct Turn {
     board: Shared,
     attempt: attempt::Attempt,
     orders: mpsc::UnboundedReceiver<dispatch::Order>,
     content: crash::Content,
-    /// When it is given up on here, if no dispatcher answers.
+    /// When this box sheds the request if no dispatcher has answered.
     until: Duration,
     state: State,
+    /// The tokens that this attempt has delivered.
     tokens: unit::Tokens,
-    /// Whether the run may be preempted, so that its progress matters.
+    /// Whether the run may be preempted, which is when the dispatcher needs its progress.
     preemptible: bool,
 }
 
@@ -49,11 +51,11 @@
 enum State {
     Waiting,
     Running,
-    Over,
+    Ended,
 }
 
 impl Turn {
-    /// Asks for a slot.
+    /// Registers the request's ticket and asks the zone's dispatcher for a slot.
     pub(super) fn ask(
         board: &Shared,
         service: &name::Service,
@@ -63,12 +65,12 @@
         content: &crash::Content,
     ) -> Self {
         let now = now(board);
-        // The configuration in force binds each attempt, not the one that the request met.
+        // Each attempt goes by the configuration in force, not by that of the request's arrival.
         let allowed = source.in_force(&board.view.load().document, &ask.allowed);
         let ask = dispatch::Ask { allowed, ..ask };
         let attempt = ask.attempt;
         let (sender, orders) = mpsc::unbounded_channel();
-        let until = (now + ask.deadline + PATIENCE).saturating_sub(ask.age);
+        let until = (now + ask.deadline + SHED_GRACE).saturating_sub(ask.age);
         let preemptible = ask.preemptible;
         let dispatcher = desk::dispatcher_of(board, service, zone);
         let ticket = Ticket {
@@ -102,12 +104,12 @@
         }
     }
 
-    /// Waits for a slot, or for being shed.
+    /// Waits until the request is granted a slot, shed or held back.
     pub(super) async fn wait(&mut self) -> Got {
         let mut held_back = self.board.held_back.subscribe();
         loop {
             if crash::is_held_back(&self.board, &self.content) {
-                self.leave(|attempt, _| dispatch::Report::Withdraw(attempt));
+                self.finish(|attempt, _| dispatch::Report::Withdraw(attempt));
                 return Got::HeldBack;
             }
             let left = self.until.saturating_sub(now(&self.board));
@@ -116,16 +118,16 @@
                 _ = held_back.changed() => continue,
             };
             let Ok(Some(order)) = order else {
-                // No dispatcher was reached in time.
-                self.leave(|attempt, _| dispatch::Report::Withdraw(attempt));
-                return Got::Shed(dispatch::Reason::Deadline, PATIENCE, None);
+                // No dispatcher answered in time.
+                self.finish(|attempt, _| dispatch::Report::Withdraw(attempt));
+                return Got::Shed(dispatch::Reason::Deadline, SHED_GRACE, None);
             };
             match order {
                 dispatch::Order::Grant(..) if self.board.may_be_stale() => self.decline(),
                 dispatch::Order::Grant(attempt, endpoint) => {
                     let bar = bar(&self.board, self.attempt, &endpoint);
                     if let Some(bar) = bar {
-                        self.turn_down(&endpoint, bar).await;
+                        self.decline_barred(&endpoint, bar).await;
                     } else if self.start(attempt, &endpoint) {
                         return Got::Granted(endpoint);
                     }
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Why the dispatcher here refused it for want of room, if it did; counted.
+    /// Returns and counts the cause if a dispatcher of this box refused the attempt for lack of
+    /// capacity.
     fn cause(&self, attempt: attempt::Attempt) -> Option<dispatch::Cause> {
         let named = self.with_ticket(|ticket| (ticket.service.clone(), ticket.ask.class.clone()));
         let (service, class) = named?;
@@ -155,34 +158,36 @@
         Some(cause)
     }
 
-    /// Whether the request may be sent to an endpoint now, by the configuration in force and by
-    /// what is known of it.
+    /// Returns whether the request may be sent to an endpoint now, by the configuration in force
+    /// and by what this box knows of the endpoint and the request.
     pub(super) fn permits(&self, endpoint: &name::Endpoint) -> bool {
         self.permission(endpoint)()
     }
 
-    /// Asks the same later on, while the turn itself is in use.
+    /// Returns a check like [`Turn::permits`] that can be called while the turn is borrowed.
     pub(super) fn permission(&self, endpoint: &name::Endpoint) -> impl Fn() -> bool + use<> {
         let (board, attempt, endpoint) = (self.board.clone(), self.attempt, endpoint.clone());
         let content = self.content.clone();
         move || bar(&board, attempt, &endpoint).is_none() && !crash::is_held_back(&board, &content)
     }
 
-    /// Gives back a grant at an endpoint that the request may not be sent to, and asks again once
-    /// the dispatcher here must know why: until then it would choose the same.
-    async fn turn_down(&mut self, endpoint: &name::Endpoint, bar: Bar) {
+    /// Declines a grant at an endpoint that the request may not be sent to. Asks again after a
+    /// tick, by when a dispatcher of this box knows the reason; until then it would choose the same
+    /// endpoint.
+    async fn decline_barred(&mut self, endpoint: &name::Endpoint, bar: Bar) {
         self.log_bar(endpoint, bar);
         if bar == Bar::Residency {
             tokio::time::sleep(desk::TICK).await;
             return self.renew_residency();
         }
-        self.give_back();
-        // One that hears of no rests and no leaving goes by this alone.
+        self.release();
+        // A dispatcher that was not told of rests and leaving avoids the endpoint by this alone.
         self.with_ticket(|ticket| ticket.ask.avoid = Some(endpoint.clone()));
         tokio::time::sleep(desk::TICK).await;
         self.ask_again();
     }
 
+    /// Logs why a grant was declined.
     fn log_bar(&self, endpoint: &name::Endpoint, bar: Bar) {
         let board = &self.board;
         match bar {
@@ -201,44 +206,45 @@
         }
     }
 
-    /// Asks by where the configuration allows the request to be served now.
+    /// Asks again with the regions that the configuration in force allows for the request.
     fn renew_residency(&mut self) {
         let now = now(&self.board);
         let document = self.board.view.load().document.clone();
         let renewed = self.with_ticket(|ticket| ticket.renew_residency(&document, now));
         match renewed.flatten() {
-            Some(reports) => reports.into_iter().for_each(|report| self.tell(report)),
+            Some(reports) => reports.into_iter().for_each(|report| self.report(report)),
             None => self.decline(),
         }
     }
 
-    /// Gives back a grant that may have expired while this process was frozen.
+    /// Releases a grant, which may have expired while this process was frozen, and asks again.
     fn decline(&mut self) {
-        self.give_back();
+        self.release();
         self.ask_again();
     }
 
-    /// Gives the slot back of the grant that was asked for last.
-    fn give_back(&self) {
+    /// Releases the slot that was granted to the latest ask, unused.
+    fn release(&self) {
         let asked = self.with_ticket(|ticket| ticket.ask.attempt);
         let unused = dispatch::End::Unused;
-        self.tell(dispatch::Report::End(
+        self.report(dispatch::Report::End(
             asked.unwrap_or(self.attempt),
             unused,
             self.tokens,
         ));
     }
 
-    /// Asks once more, under the next number.
+    /// Asks again under the next attempt number.
     fn ask_again(&mut self) {
         let now = now(&self.board);
         let report = self.with_ticket(|ticket| ticket.tell_anew(now));
         if let Some(report) = report {
-            self.tell(report);
+            self.report(report);
         }
     }
 
-    /// Uses a grant; false if the request has been asked for anew since it was given.
+    /// Starts the run under a grant. Returns false if the grant is for an earlier ask than the
+    /// latest.
     fn start(&mut self, attempt: attempt::Attempt, endpoint: &name::Endpoint) -> bool {
         let now = now(&self.board);
         let started = self.with_ticket(|ticket| {
@@ -256,10 +262,11 @@
         if self.board.limit_of(endpoint).is_some() {
             self.board.metrics.limited_sent.inc();
         }
-        self.tell(dispatch::Report::Started(attempt));
+        self.report(dispatch::Report::Started(attempt));
         true
     }
 
+    /// Calls a function with the request's ticket, if it still exists.
     fn with_ticket<T>(&self, act: impl FnOnce(&mut Ticket) -> T) -> Option<T> {
         let request = self.attempt.request;
         self.board
@@ -269,35 +276,37 @@
             .map(act)
     }
 
-    /// The attempt that runs.
+    /// Returns the current attempt.
     pub(super) fn attempt(&self) -> attempt::Attempt {
         self.attempt
     }
 
-    /// Notes the first token.
+    /// Reports the first token to the dispatcher.
     pub(super) fn first(&self) {
-        self.tell(dispatch::Report::First(self.attempt));
+        self.report(dispatch::Report::First(self.attempt));
     }
 
-    /// Notes that the stream paused for longer than its class bears.
+    /// Reports that the stream paused for longer than its class allows.
     pub(super) fn paused(&self) {
-        self.tell(dispatch::Report::Paused(self.attempt));
+        self.report(dispatch::Report::Paused(self.attempt));
     }
 
-    /// Notes tokens that this attempt has delivered.
+    /// Records the tokens that this attempt has delivered, and reports them now and then if the run
+    /// may be preempted.
     pub(super) fn progress(&mut self, tokens: unit::Tokens) {
-        /// Tokens between two reports: they only steer what is preempted.
-        const STEP: u64 = 32;
-        let told = tokens.0 / STEP > self.tokens.0 / STEP;
+        /// Tokens between two reports. The reports only serve to choose which run to preempt, so
+        /// they need not be exact.
+        const REPORT_INTERVAL_TOKENS: u64 = 32;
+        let is_due = tokens.0 / REPORT_INTERVAL_TOKENS > self.tokens.0 / REPORT_INTERVAL_TOKENS;
         self.tokens = tokens;
-        if !told || !self.preemptible {
+        if !is_due || !self.preemptible {
             return;
         }
         self.with_ticket(|ticket| ticket.tokens = tokens);
-        self.tell(dispatch::Report::Progress(self.attempt, tokens));
+        self.report(dispatch::Report::Progress(self.attempt, tokens));
     }
 
-    /// Waits for the order to stop.
+    /// Waits until the run is preempted.
     pub(super) async fn preempted(&mut self) {
         while let Some(order) = self.orders.recv().await {
             if matches!(order, dispatch::Order::Preempt(_)) {
@@ -307,27 +316,31 @@
         std::future::pending().await
     }
 
-    /// Gives the slot back.
+    /// Releases the slot.
     pub(super) fn end(mut self, end: dispatch::End) {
         if end == dispatch::End::Done {
             crash::finished(&self.board, &self.content);
         }
-        self.leave(|attempt, tokens| dispatch::Report::End(attempt, end, tokens));
+        self.finish(|attempt, tokens| dispatch::Report::End(attempt, end, tokens));
     }
 
-    fn tell(&self, report: dispatch::Report) {
+    /// Sends a report to the request's dispatcher, if one is known.
+    fn report(&self, report: dispatch::Report) {
         let known = self.with_ticket(|t| (t.dispatcher.clone(), t.service.clone()));
         if let Some((Some(to), service)) = known {
             desk::tell(&self.board, &to, &service, report);
         }
     }
 
-    /// Says a last word about the attempt.
-    fn leave(&mut self, word: impl FnOnce(attempt::Attempt, unit::Tokens) -> dispatch::Report) {
-        if self.state == State::Over {
+    /// Ends the turn: removes the ticket and sends a last report to the dispatcher.
+    fn finish(
+        &mut self,
+        last_report: impl FnOnce(attempt::Attempt, unit::Tokens) -> dispatch::Report,
+    ) {
+        if self.state == State::Ended {
             return;
         }
-        self.state = State::Over;
+        self.state = State::Ended;
         let ticket = self
             .board
             .tickets
@@ -335,13 +348,14 @@
             .remove(&self.attempt.request);
         let Some(ticket) = ticket else { return };
         if let Some(to) = ticket.dispatcher {
-            let word = word(ticket.ask.attempt, self.tokens);
-            desk::tell(&self.board, &to, &ticket.service, word);
+            let report = last_report(ticket.ask.attempt, self.tokens);
+            desk::tell(&self.board, &to, &ticket.service, report);
         }
     }
 
+    /// Ends the turn without a report, after the dispatcher has shed the request.
     fn forget(&mut self) {
-        self.state = State::Over;
+        self.state = State::Ended;
         self.board
             .tickets
             .shard(&self.attempt.request)
@@ -349,18 +363,18 @@
     }
 }
 
-/// Why an open request may not be sent to an endpoint.
+/// Why a waiting or running request may not be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bar {
-    /// Its zone is cordoned.
+    /// The endpoint's zone is cordoned.
     Cordon,
-    /// It rests from this box.
+    /// It rests: it asked this box to send it nothing for a while.
     Rest,
-    /// It leaves.
+    /// It is leaving.
     Leaving,
-    /// It limits its requests, which was not known yet when this one was granted.
+    /// It has a request limit that was not known yet when the slot was granted.
     Limit,
-    /// The request may not be served in its region.
+    /// The request may not be served in the endpoint's region.
     Residency,
 }
 
@@ -376,8 +390,8 @@
     }
 }
 
-/// What bars an open request from an endpoint, by the configuration in force and by what this box
-/// has heard of the endpoint, if anything does.
+/// Returns why a request may not be sent to an endpoint, if so, by the configuration in force and
+/// by what this box knows of the endpoint. Counts it if the zone is cordoned or the endpoint rests.
 fn bar(board: &Shared, attempt: attempt::Attempt, endpoint: &name::Endpoint) -> Option<Bar> {
     if board.is_cordoned(endpoint) {
         board.metrics.cordon_declined.inc();
@@ -404,14 +418,14 @@
         }
         ticket.map(|ticket| ticket.source.in_force(&view.document, &ticket.ask.allowed))
     };
-    // Without a ticket there is no request to be sent.
+    // Without a ticket the request is over and must not be sent.
     let permitted = allowed.is_some_and(|allowed| {
         allowed.is_everywhere() || allowed.permits(region_of(board, endpoint).as_ref())
     });
     (!permitted).then_some(Bar::Residency)
 }
 
-/// The region of an endpoint, as far as this box knows.
+/// Returns the region of a registered or configured endpoint, if known.
 fn region_of(board: &Shared, endpoint: &name::Endpoint) -> Option<name::Region> {
     let registered = lock(&board.registry).get(endpoint).map(|r| r.zone.clone());
     let zone = registered.or_else(|| {
@@ -426,14 +440,14 @@
     fn drop(&mut self) {
         match self.state {
             State::Waiting => {
-                self.leave(|attempt, _| dispatch::Report::Withdraw(attempt));
+                self.finish(|attempt, _| dispatch::Report::Withdraw(attempt));
             }
             State::Running => {
-                self.leave(|attempt, tokens| {
+                self.finish(|attempt, tokens| {
                     dispatch::Report::End(attempt, dispatch::End::Cancelled, tokens)
                 });
             }
-            State::Over => {}
+            State::Ended => {}
         }
     }
 }
--- a/src/scalewood/ops/entry/upstream.rs
+++ b/src/scalewood/ops/entry/upstream.rs
@@ -1,8 +1,8 @@
 //! Connections to endpoints.
 //!
-//! What matters here is to know whether a request's bytes can have reached the
-//! endpoint: a connection that was refused, or that hyper gave the request back from
-//! untouched, means that it did not run. All else means that it may have.
+//! Each failure states whether the request may have run. It did not run if the connection was
+//! not established, or if hyper returned the request without having written any of it. In all
+//! other cases it may have run.
 
 use std::{
     collections::HashMap,
@@ -22,13 +22,13 @@
     util::{lock::lock, socket},
 };
 
-/// Idle connections that are kept for each endpoint.
-const IDLE: usize = 32;
+/// The maximum number of idle connections that are kept per endpoint address.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
 
 /// Why an attempt at an endpoint failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Failure {
-    /// How the attempt ended, for the dispatcher.
+    /// How the attempt ended, as reported to the dispatcher.
     pub(super) end: dispatch::End,
     /// Whether the request may have run.
     pub(super) verdict: verdict::Verdict,
@@ -56,20 +56,20 @@
         verdict: verdict::Verdict::MayHaveRun,
     };
 
-    /// It may not be sent there any more: the zone was cordoned, or where it may be served has
-    /// changed. Nothing of it was sent.
+    /// The request may no longer be sent to the endpoint, as when its zone was cordoned or the
+    /// regions that may serve the request changed. Nothing was sent.
     pub(super) const BARRED: Failure = Failure {
         end: dispatch::End::Unused,
         verdict: verdict::Verdict::NotRun,
     };
 
-    /// The caller took nothing of the answer until its time was over.
+    /// The caller read nothing of the answer until the request's time was over.
     pub(super) const UNREAD: Failure = Failure {
         end: dispatch::End::Cancelled,
         verdict: verdict::Verdict::MayHaveRun,
     };
 
-    /// Whether the endpoint that was meant had no part in it.
+    /// Returns whether the request did not reach the intended endpoint.
     pub(super) fn is_miss(self) -> bool {
         matches!(
             self.end,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Opens a connection.
+/// Opens a connection to an endpoint.
 pub(super) async fn dial<B>(
     address: SocketAddr,
     within: Duration,
@@ -91,14 +91,15 @@
     let open = async {
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
-        // Without it a dead peer is noticed late; a failure to set it only slows.
+        // Without this limit on the time without acknowledgement a dead peer is detected late; a
+        // failure to set it only delays that.
         let _ = socket::ENDPOINT.end(&stream);
         http1::handshake(TokioIo::new(stream)).await.ok()
     };
     let opened = tokio::time::timeout(within, open).await.ok().flatten();
     let (sender, connection) = opened.ok_or(Failure::UNREACHABLE)?;
     tokio::spawn(async move {
-        // The connection's end shows at the request that uses it.
+        // The request that uses the connection gets its errors.
         let _ = connection.await;
     });
     Ok(sender)
@@ -106,14 +107,15 @@
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Connections that are kept between requests.
+/// Idle connections that are kept for later requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pool {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<Sender>>>>,
 }
 
 impl Pool {
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    /// Takes an idle connection that is still usable.
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = lock(&self.idle);
         let senders = idle.get_mut(&address)?;
         while let Some(sender) = senders.pop() {
@@ -124,17 +126,17 @@
         None
     }
 
-    /// Gives a connection back whose answer was read to its end.
+    /// Returns a connection to the pool once the answer was read to its end.
     pub(super) fn give_back(&self, address: SocketAddr, sender: Sender) {
         let mut idle = lock(&self.idle);
         let senders = idle.entry(address).or_default();
-        if senders.len() < IDLE && !sender.is_closed() {
+        if senders.len() < MAX_IDLE_PER_ADDRESS && !sender.is_closed() {
             senders.push(sender);
         }
     }
 
-    /// Sends a request and waits for the answer's head. Whether it still may be sent is
-    /// asked once more after a connection was opened.
+    /// Sends a request and waits for the answer's head. Before each use of a connection, also after
+    /// opening one, it checks whether the request may still be sent.
     pub(super) async fn send(
         &self,
         address: SocketAddr,
@@ -143,50 +145,52 @@
         is_permitted: impl Fn() -> bool,
     ) -> Result<(Sender, Response<Incoming>), Failure> {
         let mut request = request;
-        // An idle connection may have been closed meanwhile; hyper gives a request
-        // back that it has not begun to write.
-        while let Some(sender) = self.take(address) {
+        // The endpoint may have closed an idle connection; hyper returns a request that it has
+        // not started to write, and the next connection is tried.
+        while let Some(sender) = self.take_idle(address) {
             if !is_permitted() {
                 return Err(Failure::BARRED);
             }
-            match attempt(sender, request, silence).await {
+            match send_over(sender, request, silence).await {
                 Ok(answered) => return Ok(answered),
-                Err(Unsent::Untouched(untouched)) => request = *untouched,
-                Err(Unsent::Failed(failure)) => return Err(failure),
+                Err(SendError::NotWritten(returned)) => request = *returned,
+                Err(SendError::Failed(failure)) => return Err(failure),
             }
         }
         let sender = dial(address, connect).await?;
         if !is_permitted() {
             return Err(Failure::BARRED);
         }
-        attempt(sender, request, silence)
+        send_over(sender, request, silence)
             .await
-            .map_err(|unsent| match unsent {
-                Unsent::Untouched(_) => Failure::UNREACHABLE,
-                Unsent::Failed(failure) => failure,
+            .map_err(|error| match error {
+                SendError::NotWritten(_) => Failure::UNREACHABLE,
+                SendError::Failed(failure) => failure,
             })
     }
 }
 
-enum Unsent {
-    /// No byte of it was written.
-    Untouched(Box<Request<Full<Bytes>>>),
-    /// It may have been written.
+/// Why no answer came over a connection.
+enum SendError {
+    /// No byte of the request was written; it can be sent over another connection.
+    NotWritten(Box<Request<Full<Bytes>>>),
+    /// The request may have been written.
     Failed(Failure),
 }
 
-async fn attempt(
+/// Sends a request over a connection and waits for the answer's head.
+async fn send_over(
     mut sender: Sender,
     request: Request<Full<Bytes>>,
     silence: Duration,
-) -> Result<(Sender, Response<Incoming>), Unsent> {
+) -> Result<(Sender, Response<Incoming>), SendError> {
     let sent = tokio::time::timeout(silence, sender.try_send_request(request)).await;
     match sent {
-        Err(_) => Err(Unsent::Failed(Failure::SILENT)),
+        Err(_) => Err(SendError::Failed(Failure::SILENT)),
         Ok(Ok(response)) => Ok((sender, response)),
         Ok(Err(mut error)) => Err(match error.take_message() {
-            Some(request) => Unsent::Untouched(Box::new(request)),
-            None => Unsent::Failed(Failure::BROKEN),
+            Some(request) => SendError::NotWritten(Box::new(request)),
+            None => SendError::Failed(Failure::BROKEN),
         }),
     }
 }
