--- a/src/scalewood/ops/entry/crash.rs
+++ b/src/scalewood/ops/entry/crash.rs
@@ -1,4 +1,5 @@
-//! Requests under which endpoints end: finding out, holding them back, and hearing of them.
+//! Requests under which endpoints end: finds out whether an endpoint has ended, holds such
+//! requests back, and shares them with the voters.
 
 use std::{
     collections::BTreeSet,
@@ -23,21 +24,23 @@
     util::{clock::Clock as _, lock::lock},
 };
 
-/// How long an endpoint is waited for that broke off an answer: a port that nobody listens on
-/// refuses a connection within the round trip, also between zones.
-const PROBE: Duration = Duration::from_millis(150);
+/// How long to wait for a connection to an endpoint that broke off an answer. A port without a
+/// listener refuses a connection within one round trip, also between zones.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What a caller sent, as far as it makes two requests the same.
+/// The parts of a caller's request by which equal requests are recognised.
 #[derive(Clone, Debug)]
-pub(super) struct Content(Arc<Sent>);
+pub(super) struct Content(Arc<Request>);
 
+/// The shared data of a [`Content`].
 #[derive(Debug)]
-struct Sent {
+struct Request {
     team: name::Team,
     method: Method,
+    /// Path and query.
     target: String,
     body: Bytes,
-    /// Reckoned only once they are asked for.
+    /// Computed at first use, as is the fingerprint.
     head: OnceLock<HeadHash>,
     fingerprint: OnceLock<Fingerprint>,
 }
@@ -46,7 +49,7 @@
     pub(super) fn new(team: &name::Team, head: &request::Parts, body: Bytes) -> Self {
         let target = head.uri.path_and_query();
         let target = target.map_or("/", |target| target.as_str());
-        Self(Arc::new(Sent {
+        Self(Arc::new(Request {
             team: team.clone(),
             method: head.method.clone(),
             target: target.to_owned(),
@@ -56,26 +59,28 @@
         }))
     }
 
+    /// Returns the hash of the team, method, target and length of the body.
     fn head(&self) -> HeadHash {
-        let sent = &self.0;
+        let request = &self.0;
         let hash = || {
             let head = Head {
-                team: sent.team.as_str(),
-                method: sent.method.as_str(),
-                target: &sent.target,
+                team: request.team.as_str(),
+                method: request.method.as_str(),
+                target: &request.target,
             };
-            HeadHash::of(&head, sent.body.len())
+            HeadHash::of(&head, request.body.len())
         };
-        *sent.head.get_or_init(hash)
+        *request.head.get_or_init(hash)
     }
 
+    /// Returns the fingerprint, which covers the body.
     pub(super) fn fingerprint(&self) -> Fingerprint {
         let read = || Fingerprint::of(self.head(), &self.0.body);
         *self.0.fingerprint.get_or_init(read)
     }
 }
 
-/// The start of an endpoint that a request was sent to, as it was known then.
+/// The endpoint that a request was sent to, with its start and address as known at that time.
 #[derive(Clone, Debug)]
 pub(super) struct At {
     pub(super) endpoint: name::Endpoint,
@@ -85,7 +90,7 @@
     pub(super) sent_at: Duration,
 }
 
-/// Finds out whether an endpoint that broke off a request has ended, and notes it if so.
+/// Checks whether an endpoint that broke off a request has ended, and records it if so.
 pub(super) async fn note(board: &Shared, content: &Content, request: &str, at: &At) {
     let broke_at = now(board);
     if !has_ended(at.address).await {
@@ -102,32 +107,33 @@
         at_unix_ms: unix_ms,
         ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
     };
-    change(board, |book| book.ended(fingerprint, end, broke_at));
+    update(board, |book| book.ended(fingerprint, end, broke_at));
 }
 
-/// Takes what a voter tells of requests under which endpoints have ended.
+/// Merges the rows that a voter sent about requests under which endpoints ended.
 pub(super) fn take(board: &Shared, rows: Vec<crash::Row>) {
     if rows.is_empty() {
         return;
     }
     let now = now(board);
-    change(board, |book| {
+    update(board, |book| {
         for row in rows {
             book.merge(row, false, now);
         }
     });
 }
 
-/// Notes that a request was run to its end. Most are never known of.
+/// Records that a request ran to completion, which clears what is known against it. Most requests
+/// are not known at all.
 pub(super) fn finished(board: &Shared, content: &Content) {
     if is_known(board, content) {
         let fingerprint = content.fingerprint();
         let now = now(board);
-        change(board, |book| book.clear(&fingerprint, now));
+        update(board, |book| book.clear(&fingerprint, now));
     }
 }
 
-/// Whether a request is held back; notes that it came if so.
+/// Returns whether a request is held back, and records its arrival if so.
 pub(super) fn is_held_back(board: &Shared, content: &Content) -> bool {
     if !is_known(board, content) {
         return false;
@@ -142,13 +148,14 @@
     is_held_back
 }
 
-/// The fingerprint of a request of which something is known, for the log.
+/// Returns the fingerprint of a request for the log, if the book may know the request.
 pub(super) fn known_fingerprint(board: &Shared, content: &Content) -> Option<String> {
     is_known(board, content).then(|| content.fingerprint().to_string())
 }
 
-/// Whether anything may be known of a request. Its body is read only then: reading one of 4 MiB
-/// takes some 3 ms of a core, and nothing is known of almost all.
+/// Returns whether the book may know a request, by the hash of its head. The fingerprint is
+/// computed only then: for a body of 4 MiB it takes about 3 ms of a core, and almost no request
+/// is known.
 fn is_known(board: &Shared, content: &Content) -> bool {
     if lock(&board.crashes).is_empty() {
         return false;
@@ -157,34 +164,34 @@
     lock(&board.crashes).knows(head)
 }
 
-/// Changes what is known; logs the requests that are held back from then on, and wakes those that
-/// wait if there are any.
-fn change<T>(board: &Shared, act: impl FnOnce(&mut crash::Book) -> T) {
+/// Applies a change to the book, logs the requests that it holds back from now on, and if there
+/// are any wakes the waiting requests to check themselves.
+fn update<T>(board: &Shared, act: impl FnOnce(&mut crash::Book) -> T) {
     let mut book = lock(&board.crashes);
     let before: BTreeSet<_> = book.held_back().map(|(known, _)| *known).collect();
     act(&mut book);
-    let news = book
+    let added = book
         .held_back()
         .filter(|(known, _)| !before.contains(known));
-    let news: Vec<_> = news.map(|(known, ends)| (*known, ends.to_vec())).collect();
+    let added: Vec<_> = added.map(|(known, ends)| (*known, ends.to_vec())).collect();
     let (_, count) = book.counts();
     drop(book);
     let metric = i64::try_from(count).unwrap_or(i64::MAX);
     board.metrics.held_back.set(metric);
-    for (fingerprint, ends) in &news {
+    for (fingerprint, ends) in &added {
         let end = |end: &crash::End| format!("{}@{}", end.endpoint, end.at_unix_ms);
         let ends: Vec<_> = ends.iter().map(end).collect();
         event!(board.log, RequestHeldBack, "fingerprint" => %fingerprint,
             "ends" => ends.join(" "));
     }
-    if !news.is_empty() {
+    if !added.is_empty() {
         board.held_back.send_modify(|changes| *changes += 1);
     }
 }
 
-/// Whether nobody listens at an address. An endpoint that broke off one answer and goes on
-/// takes the connection, and one that is cut off leaves it unanswered.
+/// Returns whether an address refuses connections. An endpoint that broke off an answer but still
+/// runs accepts the connection, and one behind a network partition doesn't answer.
 async fn has_ended(address: SocketAddr) -> bool {
-    let connected = tokio::time::timeout(PROBE, TcpStream::connect(address)).await;
+    let connected = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
--- a/src/scalewood/ops/entry/fetch.rs
+++ b/src/scalewood/ops/entry/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches the configuration from voters that tell of a newer one than is in force here.
+//! Fetches the configuration from voters that announce a newer revision than the one in force.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,69 +13,73 @@
     wire::registry::{RegistryClient as _, Update},
 };
 
-/// How long a voter may take to give a configuration.
-const ANSWER: Duration = Duration::from_secs(2);
-/// How often a box looks at how far it is behind.
-const LOOK: Duration = Duration::from_secs(1);
+/// How long a voter may take to send a configuration.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often a box checks how long it has been behind, and logs it if that is at least as long.
+const BEHIND_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a voter gave nothing that could be used.
+/// Why a fetch from a voter failed.
 #[derive(Debug)]
 enum Failure {
-    /// It is not connected any more.
-    Lost,
-    /// It did not answer in time.
-    Silent,
-    /// It answered with an error.
+    /// The voter is no longer connected.
+    Disconnected,
+    /// The voter did not answer in time.
+    TimedOut,
+    /// The voter answered with an error.
     Refused(ClientError),
-    /// What it gave can't be read.
-    Unreadable(serde_json::Error),
-    /// It gave nothing that is newer here.
-    Nothing,
+    /// The document in the answer can't be parsed.
+    Malformed(serde_json::Error),
+    /// The answer held nothing newer than the configuration in force.
+    NotNewer,
 }
 
 impl std::fmt::Display for Failure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Lost => f.write_str("the connection was lost"),
-            Self::Silent => write!(f, "no answer in {} ms", ANSWER.as_millis()),
-            Self::Refused(error) => write!(f, "it answered with an error: {error}"),
-            Self::Unreadable(error) => write!(f, "it can't be read: {error}"),
-            Self::Nothing => f.write_str("it gave nothing newer than what is in force"),
+            Self::Disconnected => f.write_str("the connection was lost"),
+            Self::TimedOut => write!(f, "no answer in {} ms", ANSWER_TIMEOUT.as_millis()),
+            Self::Refused(error) => write!(f, "the voter answered with an error: {error}"),
+            Self::Malformed(error) => write!(f, "the document can't be parsed: {error}"),
+            Self::NotNewer => {
+                f.write_str("the answer held nothing newer than the configuration in force")
+            }
         }
     }
 }
 
-/// Fetches for ever.
+/// Fetches announced revisions, forever.
 pub(super) async fn run(board: Shared, followed: Followed) {
-    let mut asked = FuturesUnordered::new();
+    let mut fetches = FuturesUnordered::new();
     let mut feed = board.feed.watch();
-    let mut looked_at = Duration::ZERO;
+    let mut logged_at = Duration::ZERO;
     loop {
-        let caught_up = note_reached(&board, feed.borrow_and_update().revision);
+        let caught_up = record_revision(&board, feed.borrow_and_update().revision);
         if caught_up {
-            // Whoever has not answered is not waited for.
-            asked.clear();
+            // The answers of other voters are no longer needed.
+            fetches.clear();
         }
-        look(&board, &mut looked_at);
+        log_if_behind(&board, &mut logged_at);
         let at = now(&board);
         while let Some(voter) = lock(&board.catchup).next(at) {
-            asked.push(ask(board.clone(), followed.clone(), voter));
+            fetches.push(fetch_from(board.clone(), followed.clone(), voter));
         }
         let due = lock(&board.catchup).due(at);
-        let wait = due.map_or(LOOK, |due| due.saturating_sub(at).min(LOOK));
+        let wait = due.map_or(BEHIND_CHECK_INTERVAL, |due| {
+            due.saturating_sub(at).min(BEHIND_CHECK_INTERVAL)
+        });
         tokio::select! {
             () = board.told.notified() => {}
             changed = feed.changed() => if changed.is_err() { return },
-            Some((voter, gave)) = asked.next() => {
-                lock(&board.catchup).answered(voter, gave, now(&board));
+            Some((voter, succeeded)) = fetches.next() => {
+                lock(&board.catchup).answered(voter, succeeded, now(&board));
             }
             () = tokio::time::sleep(wait) => {}
         }
     }
 }
 
-/// Notes the revision in force; tells whether no voter has a newer one.
-fn note_reached(board: &Shared, own: unit::Revision) -> bool {
+/// Records the revision in force, and returns whether no voter announced a newer one.
+fn record_revision(board: &Shared, own: unit::Revision) -> bool {
     let mut catchup = lock(&board.catchup);
     let caught_up = catchup.reached(own);
     let behind = catchup.behind(now(board));
@@ -83,28 +87,29 @@
     caught_up
 }
 
-/// Logs that the box is behind, once in a while.
-fn look(board: &Shared, looked_at: &mut Duration) {
+/// Logs that the box is behind, at most once in [`BEHIND_CHECK_INTERVAL`].
+fn log_if_behind(board: &Shared, logged_at: &mut Duration) {
     let now = now(board);
     let (behind, newest) = {
         let catchup = lock(&board.catchup);
         (catchup.behind(now), catchup.newest())
     };
-    if behind < LOOK || now < *looked_at + LOOK {
+    if behind < BEHIND_CHECK_INTERVAL || now < *logged_at + BEHIND_CHECK_INTERVAL {
         return;
     }
-    *looked_at = now;
+    *logged_at = now;
     event!(board.log, RevisionBehind, "revision" => %board.feed.current().revision,
         "newest" => %newest, "behind_ms" => behind.as_millis());
 }
 
-/// Asks a voter, and has what it gives in force; tells whether it gave any.
-async fn ask(board: Shared, followed: Followed, voter: SocketAddr) -> (SocketAddr, bool) {
+/// Fetches the configuration from a voter, puts it in force and logs the result. Returns the voter
+/// and whether it succeeded.
+async fn fetch_from(board: Shared, followed: Followed, voter: SocketAddr) -> (SocketAddr, bool) {
     let asked_at = now(&board);
     let client = lock(&followed).get(&voter).and_then(|v| v.client.clone());
     let taken = match client {
         Some(client) => fetch(&board, &client).await,
-        None => Err(Failure::Lost),
+        None => Err(Failure::Disconnected),
     };
     let took = now(&board).saturating_sub(asked_at);
     match &taken {
@@ -113,7 +118,7 @@
             event!(board.log, RevisionInForce, "revision" => %revision, "voter" => %voter,
                 "took_ms" => took.as_millis(), "behind_ms" => behind.as_millis());
         }
-        Err(why @ Failure::Unreadable(_)) => {
+        Err(why @ Failure::Malformed(_)) => {
             event!(board.log, DocumentUnreadable, "voter" => %voter, "why" => %why);
         }
         Err(why) => {
@@ -124,21 +129,23 @@
     (voter, taken.is_ok())
 }
 
+/// Requests the changes since the revision in force and publishes them in this process. Returns
+/// the new revision.
 async fn fetch(board: &Shared, client: &WsClient) -> Result<unit::Revision, Failure> {
     let before = board.feed.current().revision;
-    let asked = tokio::time::timeout(ANSWER, client.document(before)).await;
-    let answer = asked.map_err(|_| Failure::Silent)?;
+    let asked = tokio::time::timeout(ANSWER_TIMEOUT, client.document(before)).await;
+    let answer = asked.map_err(|_| Failure::TimedOut)?;
     match answer.map_err(Failure::Refused)? {
-        None => return Err(Failure::Nothing),
+        None => return Err(Failure::NotNewer),
         Some(Update::Steps(steps)) => {
             for step in steps {
-                // What another source has brought meanwhile does not fit any more.
+                // A step that another voter's answer has made obsolete is ignored.
                 board.feed.publish_step(step);
             }
         }
         Some(Update::Whole(whole)) => {
             let document = serde_json::from_str(whole.document.get());
-            let document = document.map_err(Failure::Unreadable)?;
+            let document = document.map_err(Failure::Malformed)?;
             board.feed.publish_whole(whole.revision, Arc::new(document));
         }
     }
@@ -146,6 +153,6 @@
     if revision > before {
         Ok(revision)
     } else {
-        Err(Failure::Nothing)
+        Err(Failure::NotNewer)
     }
 }
--- a/src/scalewood/ops/entry/health.rs
+++ b/src/scalewood/ops/entry/health.rs
@@ -1,4 +1,4 @@
-//! Liveness, readiness and metrics, on a port of their own, by warp.
+//! Liveness, readiness and metrics, served by warp on a port of their own.
 
 use std::{net::SocketAddr, sync::atomic::Ordering};
 
@@ -7,7 +7,7 @@
 
 use crate::ops::entry::{Error, Shared};
 
-/// Serves `/healthz`, readiness at its path, and `/metrics`.
+/// Serves `/healthz`, `/metrics`, and readiness at the given path.
 pub(super) async fn serve(
     address: SocketAddr,
     ready_path: &'static str,
--- a/src/scalewood/ops/entry/server.rs
+++ b/src/scalewood/ops/entry/server.rs
@@ -1,4 +1,4 @@
-//! What an entry box takes from the other boxes.
+//! The RPC server of an entry box for the other entry boxes.
 
 use std::time::Duration;
 
@@ -16,13 +16,14 @@
     wire::peer::{Batch, PeerServer, Probe},
 };
 
-/// The most orders in one message.
-const BATCH: usize = 512;
+/// The maximum number of orders in one message.
+const MAX_ORDERS_PER_MESSAGE: usize = 512;
 
-/// How long a box that lost its link has to come back before its requests are void.
-const RETURN: Duration = Duration::from_secs(3);
+/// How long a box whose subscription ended has to subscribe again before the dispatchers forget
+/// its requests.
+const RECONNECT_GRACE: Duration = Duration::from_secs(3);
 
-/// Takes calls of other boxes.
+/// Handles the calls of other boxes.
 #[derive(Debug)]
 pub(super) struct Server {
     board: Shared,
@@ -43,7 +44,7 @@
 
     async fn report(&self, from: name::Box, batches: Vec<Batch>) -> RpcResult<()> {
         if self.board.may_be_stale() {
-            // The link is lost by this, and all is told anew over the next.
+            // The peer drops the link on this error and reports everything again over a new one.
             return Err(stale());
         }
         for batch in batches {
@@ -63,7 +64,9 @@
         let mut orders = Vec::new();
         loop {
             tokio::select! {
-                count = receiver.recv_many(&mut orders, BATCH) => if count == 0 { break },
+                count = receiver.recv_many(&mut orders, MAX_ORDERS_PER_MESSAGE) => {
+                    if count == 0 { break }
+                }
                 () = sink.closed() => break,
             }
             let raw = serde_json::value::to_raw_value(&std::mem::take(&mut orders))?;
@@ -72,7 +75,7 @@
             }
         }
         unsubscribe(&self.board, &from, &sender);
-        tokio::time::sleep(RETURN).await;
+        tokio::time::sleep(RECONNECT_GRACE).await;
         if !lock(&self.board.subscribers).contains_key(&from) {
             desk::forget(&self.board, &from);
         }
@@ -106,7 +109,7 @@
     }
 }
 
-/// Ends a subscription; a newer one of the same box stays.
+/// Removes a box's subscription unless the box has subscribed again since.
 fn unsubscribe(board: &Shared, from: &name::Box, sender: &mpsc::UnboundedSender<dispatch::Order>) {
     let mut subscribers = lock(&board.subscribers);
     if subscribers
@@ -117,9 +120,13 @@
     }
 }
 
-/// The error for reports that may have waited since before a freeze.
+/// Returns the error for reports that may have been queued since before this process was frozen.
 fn stale() -> ErrorObjectOwned {
-    /// The code of the error; only people read it.
+    /// The error code; no program reads it.
     const CODE: i32 = 1;
-    ErrorObjectOwned::owned(CODE, "this box was frozen; make the link anew", None::<()>)
+    ErrorObjectOwned::owned(
+        CODE,
+        "this box was frozen; reconnect and report everything again",
+        None::<()>,
+    )
 }
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -1,4 +1,4 @@
-//! The limits that endpoints set to requests, and this box's permits, as far as it knows.
+//! The request limits of endpoints as known to this box, and this box's permits under them.
 
 use std::{fmt, time::Duration};
 
@@ -11,11 +11,11 @@
     util::lock::lock,
 };
 
-/// Notes the limit that an endpoint names in an answer's head; or that it names none any more,
-/// where this is its answer to the request itself.
+/// Records the limit in an answer's headers. A missing header ends the limit only if the answer
+/// is the endpoint's own to the request (`is_own`).
 pub(super) fn hear<D: Dialect, B>(board: &Shared, at: &At, response: &Response<B>, is_own: bool) {
     let values = response.headers().get_all(D::LIMIT).into_iter();
-    // What is no text is no number either.
+    // A value that is not text is not a number either; "?" parses as invalid.
     let values: Vec<_> = values.map(|value| value.to_str().unwrap_or("?")).collect();
     let limit = match throttle::read(values.iter().copied()) {
         throttle::Said::Limit(limit) => Some(limit),
@@ -39,10 +39,10 @@
         start: at.start,
         limit,
     };
-    set(board, vec![change], &board.own.name);
+    apply(board, vec![change], &board.own.name);
 }
 
-/// Takes limits that a voter tells.
+/// Merges the limits that a voter sent.
 pub(super) fn merge(board: &Shared, rows: &[throttle::Row], by: impl fmt::Display) {
     let now = now(board);
     let changed: Vec<_> = {
@@ -56,12 +56,13 @@
         changed.map(change).collect()
     };
     if !changed.is_empty() {
-        set(board, changed, by);
+        apply(board, changed, by);
     }
 }
 
-/// Has the dispatchers here go by limits that have changed, as a box or voter told them.
-fn set(board: &Shared, changes: Vec<dispatch::LimitChange>, by: impl fmt::Display) {
+/// Logs changed limits, with the box or voter they came from, and applies them to the dispatchers
+/// of this box.
+fn apply(board: &Shared, changes: Vec<dispatch::LimitChange>, by: impl fmt::Display) {
     for change in &changes {
         let endpoint = &change.endpoint;
         let start = change.start.map(|start| start.0);
@@ -80,7 +81,7 @@
     }
 }
 
-/// Marks the endpoints that limit their requests in what a dispatcher is configured with.
+/// Sets the limits of endpoints in the specs that a dispatcher is configured with.
 pub(super) fn mark(board: &Shared, input: &mut dispatch::Input) {
     let (dispatch::Input::Configure(specs, _) | dispatch::Input::Changed(specs, _)) = input else {
         return;
@@ -92,7 +93,7 @@
     }
 }
 
-/// The permits that the dispatchers here want.
+/// Returns the permits that the dispatchers of this box want.
 pub(super) fn wanted(board: &Shared) -> Vec<throttle::Wanted> {
     let now = now(board);
     let mut wanted = Vec::new();
@@ -104,7 +105,8 @@
     wanted
 }
 
-/// Takes the permits that a voter issued to a question asked at a time.
+/// Gives the permits that a voter issued to the dispatchers of this box. Their validity counts
+/// from when they were asked for.
 pub(super) fn take(board: &Shared, issued: Vec<throttle::Issued>, asked: Duration) {
     if issued.is_empty() {
         return;
@@ -122,7 +124,7 @@
     }
 }
 
-/// Since when a start of an endpoint is known here to limit its requests, if it does.
+/// Returns since when this box has known the limit of a start of an endpoint, if there is one.
 pub(super) fn limited_since(
     board: &Shared,
     endpoint: &name::Endpoint,
--- a/src/scalewood/ops/entry/warmth.rs
+++ b/src/scalewood/ops/entry/warmth.rs
@@ -1,4 +1,4 @@
-//! Which endpoints warm up, as far as this box knows.
+//! The endpoints that warm up after a start, as known to this box.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     util::{lock::lock, metric::ServiceLabel},
 };
 
-/// Marks the endpoints of a service that warm up in what its dispatcher is configured with.
+/// Marks the warming endpoints of a service in the specs that its dispatcher is configured with.
 pub(super) fn mark(
     board: &Shared,
     view: &View,
@@ -37,12 +37,12 @@
             continue;
         };
         spec.standing.warming = Some(warm_up::Warming::new(until, &rate, &board.own.leeway));
-        note(board, &spec.name, until, source, belief.age(now));
+        record(board, &spec.name, until, source, belief.age(now));
     }
 }
 
-/// Notes a warm-up that is believed in.
-fn note(
+/// Records the end of a warm-up, and logs a warm-up that was not known yet.
+fn record(
     board: &Shared,
     endpoint: &name::Endpoint,
     until: Duration,
@@ -62,8 +62,8 @@
         "age_ms" => age.map(|age| age.as_millis()));
 }
 
-/// Counts what the dispatchers here sent to endpoints that warm up, and kept from them and from
-/// those that limit their requests.
+/// Updates the metrics of requests that the dispatchers of this box sent to warming endpoints, and
+/// of those that they kept back from warming endpoints and from endpoints with a limit.
 pub(super) fn count(board: &Shared) {
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
@@ -85,15 +85,15 @@
     });
 }
 
-/// Notes the warm-ups that have ended.
+/// Removes and logs the warm-ups that have ended, and updates the metric of warming endpoints.
 pub(super) fn sweep(board: &Shared) {
     let now = now(board);
     let registry = lock(&board.registry);
     lock(&board.warming).retain(|endpoint, until| {
-        let said = registry.warm_up(endpoint);
-        let lasts = now < *until && said.is_some();
+        let belief = registry.warm_up(endpoint);
+        let lasts = now < *until && belief.is_some();
         if !lasts {
-            let age = said.and_then(|belief| belief.age(now));
+            let age = belief.and_then(|belief| belief.age(now));
             event!(board.log, WarmUpEnded, "endpoint" => %endpoint,
                 "age_ms" => age.map(|age| age.as_millis()));
         }
