--- a/src/scalewood/ops/entry/call.rs
+++ b/src/scalewood/ops/entry/call.rs
@@ -321,7 +321,7 @@
             dispatch::Reason::Overload => {
                 "all endpoints have too many prompt tokens to process; retry later"
             }
-            dispatch::Reason::NoEndpoint => "the service has no endpoint in this zone; retry later",
+            dispatch::Reason::NoEndpoint => "the service has no endpoint in the zone; retry later",
             dispatch::Reason::Cordoned => {
                 "the service's endpoints are in cordoned zones; retry later"
             }
--- a/src/scalewood/ops/entry/dialect.rs
+++ b/src/scalewood/ops/entry/dialect.rs
@@ -47,7 +47,7 @@
     pub left: Duration,
     /// The team that sent the request.
     pub team: Option<&'a name::Team>,
-    /// The request's tier, by which the endpoint may prioritise it.
+    /// The request's rank, from its route's tier and its team's tier; 0 is the highest priority.
     pub rank: unit::Tier,
     /// The id of the last event that the caller received, if a stream is resumed.
     pub after: Option<&'a str>,
@@ -116,13 +116,13 @@
 /// The tokens of the prompt and the maximum tokens of the answer, separated by a comma.
 const TOKENS_HEADER: &str = "scalewood-tokens";
 /// The parts of the prompt in order, separated by commas, each as its id in hexadecimal, a colon
-/// and its tokens. Requests whose first parts are equal are placed together.
+/// and its tokens. Requests whose first parts are equal share their prefill.
 const PARTS_HEADER: &str = "scalewood-parts";
 /// The endpoint that is to run the request.
 const ENDPOINT_HEADER: &str = "scalewood-endpoint";
 /// The team that sent the request.
 const TEAM_HEADER: &str = "scalewood-team";
-/// The request's tier.
+/// The request's rank; 0 is the highest priority.
 const RANK_HEADER: &str = "scalewood-rank";
 /// Whether the request may have run.
 const VERDICT_HEADER: &str = "scalewood-verdict";
