--- a/src/scalewood/ops/entry/beat.rs
+++ b/src/scalewood/ops/entry/beat.rs
@@ -1,4 +1,4 @@
-//! Tells the voters which revision is in force here, for the status page.
+//! Reports this box's state to the voters, for the status page.
 
 use std::{net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
@@ -12,22 +12,22 @@
     wire::control::{Beat, ControlClient as _},
 };
 
-/// How often the voters are told.
+/// The interval between two reports to a voter.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Tells all voters, for ever; one that does not answer is left out till the next.
+/// Reports to all voters, for ever. A voter that can't be reached is tried again after `PERIOD`.
 pub(super) async fn run(board: Shared, voters: Vec<SocketAddr>) {
     for voter in voters {
-        tokio::spawn(tell(board.clone(), voter));
+        tokio::spawn(report_to(board.clone(), voter));
     }
 }
 
-async fn tell(board: Shared, voter: SocketAddr) {
+async fn report_to(board: Shared, voter: SocketAddr) {
     let mut feed = board.feed.watch();
     loop {
         if let Ok(client) = rpc::connect(voter).await {
-            while client.beat(beat(&board)).await.is_ok() {
-                // A new revision is told at once.
+            while client.beat(report(&board)).await.is_ok() {
+                // A new revision is reported at once.
                 let _ = tokio::time::timeout(PERIOD, feed.changed()).await;
             }
         }
@@ -35,7 +35,7 @@
     }
 }
 
-fn beat(board: &Shared) -> Beat {
+fn report(board: &Shared) -> Beat {
     let mut dispatches = desk::held(board);
     dispatches.sort();
     Beat {
@@ -49,8 +49,8 @@
     }
 }
 
-/// The most endpoints that are told: enough to see that there are many.
-const MOST: usize = 16;
+/// The most endpoints listed in each part of a report: enough to show that there are many.
+const MAX_LISTED: usize = 16;
 
 fn rests(board: &Shared) -> Vec<(name::Endpoint, u64)> {
     let now = now(board);
@@ -59,12 +59,12 @@
         let left = rest.until.saturating_sub(now).as_millis();
         (name.clone(), u64::try_from(left).unwrap_or(u64::MAX))
     };
-    rests.all(now).take(MOST).map(left).collect()
+    rests.all(now).take(MAX_LISTED).map(left).collect()
 }
 
 fn limits(board: &Shared) -> Vec<(name::Endpoint, throttle::Limit)> {
     let throttles = lock(&board.throttles);
-    let limited = throttles.all().take(MOST);
+    let limited = throttles.all().take(MAX_LISTED);
     limited
         .map(|(name, _, limit)| (name.clone(), limit))
         .collect()
--- a/src/scalewood/ops/entry/desk.rs
+++ b/src/scalewood/ops/entry/desk.rs
@@ -1,9 +1,9 @@
-//! The desk: holds dispatchers, and speaks to those that hold this box's requests.
+//! Runs the dispatchers of this box, and exchanges messages with those that serve its requests.
 //!
-//! For each service of the zone the box with the highest rendezvous hash among those
-//! alive dispatches. When that changes, each box tells the new dispatcher all that
-//! it holds or waits for, between `Hello` and `Announced`, and takes no more grants
-//! from the old one. So the new one knows everything once all have announced.
+//! Each service of a zone is dispatched by the live box with the highest rendezvous hash. When
+//! that box changes, every box ignores the grants of the old dispatcher and reports to the new
+//! one all requests that it holds or waits for, between `Hello` and `Announced`. So the new
+//! dispatcher knows every request once all boxes have sent `Announced`.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -23,20 +23,20 @@
     wire::peer::Load,
 };
 
-/// How often dispatchers are told that time has passed.
+/// The interval between two ticks of the dispatchers.
 pub(super) const TICK: Duration = Duration::from_millis(20);
-/// How often requests are checked to be with the right dispatcher.
-const RECONCILE: Duration = Duration::from_millis(200);
-/// How long lies between two times at which dispatchers are configured with all endpoints, for each
-/// endpoint: it takes some microseconds each.
-const CONFIGURE_EACH: Duration = Duration::from_micros(500);
-/// How long a box that has just started waits at most, before it says that it is ready, to hear
-/// which requests are held back: an exchange with a voter takes a tenth of that.
-const HELD_BACK_WAIT: Duration = Duration::from_secs(1);
-/// Items whose regions are unknown that are named in the log, for each configuration.
-const MAX_DOUBTS: usize = 16;
-
-/// Which box dispatches a service in a zone, as far as is known here.
+/// How often each request is checked to be with the right dispatcher.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(200);
+/// The least interval between two full configurations of the dispatchers, for each endpoint
+/// in the registry: a full configuration takes some microseconds per endpoint.
+const CONFIGURE_INTERVAL_PER_ENDPOINT: Duration = Duration::from_micros(500);
+/// How long a box waits after its first configuration for a voter to report the requests that
+/// are held back, before it is ready anyway. An exchange with a voter takes a tenth of that.
+const MAX_HELD_BACK_WAIT: Duration = Duration::from_secs(1);
+/// The most items that no known region may serve that are logged for each configuration.
+const MAX_UNKNOWN_LOGGED: usize = 16;
+
+/// Returns the box that dispatches a service in a zone, as far as this box knows.
 pub(super) fn dispatcher_of(
     board: &Shared,
     service: &name::Service,
@@ -49,11 +49,11 @@
     }
     let alive = board.alive.load();
     let winner = rendezvous::winner(&[service.as_str(), zone.as_str()], alive.iter());
-    // The last box of a zone dispatches to its end.
+    // The last box of a zone dispatches until it stops.
     Some(winner.unwrap_or(&board.own.name).clone())
 }
 
-/// Tells a request's dispatcher something about it.
+/// Sends a report about a request to its dispatcher.
 pub(super) fn tell(
     board: &Shared,
     to: &name::Box,
@@ -61,20 +61,20 @@
     mut report: dispatch::Report,
 ) {
     if let dispatch::Report::Ask(ask) = &mut report {
-        let in_vain = ask.avoid.as_ref();
-        ask.rests = lock(&board.rests).news(to, service, in_vain, now(board));
-        // The dispatcher goes by the starts that are known now.
+        let failed_at = ask.avoid.as_ref();
+        ask.rests = lock(&board.rests).news(to, service, failed_at, now(board));
+        // Each rest goes with the current start of its endpoint; those that are over are left out.
         ask.rests.retain_mut(|told| board.renew_rest(told));
     }
     if *to == board.own.name {
         take(board, &board.own.name.clone(), service, vec![report]);
     } else if let Some(link) = board.link(to) {
-        // A link that is down loses it; when it is up again all is told anew.
+        // Lost if the link is down: everything is reported again when it is back up.
         let _ = link.send((service.clone(), report));
     }
 }
 
-/// Takes reports for a dispatcher that is held here.
+/// Handles reports for a dispatcher of this box; opens the dispatcher if there is none.
 pub(super) fn take(
     board: &Shared,
     from: &name::Box,
@@ -85,7 +85,7 @@
     {
         let mut shard = board.dispatchers.shard(service);
         let dispatcher = shard.entry(service.clone()).or_insert_with(|| {
-            let (dispatcher, orders) = open(board, service);
+            let (dispatcher, orders) = open_dispatcher(board, service);
             outputs.extend(orders);
             dispatcher
         });
@@ -97,7 +97,10 @@
     route(board, outputs);
 }
 
-fn open(board: &Shared, service: &name::Service) -> (dispatch::Dispatcher, Vec<dispatch::Output>) {
+fn open_dispatcher(
+    board: &Shared,
+    service: &name::Service,
+) -> (dispatch::Dispatcher, Vec<dispatch::Output>) {
     event!(board.log, DispatcherTaken, "service" => %service);
     let now = now(board);
     let settings = dispatch::Settings {
@@ -114,7 +117,7 @@
     (dispatcher, outputs)
 }
 
-/// What a dispatcher of a service here is configured with.
+/// Returns the configuration of a service's dispatcher on this box.
 fn configuration(board: &Shared, view: &View, service: &name::Service) -> dispatch::Input {
     let registry = lock(&board.registry);
     let mut input = view.dispatch_input(service, &board.own.zone, &registry, &board.own.regions);
@@ -123,15 +126,15 @@
     input
 }
 
-/// The boxes whose requests the dispatchers here take. This one belongs to them also
-/// while it stops: what it holds it serves to its end.
+/// Returns the boxes whose requests the dispatchers here accept. This box is always one of
+/// them, also while it stops, since it serves the requests that it has to their end.
 fn alive(board: &Shared) -> BTreeSet<name::Box> {
     let mut alive: BTreeSet<_> = board.alive.load().iter().cloned().collect();
     alive.insert(board.own.name.clone());
     alive
 }
 
-/// Gives a dispatcher that is held here something that is no report.
+/// Passes an input other than a report to a dispatcher of this box.
 pub(super) fn input(board: &Shared, service: &name::Service, input: dispatch::Input) {
     let outputs = {
         let mut shard = board.dispatchers.shard(service);
@@ -143,7 +146,7 @@
     route(board, outputs);
 }
 
-/// The services that this box dispatches.
+/// Returns the services that this box dispatches.
 pub(super) fn held(board: &Shared) -> Vec<name::Service> {
     let mut held = Vec::new();
     board
@@ -152,7 +155,7 @@
     held
 }
 
-/// What the endpoint of an attempt was chosen by, if a dispatcher here chose it.
+/// Returns the estimates by which a dispatcher here chose the endpoint of an attempt, if it did.
 pub(super) fn basis(
     board: &Shared,
     service: &name::Service,
@@ -162,7 +165,7 @@
     shard.get(service)?.basis(attempt)
 }
 
-/// Why an attempt was refused for want of room, if a dispatcher here refused it.
+/// Returns why a dispatcher here refused an attempt for lack of capacity, if it did.
 pub(super) fn cause(
     board: &Shared,
     service: &name::Service,
@@ -172,8 +175,8 @@
     shard.get_mut(service)?.take_cause(attempt)
 }
 
-/// How long an endpoint may be silent towards a request that a dispatcher here has granted,
-/// `least` where nothing else waits there.
+/// Returns how long an endpoint may be silent on a request that a dispatcher here granted:
+/// `least` if no other request waits at the endpoint.
 pub(super) fn patience(
     board: &Shared,
     service: &name::Service,
@@ -185,14 +188,14 @@
     dispatcher.map_or(least, |d| d.patience(endpoint, least, now(board)))
 }
 
-/// Voids the requests of a box that is gone.
+/// Removes the requests of a box that is gone.
 pub(super) fn forget(board: &Shared, gone: &name::Box) {
     for service in held(board) {
         input(board, &service, dispatch::Input::Gone(gone.clone()));
     }
 }
 
-/// Sends orders to the boxes that they are for.
+/// Sends each order to the box that it is for.
 fn route(board: &Shared, outputs: Vec<dispatch::Output>) {
     if outputs.is_empty() {
         return;
@@ -211,8 +214,8 @@
     deliver(board, &board.own.name.clone(), own);
 }
 
-/// Hands orders to the requests that they are about, if they are with the
-/// dispatcher that gives them.
+/// Passes orders to the requests that they are about, unless a request has moved to another
+/// dispatcher since.
 pub(super) fn deliver(board: &Shared, from: &name::Box, orders: Vec<dispatch::Order>) {
     for order in orders {
         if let dispatch::Order::Gone(service) = order {
@@ -232,79 +235,79 @@
     }
 }
 
-/// Tells a box that what a dispatcher here knew of its requests is gone.
-fn say_gone(board: &Shared, to: &name::Box, service: &name::Service) {
+/// Tells a box that a dispatcher here no longer knows of its requests.
+fn notify_gone(board: &Shared, to: &name::Box, service: &name::Service) {
     if let Some(subscriber) = lock(&board.subscribers).get(to) {
         let _ = subscriber.send(dispatch::Order::Gone(service.clone()));
     }
 }
 
-/// Runs the desk for ever.
+/// Keeps the dispatchers of this box up to date, for ever.
 pub(super) async fn run(board: Shared) {
-    let mut desk = Desk {
+    let mut controller = Controller {
         board,
-        homes: HashMap::new(),
-        configured_at: None,
+        assigned: HashMap::new(),
+        first_configured_at: None,
         alive: Arc::default(),
-        reconciled: Duration::ZERO,
+        reconciled_at: Duration::ZERO,
         freezes: 0,
         layout: 0,
         stamp: 0,
-        configured: Duration::ZERO,
+        last_configured_at: Duration::ZERO,
     };
     loop {
-        desk.restart_after_freeze();
-        desk.refresh_view();
-        desk.refresh_registry();
-        desk.refresh_homes();
-        desk.tick();
+        controller.restart_after_freeze();
+        controller.refresh_view();
+        controller.refresh_registry();
+        controller.refresh_dispatchers();
+        controller.tick();
         tokio::time::sleep(TICK).await;
     }
 }
 
-struct Desk {
+struct Controller {
     board: Shared,
-    /// The dispatcher of each service of the zone, as last told everything.
-    homes: HashMap<name::Service, name::Box>,
-    /// Since when there has been a configuration.
-    configured_at: Option<Duration>,
+    /// The box that dispatches each service of the zone and was last sent all requests.
+    assigned: HashMap<name::Service, name::Box>,
+    /// When there was a configuration for the first time.
+    first_configured_at: Option<Duration>,
     alive: Arc<Vec<name::Box>>,
-    reconciled: Duration,
-    /// How often the process had been frozen when the dispatchers were opened.
+    reconciled_at: Duration,
+    /// How often the process had been frozen when the dispatchers were last reset.
     freezes: u64,
     /// The registry's layout that the dispatchers are configured with.
     layout: u64,
-    /// The registry's stamp up to which they know what changed.
+    /// The registry's stamp up to which the dispatchers have received the changes.
     stamp: u64,
-    /// When they were configured with all endpoints.
-    configured: Duration,
+    /// When the dispatchers were last configured with all endpoints.
+    last_configured_at: Duration,
 }
 
-impl Desk {
-    /// After a long freeze other boxes may have taken the dispatchers over: what these
-    /// were told here is void, and everything is told anew.
+impl Controller {
+    /// Resets the dispatchers here after the process was frozen for long, since other boxes may
+    /// have taken them over: all requests are reported again.
     fn restart_after_freeze(&mut self) {
         let freezes = self.board.freezes();
         if freezes == self.freezes {
             return;
         }
         self.freezes = freezes;
-        self.homes.clear();
+        self.assigned.clear();
         self.board
             .dispatchers
             .each(std::collections::HashMap::clear);
-        // The subscriptions end by this, and the links are made anew.
+        // This ends the subscriptions, so the other boxes connect their links again.
         lock(&self.board.subscribers).clear();
     }
 
-    /// Brings the indexes up to the configuration in force.
+    /// Applies a new configuration.
     fn refresh_view(&mut self) {
         let state = self.board.feed.current();
         if self.board.view.load().revision == state.revision {
             return;
         }
         let view = Arc::new(View::new(state.revision, state.document.clone()));
-        self.note_cordons(&view);
+        self.log_cordons(&view);
         self.board.view.store(view.clone());
         self.board
             .metrics
@@ -315,10 +318,10 @@
         lock(&self.board.uncordoned).note(cordoned, now(&self.board));
         self.configure(&view);
         self.renew_residency(&view);
-        self.doubt_regions(&view);
+        self.log_unknown_regions(&view);
     }
 
-    /// Brings the requests that wait up to where the configuration allows them to be served.
+    /// Updates where waiting requests may be served to the new configuration.
     fn renew_residency(&self, view: &View) {
         let now = now(&self.board);
         let mut renewed = Vec::new();
@@ -336,16 +339,17 @@
         }
     }
 
-    /// Says which items of the configuration can be served nowhere that is known here.
-    fn doubt_regions(&self, view: &View) {
-        let unknown = residency::unknown(&view.document, &self.board.own.regions, MAX_DOUBTS);
+    /// Logs the items of the configuration that no known region may serve.
+    fn log_unknown_regions(&self, view: &View) {
+        let unknown =
+            residency::unknown(&view.document, &self.board.own.regions, MAX_UNKNOWN_LOGGED);
         for item in unknown {
             event!(self.board.log, RegionUnknown, "item" => item, "revision" => %view.revision);
         }
     }
 
-    /// Logs the cordoned zones if they are others than before.
-    fn note_cordons(&self, view: &View) {
+    /// Logs the cordoned zones if they changed.
+    fn log_cordons(&self, view: &View) {
         let board = &self.board;
         let cordoned = &view.document.cordoned;
         if board.view.load().document.cordoned == *cordoned {
@@ -359,8 +363,8 @@
             "revision" => %view.revision, "behind_ms" => behind.as_millis());
     }
 
-    /// Brings the dispatchers up to the endpoints that announced themselves: to what changed at
-    /// once, and to what depends on all of them together as often as their number bears.
+    /// Updates the dispatchers to the registry: to single endpoints that changed at once, and to
+    /// what depends on all endpoints at an interval that grows with their number.
     fn refresh_registry(&mut self) {
         let (layout, stamp, count) = {
             let registry = lock(&self.board.registry);
@@ -371,8 +375,8 @@
         }
         let now = now(&self.board);
         let count = u32::try_from(count).unwrap_or(u32::MAX);
-        if now >= self.configured + CONFIGURE_EACH.saturating_mul(count) {
-            self.configured = now;
+        if now >= self.last_configured_at + CONFIGURE_INTERVAL_PER_ENDPOINT.saturating_mul(count) {
+            self.last_configured_at = now;
             self.layout = layout;
             self.stamp = stamp;
             self.configure(&self.board.view.load_full());
@@ -382,7 +386,7 @@
         }
     }
 
-    /// Tells the dispatchers which endpoints changed after a stamp of the registry.
+    /// Passes the endpoints that changed after a stamp of the registry to the dispatchers.
     fn change(&self, view: &View, after: u64) {
         let board = &self.board;
         for service in held(board) {
@@ -406,17 +410,18 @@
         }
     }
 
-    /// Moves to other dispatchers what is theirs now.
-    fn refresh_homes(&mut self) {
+    /// Follows changes of the live boxes: announces this box's requests to new dispatchers, drops
+    /// those that other boxes run now, and updates readiness.
+    fn refresh_dispatchers(&mut self) {
         let alive = self.board.alive.load_full();
         if !Arc::ptr_eq(&alive, &self.alive) {
             let boxes = self::alive(&self.board);
             let dead = self.alive.iter().filter(|name| !boxes.contains(*name));
             for service in held(&self.board) {
                 input(&self.board, &service, dispatch::Input::Boxes(boxes.clone()));
-                // One that is taken for dead by mistake tells everything anew.
+                // A box that was declared dead by mistake reports all its requests again.
                 dead.clone()
-                    .for_each(|name| say_gone(&self.board, name, &service));
+                    .for_each(|name| notify_gone(&self.board, name, &service));
             }
             self.alive = alive;
         }
@@ -424,30 +429,30 @@
             return;
         }
         let view = self.board.view.load_full();
-        self.homes
+        self.assigned
             .retain(|service, _| view.document.services.contains_key(service));
         for service in view.document.services.keys() {
-            self.refresh_home(service);
+            self.refresh_dispatcher(service);
         }
-        self.drop_foreign(&view);
+        self.drop_moved(&view);
         let accepts = self.board.accepts.load(Ordering::Relaxed);
         let is_configured = !view.is_unconfigured();
-        let knows_all = is_configured && self.knows_held_back();
+        let knows_all = is_configured && self.is_held_back_known();
         let ready = knows_all && accepts && !self.board.is_draining();
         self.board.ready.store(ready, Ordering::Relaxed);
         self.board.metrics.ready.set(i64::from(ready));
     }
 
-    /// Whether a voter has told which requests are held back, or has had the time to: without any
-    /// voter a box serves all the same.
-    fn knows_held_back(&mut self) -> bool {
+    /// Returns whether a voter has reported which requests are held back, or
+    /// `MAX_HELD_BACK_WAIT` has passed: a box serves without any voter too.
+    fn is_held_back_known(&mut self) -> bool {
         let now = now(&self.board);
-        let since = *self.configured_at.get_or_insert(now);
-        self.board.held_back_known.load(Ordering::Relaxed) || now >= since + HELD_BACK_WAIT
+        let since = *self.first_configured_at.get_or_insert(now);
+        self.board.held_back_known.load(Ordering::Relaxed) || now >= since + MAX_HELD_BACK_WAIT
     }
 
-    /// Whether each peer of the zone has answered or is known to be dead, so that
-    /// this box does not take itself for the only one.
+    /// Returns whether each peer of the zone has answered or is known to be dead, so that this
+    /// box does not take itself for the only one.
     fn is_joined(&self) -> bool {
         let members = lock(&self.board.members);
         let view = self.board.view.load();
@@ -457,26 +462,26 @@
         view.revision.0 > 0 && members.has_heard_all(peers)
     }
 
-    fn refresh_home(&mut self, service: &name::Service) {
+    fn refresh_dispatcher(&mut self, service: &name::Service) {
         let zone = self.board.own.zone.clone();
-        let Some(home) = dispatcher_of(&self.board, service, &zone) else {
+        let Some(dispatcher) = dispatcher_of(&self.board, service, &zone) else {
             return;
         };
-        if self.homes.get(service) == Some(&home) {
+        if self.assigned.get(service) == Some(&dispatcher) {
             return;
         }
-        self.homes.insert(service.clone(), home.clone());
-        announce(&self.board, service, &home);
+        self.assigned.insert(service.clone(), dispatcher.clone());
+        announce(&self.board, service, &dispatcher);
     }
 
-    /// Drops the dispatchers that other boxes hold now, and says so: a box that does
-    /// not see that yet would wait here in vain.
-    fn drop_foreign(&self, view: &view::View) {
+    /// Drops the dispatchers that other boxes run now, and tells all boxes: one that does not see
+    /// the change yet would wait here in vain.
+    fn drop_moved(&self, view: &view::View) {
         let mut dropped = Vec::new();
         self.board.dispatchers.each(|shard| {
             shard.retain(|service, _| {
                 let known = view.document.services.contains_key(service);
-                let own = self.homes.get(service) == Some(&self.board.own.name);
+                let own = self.assigned.get(service) == Some(&self.board.own.name);
                 if !known || !own {
                     dropped.push(service.clone());
                 }
@@ -488,7 +493,7 @@
             let others: Vec<_> = lock(&self.board.subscribers).keys().cloned().collect();
             others
                 .iter()
-                .for_each(|name| say_gone(&self.board, name, &service));
+                .for_each(|name| notify_gone(&self.board, name, &service));
         }
     }
 
@@ -497,9 +502,9 @@
         for service in held(&self.board) {
             input(&self.board, &service, dispatch::Input::Tick);
         }
-        if now >= self.reconciled + RECONCILE {
-            self.reconciled = now;
-            self.announce_gone();
+        if now >= self.reconciled_at + RECONCILE_INTERVAL {
+            self.reconciled_at = now;
+            self.announce_again();
             self.reconcile(now);
             self.publish_loads(now);
             warmth::sweep(&self.board);
@@ -507,33 +512,32 @@
         }
     }
 
-    /// Tells everything anew to the dispatchers that said that they have gone, where
-    /// this box still takes them for the right ones: the two do not see the same boxes
-    /// alive yet.
-    fn announce_gone(&self) {
+    /// Reports all requests again to the dispatchers that were dropped by their box but that this
+    /// box still considers the right ones: the two boxes don't agree yet on which boxes are alive.
+    fn announce_again(&self) {
         let gone = std::mem::take(&mut *lock(&self.board.gone));
-        for (home, service) in gone {
-            if self.homes.get(&service) == Some(&home) {
-                announce(&self.board, &service, &home);
+        for (dispatcher, service) in gone {
+            if self.assigned.get(&service) == Some(&dispatcher) {
+                announce(&self.board, &service, &dispatcher);
             }
         }
     }
 
-    /// Sends requests that are with a wrong dispatcher to the right one.
+    /// Moves requests that are with a wrong dispatcher to the right one.
     fn reconcile(&self, now: Duration) {
         let mut moved: Vec<(name::Box, Told)> = Vec::new();
         self.board.tickets.each(|shard| {
             for ticket in shard.values_mut() {
-                let home = dispatcher_of(&self.board, &ticket.service, &ticket.zone);
-                if home.is_some() && ticket.dispatcher != home {
-                    ticket.dispatcher.clone_from(&home);
+                let dispatcher = dispatcher_of(&self.board, &ticket.service, &ticket.zone);
+                if dispatcher.is_some() && ticket.dispatcher != dispatcher {
+                    ticket.dispatcher.clone_from(&dispatcher);
                     let told = (ticket.service.clone(), ticket.tell_anew(now));
-                    moved.extend(home.map(|home| (home, told)));
+                    moved.extend(dispatcher.map(|dispatcher| (dispatcher, told)));
                 }
             }
         });
-        for (home, (service, report)) in moved {
-            tell(&self.board, &home, &service, report);
+        for (dispatcher, (service, report)) in moved {
+            tell(&self.board, &dispatcher, &service, report);
         }
     }
 
@@ -567,39 +571,39 @@
     }
 }
 
-/// Tells a dispatcher all that this box holds or waits for.
-pub(super) fn announce(board: &Shared, service: &name::Service, home: &name::Box) {
+/// Reports to a dispatcher all requests that this box holds or waits for.
+pub(super) fn announce(board: &Shared, service: &name::Service, dispatcher: &name::Box) {
     let now = now(board);
-    lock(&board.rests).tell_anew(home, service);
-    tell(board, home, service, dispatch::Report::Hello);
+    lock(&board.rests).tell_anew(dispatcher, service);
+    tell(board, dispatcher, service, dispatch::Report::Hello);
     let mut reports = Vec::new();
     board.tickets.each(|shard| {
         let own = shard
             .values_mut()
             .filter(|t| t.service == *service && t.zone == board.own.zone);
         for ticket in own {
-            ticket.dispatcher = Some(home.clone());
+            ticket.dispatcher = Some(dispatcher.clone());
             reports.push(ticket.tell_anew(now));
         }
     });
     for report in reports {
-        tell(board, home, service, report);
+        tell(board, dispatcher, service, report);
     }
-    tell(board, home, service, dispatch::Report::Announced);
+    tell(board, dispatcher, service, dispatch::Report::Announced);
 }
 
-/// What the zone of a request is chosen by.
+/// The properties of a request by which its zone is chosen.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wanted<'a> {
-    /// Where it may be served.
+    /// Where the request may be served.
     pub(super) allowed: &'a residency::Allowed,
-    /// Its tier.
+    /// The tier of the request.
     pub(super) tier: unit::Tier,
-    /// The time within which its first token or answer is due.
+    /// The time within which the first token or the answer is due.
     pub(super) target: Duration,
 }
 
-/// Which zone's dispatcher a request asks: this box's own, unless the wait there
+/// Returns the zone whose dispatcher a request asks: this box's own, unless the wait there
 /// would miss the target and another zone's would not, or nothing there may serve it.
 pub(super) fn zone_for(board: &Shared, service: &name::Service, wanted: Wanted<'_>) -> name::Zone {
     let own = &board.own.zone;
@@ -623,7 +627,7 @@
     chosen.unwrap_or(own).clone()
 }
 
-/// A new request identity.
+/// Returns a new random request id.
 pub(super) fn new_request() -> attempt::Request {
     attempt::Request(rand::random())
 }
--- a/src/scalewood/ops/entry/link.rs
+++ b/src/scalewood/ops/entry/link.rs
@@ -1,7 +1,7 @@
-//! Links to other boxes' dispatchers: reports go out, orders come in, in order.
+//! Links to the dispatchers of other boxes: reports are sent and orders received, each in order.
 //!
-//! When a link comes up, all that the other box's dispatchers should know is told
-//! anew; so what was lost with the link before does not matter.
+//! When a link comes up, every request is reported again to the other box's dispatchers, so
+//! nothing depends on the messages that were lost with an earlier connection.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -20,14 +20,14 @@
 };
 
 /// How often the set of links is compared with the set of boxes.
-const REFRESH: Duration = Duration::from_millis(200);
-/// The wait before a lost link is tried again.
-const AGAIN: Duration = Duration::from_millis(100);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
+/// The wait before a lost link is connected again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// The most reports in one call.
-const BATCH: usize = 512;
+const MAX_BATCH: usize = 512;
 
-/// Keeps a link to each other box of the zone, and to each dispatcher elsewhere that
-/// this box may ask.
+/// Keeps a link to each other box of the zone, and to each dispatcher in another zone that this
+/// box may ask, for ever.
 pub(super) async fn run(board: Shared) {
     loop {
         let wanted = wanted(&board);
@@ -40,9 +40,9 @@
         for peer in missing {
             let (sender, receiver) = mpsc::unbounded_channel();
             lock(&board.links).insert(peer.clone(), sender);
-            tokio::spawn(keep(board.clone(), peer, receiver));
+            tokio::spawn(keep_link(board.clone(), peer, receiver));
         }
-        tokio::time::sleep(REFRESH).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
@@ -50,20 +50,20 @@
     let view = board.view.load();
     let zone = view.boxes_of(&board.own.zone).cloned();
     let loads = lock(&board.loads);
-    let abroad = loads.values().map(|(load, _)| load.dispatcher.clone());
-    let known = abroad.filter(|name| view.document.boxes.contains_key(name));
+    let elsewhere = loads.values().map(|(load, _)| load.dispatcher.clone());
+    let known = elsewhere.filter(|name| view.document.boxes.contains_key(name));
     zone.chain(known)
         .filter(|name| *name != board.own.name)
         .collect()
 }
 
-/// Keeps a link up for as long as it is wanted.
-async fn keep(board: Shared, peer: name::Box, mut queue: mpsc::UnboundedReceiver<Told>) {
+/// Keeps a link connected for as long as it is wanted.
+async fn keep_link(board: Shared, peer: name::Box, mut queue: mpsc::UnboundedReceiver<Told>) {
     while !queue.is_closed() {
-        if let Some(Ended::Unwanted) = carry(&board, &peer, &mut queue).await {
+        if let Some(Ended::Unwanted) = transfer(&board, &peer, &mut queue).await {
             return;
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -72,8 +72,9 @@
     Unwanted,
 }
 
-/// Carries reports and orders until the link is lost; nothing if it never came up.
-async fn carry(
+/// Transfers reports and orders until the link is lost or unwanted; returns `None` if it never
+/// came up.
+async fn transfer(
     board: &Shared,
     peer: &name::Box,
     queue: &mut mpsc::UnboundedReceiver<Told>,
@@ -83,17 +84,17 @@
     let own = board.own.name.clone();
     let mut orders = client.orders(own.clone()).await.ok()?;
     event!(board.log, PeerUp, "box" => %peer);
-    // What waits in the queue is told anew as well.
+    // The queued reports are covered by the full report that follows.
     while queue.try_recv().is_ok() {}
     announce_all(board, peer);
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     let ended = loop {
         tokio::select! {
-            count = queue.recv_many(&mut told, BATCH) => {
+            count = queue.recv_many(&mut reports, MAX_BATCH) => {
                 if count == 0 {
                     break Ended::Unwanted;
                 }
-                if client.report(own.clone(), batches(told.drain(..))).await.is_err() {
+                if client.report(own.clone(), batches(reports.drain(..))).await.is_err() {
                     break Ended::Lost;
                 }
             }
@@ -115,14 +116,14 @@
             desk::announce(board, service, peer);
         }
     }
-    announce_abroad(board, peer);
+    announce_other_zones(board, peer);
 }
 
-/// Tells a box of another zone, for each service that it dispatches there, of the
-/// requests that were sent to it.
-fn announce_abroad(board: &Shared, peer: &name::Box) {
+/// Reports to a box of another zone, for each service that it dispatches there, the requests
+/// of this box that were sent to it.
+fn announce_other_zones(board: &Shared, peer: &name::Box) {
     let now = super::now(board);
-    for (service, zone) in dispatched_abroad(board, peer) {
+    for (service, zone) in dispatched_in_other_zones(board, peer) {
         desk::tell(board, peer, &service, dispatch::Report::Hello);
         let mut reports = Vec::new();
         board.tickets.each(|shard| {
@@ -139,19 +140,19 @@
     }
 }
 
-fn dispatched_abroad(board: &Shared, peer: &name::Box) -> Vec<(name::Service, name::Zone)> {
+fn dispatched_in_other_zones(board: &Shared, peer: &name::Box) -> Vec<(name::Service, name::Zone)> {
     let loads = lock(&board.loads);
-    let abroad = loads
+    let elsewhere = loads
         .iter()
         .filter(|((_, zone), _)| *zone != board.own.zone);
-    let own = abroad.filter(|(_, (load, _))| load.dispatcher == *peer);
+    let own = elsewhere.filter(|(_, (load, _))| load.dispatcher == *peer);
     own.map(|(key, _)| key.clone()).collect()
 }
 
-/// Groups reports by service; the order within a service stays.
-fn batches(told: impl Iterator<Item = Told>) -> Vec<Batch> {
+/// Groups reports by service, and keeps their order within a service.
+fn batches(reports: impl Iterator<Item = Told>) -> Vec<Batch> {
     let mut batches: Vec<Batch> = Vec::new();
-    for (service, report) in told {
+    for (service, report) in reports {
         match batches.iter_mut().find(|batch| batch.service == service) {
             Some(batch) => batch.reports.push(report),
             None => batches.push(Batch {
--- a/src/scalewood/ops/entry/member.rs
+++ b/src/scalewood/ops/entry/member.rs
@@ -1,4 +1,4 @@
-//! Membership: probes the peers of the zone, and a few boxes of other zones.
+//! Membership: probes the peers of the zone, and a few boxes of other zones for their loads.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -16,23 +16,23 @@
     wire::peer::{Load, PeerClient as _, Probe},
 };
 
-/// How often the membership is moved on.
+/// How often the membership state is advanced.
 const TICK: Duration = Duration::from_millis(50);
 /// How long a probe may take.
-const PROBE: Duration = Duration::from_millis(400);
-/// How often a box of another zone is probed.
-const ABROAD: Duration = Duration::from_millis(1000);
-/// Loads in one probe; bounds the cost however many services and zones there are.
-const LOADS: usize = 3;
-/// How long a load is worth telling.
-const LOAD_LIFE: Duration = Duration::from_secs(3);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How often one box of the other zones, chosen at random, is probed.
+const OTHER_ZONES_INTERVAL: Duration = Duration::from_millis(1000);
+/// The number of loads in one probe, which bounds its cost for any number of services and zones.
+const LOADS_PER_PROBE: usize = 3;
+/// The age from which on a load is neither used nor passed on.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(3);
 
 type Clients = BTreeMap<name::Box, Arc<WsClient>>;
 
-/// Probes for ever.
+/// Advances the membership and probes other boxes, for ever.
 pub(super) async fn run(board: Shared) {
     let clients = Arc::new(tokio::sync::Mutex::new(Clients::new()));
-    let mut abroad = Duration::ZERO;
+    let mut other_zones_probed_at = Duration::ZERO;
     loop {
         board.beat();
         let due = {
@@ -45,9 +45,9 @@
         for peer in due {
             tokio::spawn(probe(board.clone(), clients.clone(), peer, true));
         }
-        if now(&board) >= abroad + ABROAD {
-            abroad = now(&board);
-            if let Some(peer) = pick_abroad(&board) {
+        if now(&board) >= other_zones_probed_at + OTHER_ZONES_INTERVAL {
+            other_zones_probed_at = now(&board);
+            if let Some(peer) = pick_in_other_zones(&board) {
                 tokio::spawn(probe(board.clone(), clients.clone(), peer, false));
             }
         }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Writes who is alive to the board.
+/// Writes the list of live boxes to the board, and logs its changes.
 fn publish(board: &Shared) {
     let alive = lock(&board.members).alive();
     let before = board.alive.load();
@@ -71,7 +71,7 @@
     board.alive.store(Arc::new(alive));
 }
 
-fn pick_abroad(board: &Shared) -> Option<name::Box> {
+fn pick_in_other_zones(board: &Shared) -> Option<name::Box> {
     let view = board.view.load();
     let others = view
         .document
@@ -90,8 +90,8 @@
     peer: name::Box,
     own_zone: bool,
 ) {
-    let exchange = exchange(&board, &clients, &peer);
-    match tokio::time::timeout(PROBE, exchange).await {
+    let exchange = exchange_probes(&board, &clients, &peer);
+    match tokio::time::timeout(PROBE_TIMEOUT, exchange).await {
         Ok(Some(answer)) => hear(&board, answer),
         Ok(None) | Err(_) => {
             clients.lock().await.remove(&peer);
@@ -102,7 +102,7 @@
     }
 }
 
-async fn exchange(
+async fn exchange_probes(
     board: &Shared,
     clients: &tokio::sync::Mutex<Clients>,
     peer: &name::Box,
@@ -125,14 +125,14 @@
     client.probe(message(board)).await.ok()
 }
 
-/// What this box has to say.
+/// Returns the probe message of this box: its membership news and a random choice of fresh loads.
 pub(super) fn message(board: &Shared) -> Probe {
     let now = now(board);
     let loads = lock(&board.loads);
     let fresh = loads
         .iter()
-        .filter(|(_, (_, at))| now.saturating_sub(*at) < LOAD_LIFE);
-    let chosen = fresh.choose_multiple(&mut rand::rng(), LOADS);
+        .filter(|(_, (_, at))| now.saturating_sub(*at) < MAX_LOAD_AGE);
+    let chosen = fresh.choose_multiple(&mut rand::rng(), LOADS_PER_PROBE);
     let aged = chosen.into_iter().map(|((service, _), (load, at))| {
         let age = now.saturating_sub(*at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
@@ -151,7 +151,7 @@
     }
 }
 
-/// Takes what another box has to say.
+/// Applies another box's probe message: membership news from this zone, and newer loads.
 pub(super) fn hear(board: &Shared, probe: Probe) {
     let now = now(board);
     if probe.zone == board.own.zone {
@@ -170,20 +170,20 @@
     }
 }
 
-/// The loads of a service's dispatchers in other zones, while they are fresh.
+/// Returns the fresh loads of a service's dispatchers in other zones.
 pub(super) fn loads_abroad(board: &Shared, service: &name::Service) -> Vec<Load> {
     let now = now(board);
     let loads = lock(&board.loads);
-    let abroad = loads.iter().filter(|((of, zone), (_, at))| {
-        of == service && *zone != board.own.zone && now.saturating_sub(*at) < LOAD_LIFE
+    let elsewhere = loads.iter().filter(|((of, zone), (_, at))| {
+        of == service && *zone != board.own.zone && now.saturating_sub(*at) < MAX_LOAD_AGE
     });
-    abroad.map(|(_, (load, _))| load.clone()).collect()
+    elsewhere.map(|(_, (load, _))| load.clone()).collect()
 }
 
-/// The load of a service's dispatcher in this zone, while it is fresh.
+/// Returns the load of a service's dispatcher in this zone, if it is fresh.
 pub(super) fn load_here(board: &Shared, service: &name::Service) -> Option<Load> {
     let now = now(board);
     let loads = lock(&board.loads);
     let (load, at) = loads.get(&(service.clone(), board.own.zone.clone()))?;
-    (now.saturating_sub(*at) < LOAD_LIFE).then(|| load.clone())
+    (now.saturating_sub(*at) < MAX_LOAD_AGE).then(|| load.clone())
 }
