--- a/src/scalewood/ops/entry/directory.rs
+++ b/src/scalewood/ops/entry/directory.rs
@@ -1,7 +1,7 @@
-//! Tracks the registry of some voters, and hears which configuration each has.
+//! Tracks the registries of some voters, and the configuration revision that each reports.
 //!
-//! Each voter tells of all endpoints, whichever voter an endpoint spoke to. `core::follow` says
-//! which of them are tracked.
+//! Each voter reports all endpoints, also those that announced themselves to another voter.
+//! `core::follow` decides which voters are tracked.
 
 use std::{
     collections::BTreeMap,
@@ -24,71 +24,74 @@
     wire::registry::{News, Place, RegistryClient as _, Tracker},
 };
 
-/// How long a voter may be silent.
-const SILENCE: Duration = Duration::from_millis(2500);
-/// How often what was measured here is told, if it has changed.
-const TELL: Duration = Duration::from_millis(250);
-/// The wait before a voter that was lost is tried again: short at first.
-const AGAIN: Duration = Duration::from_millis(250);
-const SOON: Duration = Duration::from_millis(50);
-/// Failures after which it is tried less often.
-const SOON_TRIES: u32 = 8;
-/// How long a voter that is no member any more is still followed.
-const ATTEMPTS: u32 = 40;
-/// How long after its first link to a voter a box takes endpoints that voters only remember.
-const JUST_STARTED: Duration = Duration::from_secs(2);
-/// How often endpoints that fell silent are looked for.
-const SWEEP: Duration = Duration::from_secs(1);
-/// How often it is looked at which voters to track.
-const CHOOSE: Duration = Duration::from_millis(100);
-/// How long a voter may take to tell where the others are.
-const PLACES: Duration = Duration::from_millis(500);
+/// How long a voter may be silent before the connection to it is given up.
+const MAX_SILENCE: Duration = Duration::from_millis(2500);
+/// How often changes of the token rates measured here are sent to a voter, at most.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// The wait before connecting to a voter again.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// The wait before each of the first retries.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The number of failures in a row after which a voter is tried less often.
+const FIRST_RETRIES: u32 = 8;
+/// The number of failures in a row after which a voter is forgotten: it may have left the
+/// voters for good.
+const MAX_FAILURES: u32 = 40;
+/// How long after its first connection to a voter a box accepts endpoints that a voter only
+/// remembers from before its own start.
+const RESTORE_WINDOW: Duration = Duration::from_secs(2);
+/// How often silent endpoints are removed, and the zones of voters looked up.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the voters to track are chosen.
+const CHOOSE_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a voter may take to report where the other voters are.
+const PLACES_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A voter that is known.
+/// A known voter.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Voter {
-    /// The connection to it, while it is up.
+    /// The connection to it, while there is one.
     pub(super) client: Option<Arc<WsClient>>,
-    /// Where it stands, and how.
+    /// Its availability zone and its state, from which the tracked voters are chosen.
     pub(super) candidate: follow::Candidate,
-    /// Whether it is to be tracked.
+    /// Whether it was chosen to be tracked.
     wanted: bool,
     /// Whether a task tracks it.
     tracked: bool,
 }
 
 impl Voter {
-    /// Whether it stands in a zone.
+    /// Returns whether the voter is known to be in a zone.
     pub(super) fn is_in(&self, zone: &name::Zone) -> bool {
         self.candidate.zone.as_ref() == Some(zone)
     }
 }
 
-/// The voters that are known.
+/// The known voters by address.
 pub(super) type Followed = Arc<Mutex<BTreeMap<SocketAddr, Voter>>>;
 
-/// Tracks voters for ever, also those that it hears of on the way.
+/// Tracks voters, also those that other voters report, for ever.
 pub(super) async fn run(board: Shared, mut voters: watch::Receiver<Vec<SocketAddr>>) {
     let followed = Followed::default();
     tokio::spawn(exchange::run(board.clone(), followed.clone()));
     tokio::spawn(fetch::run(board.clone(), followed.clone()));
     let named = voters.borrow().clone();
     ask_places(&board, &followed, &named).await;
-    let mut swept = now(&board);
+    let mut swept_at = now(&board);
     loop {
         let named = voters.borrow_and_update().clone();
-        add(&followed, &named);
+        add_voters(&followed, &named);
         choose(&board, &followed);
-        let _ = tokio::time::timeout(CHOOSE, voters.changed()).await;
-        if now(&board) >= swept + SWEEP {
-            swept = now(&board);
-            forget(&board);
+        let _ = tokio::time::timeout(CHOOSE_INTERVAL, voters.changed()).await;
+        if now(&board) >= swept_at + SWEEP_INTERVAL {
+            swept_at = now(&board);
+            remove_silent(&board);
             tokio::spawn(locate(followed.clone()));
         }
     }
 }
 
-/// Asks a voter where those stand of which that is not known.
+/// Asks a connected voter for the zones of all voters if some are unknown.
 async fn locate(followed: Followed) {
     let client = {
         let known = lock(&followed);
@@ -99,8 +102,8 @@
     let Some(client) = client else {
         return;
     };
-    // One that doesn't answer is asked again, or another one.
-    if let Ok(Ok(places)) = tokio::time::timeout(PLACES, client.places()).await {
+    // After a failure the next sweep asks again.
+    if let Ok(Ok(places)) = tokio::time::timeout(PLACES_TIMEOUT, client.places()).await {
         note_places(&followed, places);
     }
 }
@@ -112,15 +115,15 @@
     }
 }
 
-/// Asks the named voters at once where all voters are, and takes the first answer: a box that knows
-/// its zone's voters from the start asks none of another zone for all endpoints.
+/// Asks all named voters at once where the voters are, and takes the first answer. A box that
+/// knows the voters of its zone from the start requests no full registry from another zone.
 async fn ask_places(board: &Shared, followed: &Followed, named: &[SocketAddr]) {
     if named.is_empty() {
         return;
     }
     let asked = named.iter().map(|voter| Box::pin(places(*voter)));
     let first = futures_util::future::select_ok(asked);
-    let answer = tokio::time::timeout(PLACES, first).await;
+    let answer = tokio::time::timeout(PLACES_TIMEOUT, first).await;
     let Ok(Ok((places, _))) = answer else {
         event!(board.log, PlacesUnknown, "voters" => named.len());
         return;
@@ -129,7 +132,9 @@
 }
 
 async fn places(voter: SocketAddr) -> Result<Vec<Place>, ()> {
-    let client = rpc::connect_within(voter, PLACES).await.map_err(drop)?;
+    let client = rpc::connect_within(voter, PLACES_TIMEOUT)
+        .await
+        .map_err(drop)?;
     let places = client.places().await.map_err(drop)?;
     let located = places.iter().any(|place| place.zone.is_some());
     if located {
@@ -139,7 +144,7 @@
     }
 }
 
-/// Notes which voters are to be tracked, and starts to track those that are not yet.
+/// Chooses the voters to track, and starts to track those that are not tracked yet.
 fn choose(board: &Shared, followed: &Followed) {
     let mut known = lock(followed);
     let candidates = known
@@ -152,13 +157,14 @@
         if voter.wanted && !voter.tracked {
             voter.tracked = true;
             voter.candidate.state = follow::State::Asked(now);
-            tokio::spawn(keep(board.clone(), followed.clone(), *address));
+            tokio::spawn(keep_tracking(board.clone(), followed.clone(), *address));
         }
     }
 }
 
-/// Forgets endpoints that nobody has heard of for long, while voters are followed.
-fn forget(board: &Shared) {
+/// Removes restored endpoints whose heartbeat is overdue, and endpoints that have been silent
+/// for too long while a voter's registry was followed.
+fn remove_silent(board: &Shared) {
     {
         let registry = lock(&board.registry);
         lock(&board.paces).retain(|name| registry.knows(name));
@@ -178,17 +184,17 @@
     }
 }
 
-fn add(followed: &Followed, voters: &[SocketAddr]) {
+fn add_voters(followed: &Followed, voters: &[SocketAddr]) {
     let mut known = lock(followed);
     for voter in voters {
         known.entry(*voter).or_default();
     }
 }
 
-/// Tracks one voter while it is wanted, until it has been unreachable for long.
-async fn keep(board: Shared, followed: Followed, voter: SocketAddr) {
+/// Tracks a voter while it is wanted, until it has failed `MAX_FAILURES` times in a row.
+async fn keep_tracking(board: Shared, followed: Followed, voter: SocketAddr) {
     let mut failures = 0;
-    while failures < ATTEMPTS && is_wanted(&followed, voter) {
+    while failures < MAX_FAILURES && is_wanted(&followed, voter) {
         let within = rpc::patience(failures / 2);
         failures += 1;
         if let Ok(client) = rpc::connect_within(voter, within).await {
@@ -203,11 +209,15 @@
             event!(board.log, RegistryLost, "voter" => %voter);
         }
         note_state(&followed, voter, follow::State::Unknown);
-        let wait = if failures < SOON_TRIES { SOON } else { AGAIN };
+        let wait = if failures < FIRST_RETRIES {
+            FIRST_RETRY_DELAY
+        } else {
+            RETRY_DELAY
+        };
         tokio::time::sleep(wait).await;
     }
     let mut known = lock(&followed);
-    if failures >= ATTEMPTS {
+    if failures >= MAX_FAILURES {
         known.remove(&voter);
     } else if let Some(known) = known.get_mut(&voter) {
         known.tracked = false;
@@ -238,7 +248,7 @@
     }
 }
 
-/// Notes the revision that a voter tells, for the fetcher.
+/// Records the revision that a voter reports, and wakes the fetcher if it is newer.
 fn note_revision(board: &Shared, followed: &Followed, voter: SocketAddr, revision: unit::Revision) {
     let near = lock(followed)
         .get(&voter)
@@ -249,7 +259,7 @@
     }
 }
 
-/// Notes whether one more voter is followed, or one less.
+/// Counts a connection to a voter that came up or was lost.
 fn note_link(board: &Shared, up: bool) {
     let count = |links: &mut u32| {
         *links = if up {
@@ -272,7 +282,7 @@
     let own = board.own.name.clone();
     let news = match client.track(own.clone(), Tracker::Box).await {
         Ok(news) => Ok(news),
-        // A build that knows no trackers tells names.
+        // A build without `track` reports only the names of the endpoints that it heard from.
         Err(_) => client.follow(own).await,
     };
     let mut news = match news {
@@ -284,27 +294,27 @@
     };
     let by: name::Box = voucher_name(voter);
     let voucher = lock(&board.registry).voucher(&by);
-    let mut told = 0;
-    let mut heard = now(board);
+    let mut sent_stamp = 0;
+    let mut heard_at = now(board);
     loop {
-        match tokio::time::timeout(TELL, news.next()).await {
+        match tokio::time::timeout(REPORT_INTERVAL, news.next()).await {
             Ok(Some(Ok(next))) => {
-                heard = now(board);
-                add(followed, &next.voters);
-                note_state(followed, voter, touch(&next));
+                heard_at = now(board);
+                add_voters(followed, &next.voters);
+                note_state(followed, voter, voter_state(&next));
                 if let Some(zone) = &next.zone {
                     note_zone(followed, voter, zone);
                 }
                 note_revision(board, followed, voter, next.revision);
-                take(board, voucher, next);
+                apply(board, voucher, next);
             }
             Ok(_) => return,
             Err(_) if !is_wanted(followed, voter) => return,
-            Err(_) if now(board) > heard + SILENCE => return,
+            Err(_) if now(board) > heard_at + MAX_SILENCE => return,
             Err(_) => {}
         }
-        let (paces, stamp) = lock(&board.paces).measured_since(told);
-        told = stamp;
+        let (paces, stamp) = lock(&board.paces).measured_since(sent_stamp);
+        sent_stamp = stamp;
         if !paces.is_empty()
             && client
                 .measured(board.own.name.clone(), paces)
@@ -316,8 +326,8 @@
     }
 }
 
-/// How a voter stands that told some news.
-fn touch(news: &News) -> follow::State {
+/// Returns the state of a voter that sent an update.
+fn voter_state(news: &News) -> follow::State {
     match (news.vouches, news.in_touch) {
         (false, _) => follow::State::Unknown,
         (true, true) => follow::State::InTouch,
@@ -325,18 +335,18 @@
     }
 }
 
-/// The name by which the registry here knows a voter.
+/// Returns the name under which the registry here records what a voter vouches for.
 fn voucher_name(voter: SocketAddr) -> name::Box {
     let name = format!("voter-{}-{}", voter.ip(), voter.port()).replace(':', ".");
     name.parse().expect("an address makes a valid name")
 }
 
-fn take(board: &Shared, voucher: Option<registry::Voucher>, news: News) {
+fn apply(board: &Shared, voucher: Option<registry::Voucher>, news: News) {
     let now = now(board);
     note_sharers(board, news.followers);
-    let has_just_started = lock(&board.linked_since).is_none_or(|since| now < since + JUST_STARTED);
+    let restores = lock(&board.linked_since).is_none_or(|since| now < since + RESTORE_WINDOW);
     let mut registry = lock(&board.registry);
-    if has_just_started && !news.restored.is_empty() {
+    if restores && !news.restored.is_empty() {
         event!(board.log, EndpointsRestored, "endpoints" => news.restored.len());
         for record in news.restored {
             registry.restore(record, now);
@@ -344,15 +354,18 @@
     }
     for record in news.changed {
         let name = record.name.clone();
-        take_record(board, &mut registry, record, now);
+        apply_record(board, &mut registry, record, now);
         if let Some(voucher) = voucher {
             registry.vouch_for(&name, voucher);
         }
     }
-    for told in news.leaving {
-        if registry.note_leaving(&told.name, told.start).is_news() {
-            event!(board.log, EndpointLeaving, "endpoint" => %told.name, "by" => "a voter",
-                "incarnation" => told.start.map(|start| start.0));
+    for leaving in news.leaving {
+        if registry
+            .note_leaving(&leaving.name, leaving.start)
+            .is_news()
+        {
+            event!(board.log, EndpointLeaving, "endpoint" => %leaving.name, "by" => "a voter",
+                "incarnation" => leaving.start.map(|start| start.0));
         }
     }
     for name in registry.take_ends(&news.gone, &news.ended, &news.left) {
@@ -380,7 +393,7 @@
     }
 }
 
-fn take_record(
+fn apply_record(
     board: &Shared,
     registry: &mut registry::Registry,
     record: registry::Record,
@@ -391,7 +404,7 @@
     let before = registry.get(&name).and_then(|known| known.incarnation);
     let merged = registry.merge(record, now);
     if merged == registry::Merged::Restarted {
-        // What was measured was of an earlier start.
+        // The token rate was measured on an earlier start.
         lock(&board.paces).forget(&name);
         event!(board.log, EndpointRestarted, "endpoint" => %name,
             "incarnation" => incarnation.map(|i| i.0), "before" => before.map(|i| i.0),
@@ -408,7 +421,7 @@
     }
 }
 
-/// Notes how many boxes use the same endpoints, for the dispatchers here.
+/// Records how many boxes use the same endpoints, and passes it to the dispatchers here.
 fn note_sharers(board: &Shared, count: u32) {
     if board.sharers.swap(count, Ordering::Relaxed) == count {
         return;
--- a/src/scalewood/ops/entry/exchange.rs
+++ b/src/scalewood/ops/entry/exchange.rs
@@ -1,8 +1,8 @@
-//! Exchanges with the other boxes what each has at the endpoints, by way of a voter.
+//! Exchanges the boxes' loads at endpoints by way of a voter.
 //!
-//! A box uses a voter of its own zone, or the first that it reaches where there is none.
-//! Voters tell each other of their boxes. While no voter answers, the dispatchers guess from
-//! what this box has.
+//! A box uses a voter of its own zone, or, if there is none, the first that it reaches. Voters
+//! send each other the loads of their boxes. While no voter answers, the dispatchers estimate
+//! the total load from this box's own.
 
 use std::{
     cmp::Reverse,
@@ -22,32 +22,34 @@
     wire::registry::RegistryClient as _,
 };
 
-/// How often loads are exchanged at most.
+/// The least interval between two exchanges.
 const PERIOD: Duration = Duration::from_millis(100);
-/// What each box that uses the same voter adds to that, so that a voter bears any number of
-/// them: it takes 250 calls a second at most, which a tenth of a core does.
+/// The part of the interval that each box on the same voter adds, so that a voter can serve any
+/// number of boxes: it gets at most 250 calls a second, which take a tenth of a core.
 const PERIOD_PER_BOX: Duration = Duration::from_millis(4);
-/// How many times longer a box waits that has no requests: it leaves the voter to those that have.
-const IDLE_FACTOR: u32 = 4;
-/// The longest that it waits, well below the time after which the voter takes it for silent.
-const IDLE_MOST: Duration = Duration::from_millis(600);
-/// How long an exchange may take.
-const ANSWER: Duration = Duration::from_millis(400);
-/// How long a voter that did not answer is left alone.
-const LEFT_ALONE: Duration = Duration::from_secs(2);
-/// How long after the last voter issued permits a box goes by its own part of each limit: as long
-/// as it takes to find another voter.
-const ALONE_AFTER: Duration = Duration::from_secs(1);
+/// The factor by which the interval is longer on a box without requests, which leaves the
+/// voter's time to busy boxes.
+const IDLE_PERIOD_FACTOR: u32 = 4;
+/// The upper limit of an idle box's interval, well below the time after which the voter drops
+/// a silent box.
+const MAX_IDLE_PERIOD: Duration = Duration::from_millis(600);
+/// How long an exchange with a voter may take.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a voter that did not answer is not asked again.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
+/// How long after a voter last issued permits a box uses its own part of each limit instead:
+/// the time that it takes to find another voter.
+const PERMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a box that stops waits until a voter knows what it met last.
-const LAST_ANSWER: Duration = Duration::from_millis(200);
+/// How long a box that stops waits for a voter to take its last report.
+const FINAL_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Exchanges for ever.
+/// Exchanges loads with a voter, for ever.
 pub(super) async fn run(board: Shared, followed: Followed) {
     let mut partner = Partner::new(board.clone());
     loop {
         partner.exchange(&followed).await;
-        partner.go_alone();
+        partner.fall_back();
         let pause = tokio::time::sleep(period(partner.boxes, is_idle(&board)));
         tokio::select! {
             () = pause => {}
@@ -56,28 +58,32 @@
     }
 }
 
-/// Tells a voter what was met until now, so that it is not lost with this process.
+/// Exchanges once more, so that what was counted since the last exchange is not lost when this
+/// process ends.
 pub(super) async fn tell_last(board: &Shared) {
     let since = now(board);
     let mut exchanged = board.exchanged.subscribe();
     board.exchange_now.notify_one();
     let told = exchanged.wait_for(|begun| *begun >= since);
-    if tokio::time::timeout(LAST_ANSWER, told).await.is_err() {
+    if tokio::time::timeout(FINAL_EXCHANGE_TIMEOUT, told)
+        .await
+        .is_err()
+    {
         event!(board.log, LastUntold);
     }
 }
 
-/// The time between two exchanges, where so many boxes use the same voter.
+/// Returns the interval between two exchanges if so many boxes use the same voter.
 fn period(boxes: u32, idle: bool) -> Duration {
     let busy = PERIOD.max(PERIOD_PER_BOX * boxes);
     if !idle {
         return busy;
     }
-    let longer = PERIOD_PER_BOX * boxes * IDLE_FACTOR;
-    longer.min(IDLE_MOST).max(busy)
+    let longer = PERIOD_PER_BOX * boxes * IDLE_PERIOD_FACTOR;
+    longer.min(MAX_IDLE_PERIOD).max(busy)
 }
 
-/// Whether no request waits or runs here.
+/// Returns whether no request waits for or runs under a dispatcher here.
 fn is_idle(board: &Shared) -> bool {
     let mut idle = true;
     board
@@ -89,61 +95,61 @@
 /// The state of the exchange with one voter.
 struct Partner {
     board: Shared,
-    /// The voter, once it has answered.
+    /// The voter that answered the last exchange, if one did.
     voter: Option<SocketAddr>,
-    /// A voter that did not answer, and until when it is left alone.
-    left_alone: Option<(SocketAddr, Duration)>,
+    /// A voter that did not answer, and until when it is not asked again.
+    unanswered: Option<(SocketAddr, Duration)>,
     /// Whether any service is dispatched here.
     dispatches: bool,
     /// How many boxes use that voter.
     boxes: u32,
-    /// What the voter knows of this box.
-    told: load::Loads,
-    /// What the other boxes have.
+    /// The loads of this box as last sent to the voter.
+    sent_loads: load::Loads,
+    /// The loads of the other boxes.
     others: load::Loads,
-    /// The bounds that all boxes' refusals set, as last heard.
+    /// The bounds on less urgent requests that refusals at any box set, as last received.
     bounds: Vec<load::Bound>,
-    /// What the voter knows of this box's usage.
-    counted: BTreeMap<usage::Window, usage::Counts>,
-    /// Up to where the voter knows of requests under which endpoints have ended.
+    /// The usage counts of this box as last sent to the voter.
+    sent_usage: BTreeMap<usage::Window, usage::Counts>,
+    /// How far the voter has been sent the requests during which endpoints crashed.
     crashes: Told,
-    /// The registry's stamp up to which the voter knows of endpoints that leave.
+    /// The registry's stamp up to which the voter has been sent the endpoints that leave.
     leaving: u64,
-    /// Up to where the voter knows of limits that endpoints set.
+    /// How far the voter has been sent the rate limits of endpoints.
     limits: u64,
-    /// When a voter that issues permits answered last.
-    issued: Duration,
+    /// When a voter that issues permits last answered.
+    issued_at: Duration,
 }
 
 impl Partner {
     fn new(board: Shared) -> Self {
-        let issued = now(&board);
+        let issued_at = now(&board);
         Self {
             board,
             voter: None,
-            left_alone: None,
+            unanswered: None,
             dispatches: false,
             boxes: 0,
-            told: load::Loads::new(),
+            sent_loads: load::Loads::new(),
             others: load::Loads::new(),
             bounds: Vec::new(),
-            counted: BTreeMap::new(),
+            sent_usage: BTreeMap::new(),
             crashes: Told::default(),
             leaving: 0,
             limits: 0,
-            issued,
+            issued_at,
         }
     }
 
-    /// The voter to use: one of this zone goes first, and each box has its own order.
+    /// Returns the voter to use: those of this zone come first, in an order of each box's own.
     fn choose(&self, followed: &Followed) -> Option<(SocketAddr, Arc<WsClient>)> {
         let now = now(&self.board);
-        let left_alone = self.left_alone.filter(|(_, until)| now < *until);
-        let left_alone = left_alone.map(|(voter, _)| voter);
+        let unanswered = self.unanswered.filter(|(_, until)| now < *until);
+        let unanswered = unanswered.map(|(voter, _)| voter);
         let followed = lock(followed);
         let usable = followed
             .iter()
-            .filter(|(voter, known)| known.client.is_some() && Some(**voter) != left_alone);
+            .filter(|(voter, known)| known.client.is_some() && Some(**voter) != unanswered);
         let usable = usable.map(|(voter, known)| (*voter, known.candidate.clone()));
         let own = &self.board.own;
         let order = follow::order(&own.name, &own.zone, &usable.collect());
@@ -151,15 +157,15 @@
         Some((voter, followed[&voter].client.clone()?))
     }
 
-    /// The voters of this zone: each may give leases of its endpoints.
+    /// Returns the number of voters in this zone; each may issue leases of its endpoints.
     fn hubs(&self, followed: &Followed) -> u32 {
         let followed = lock(followed);
         let zone = &self.board.own.zone;
-        let near = followed.values().filter(|voter| voter.is_in(zone));
-        u32::try_from(near.count()).unwrap_or(u32::MAX)
+        let in_zone = followed.values().filter(|voter| voter.is_in(zone));
+        u32::try_from(in_zone.count()).unwrap_or(u32::MAX)
     }
 
-    /// Whether a voter stands in this zone: only such a one gives leases of its endpoints.
+    /// Returns whether a voter is in this zone: only such a voter issues leases of its endpoints.
     fn is_near(&self, followed: &Followed, voter: SocketAddr) -> bool {
         let followed = lock(followed);
         let voter = followed.get(&voter);
@@ -168,17 +174,17 @@
 
     async fn exchange(&mut self, followed: &Followed) {
         let Some((voter, client)) = self.choose(followed) else {
-            return self.lose();
+            return self.reset();
         };
         let hubs = self.hubs(followed);
-        let near = self.is_near(followed, voter);
+        let in_zone = self.is_near(followed, voter);
         let dispatches = !desk::held(&self.board).is_empty();
         if self.voter != Some(voter) || dispatches != self.dispatches {
-            // What is heard once, such as placements, was lost on nobody until now.
-            self.lose();
+            // Placements and the like are sent once: dispatchers opened since need the full state.
+            self.reset();
         }
         self.dispatches = dispatches;
-        let anew = self.voter.is_none();
+        let full = self.voter.is_none();
         let begun = now(&self.board);
         count_precedence(&self.board);
         let own = own_loads(&self.board);
@@ -188,18 +194,18 @@
             (registry.leaving_since(self.leaving), registry.stamp())
         };
         let mut limits = self.limits;
-        // Unlocked before dispatchers are asked: these read it while they are locked.
+        // The lock is released before `wanted` locks the dispatchers, which take it in turn.
         let new_limits = lock(&self.board.throttles).news(&mut limits, now(&self.board));
         let throttle = core::throttle::News {
             limits: new_limits,
             wanted: throttle::wanted(&self.board),
         };
-        let mut told = load::News {
-            loads: load::difference(&self.told, &own),
+        let mut report = load::News {
+            loads: load::difference(&self.sent_loads, &own),
             placements: taken(&self.board, dispatch::Dispatcher::take_placements),
             outcomes: taken(&self.board, dispatch::Dispatcher::take_outcomes),
             prompts: taken(&self.board, dispatch::Dispatcher::take_prompts),
-            wanted: if near {
+            wanted: if in_zone {
                 wanted(&self.board)
             } else {
                 Vec::new()
@@ -209,22 +215,22 @@
             throttle,
             ..load::News::default()
         };
-        count_requests(&self.board, &mut told);
+        count_requests(&self.board, &mut report);
         let counted = lock(&self.board.usage).windows().clone();
         let usage = usage::Told {
             start: self.board.start,
-            rows: usage::difference(&self.counted, &counted),
+            rows: usage::difference(&self.sent_usage, &counted),
         };
         let asked = now(&self.board);
-        let call = client.exchange(self.board.own.name.clone(), anew, told, usage);
-        match tokio::time::timeout(ANSWER, call).await {
+        let call = client.exchange(self.board.own.name.clone(), full, report, usage);
+        match tokio::time::timeout(EXCHANGE_TIMEOUT, call).await {
             Ok(Ok(Some(answer))) => {
-                if anew {
+                if full {
                     event!(self.board.log, LoadsShared, "voter" => %voter);
                 }
                 self.voter = Some(voter);
-                self.told = own;
-                self.counted = counted;
+                self.sent_loads = own;
+                self.sent_usage = counted;
                 self.crashes = crashes;
                 self.leaving = stamp;
                 self.limits = limits;
@@ -232,9 +238,9 @@
                 self.boxes = answer.load.boxes;
                 let answered = now(&self.board);
                 lock(&self.board.wall).note(answer.unix_ms, asked, answered);
-                self.take(answer.load.news, anew);
+                self.apply(answer.load.news, full);
                 if let Some(throttle) = answer.throttle {
-                    self.take_permits(throttle, voter, asked);
+                    self.apply_permits(throttle, voter, asked);
                 }
                 self.board.held_back_known.store(true, Ordering::Relaxed);
                 if !answer.load.leased.is_empty() {
@@ -243,33 +249,33 @@
                     self.tell(&dispatch::Input::Leases(leased, until, hubs));
                 }
             }
-            Ok(Ok(None)) => self.lose(),
+            Ok(Ok(None)) => self.reset(),
             Ok(Err(_)) | Err(_) => {
-                self.left_alone = Some((voter, now(&self.board) + LEFT_ALONE));
-                self.lose();
+                self.unanswered = Some((voter, now(&self.board) + RETRY_DELAY));
+                self.reset();
             }
         }
     }
 
-    /// Takes what a voter tells of limits, and the permits that it issues.
-    fn take_permits(&mut self, told: core::throttle::Answer, from: SocketAddr, asked: Duration) {
-        throttle::merge(&self.board, &told.limits, from);
-        throttle::take(&self.board, told.issued, asked);
-        if now(&self.board) >= self.issued + ALONE_AFTER {
+    /// Applies the limits that a voter reports and the permits that it issues.
+    fn apply_permits(&mut self, answer: core::throttle::Answer, from: SocketAddr, asked: Duration) {
+        throttle::merge(&self.board, &answer.limits, from);
+        throttle::take(&self.board, answer.issued, asked);
+        if now(&self.board) >= self.issued_at + PERMIT_TIMEOUT {
             self.tell(&dispatch::Input::Alone(None));
         }
-        self.issued = now(&self.board);
+        self.issued_at = now(&self.board);
     }
 
-    /// Has this box go by its own part of each limit, once no voter issues permits.
-    fn go_alone(&self) {
-        let since = self.issued + ALONE_AFTER;
+    /// Makes the dispatchers use this box's own part of each limit once no voter issues permits.
+    fn fall_back(&self) {
+        let since = self.issued_at + PERMIT_TIMEOUT;
         if now(&self.board) >= since {
             self.tell(&dispatch::Input::Alone(Some(since)));
         }
     }
 
-    fn take(&mut self, news: load::News, anew: bool) {
+    fn apply(&mut self, news: load::News, full: bool) {
         if !news.placements.is_empty() {
             self.tell(&dispatch::Input::Placed(news.placements));
         }
@@ -282,12 +288,12 @@
             event!(self.board.log, EndpointsDoubted, "risks" => risks.join(" "));
             self.tell(&dispatch::Input::Risks(news.risks));
         }
-        self.bound(news.bounds);
+        self.set_bounds(news.bounds);
         crash::take(&self.board, news.crashes);
-        if news.loads.is_empty() && !anew {
+        if news.loads.is_empty() && !full {
             return;
         }
-        if anew {
+        if full {
             load::merge(&mut self.others, news.loads);
             self.tell(&dispatch::Input::Others(Some(self.others.clone())));
             return;
@@ -296,8 +302,8 @@
         load::merge(&mut self.others, news.loads);
     }
 
-    /// Takes all bounds that stand, each for the dispatcher of its service.
-    fn bound(&mut self, bounds: Vec<load::Bound>) {
+    /// Replaces the bounds on less urgent requests; each dispatcher gets those of its service.
+    fn set_bounds(&mut self, bounds: Vec<load::Bound>) {
         if bounds.is_empty() && self.bounds.is_empty() {
             return;
         }
@@ -315,7 +321,7 @@
         self.bounds = bounds;
     }
 
-    /// Logs that refusals elsewhere have begun, or ceased, to hold back less urgent requests.
+    /// Logs that refusals at other boxes have begun, or ceased, to bound less urgent requests.
     fn log_bounds(&self, service: &name::Service, bounds: &[load::Bound]) {
         let bound = |bound: &load::Bound| format!("{}:{}", bound.class, bound.tokens.0);
         let bounds: Vec<_> = bounds.iter().map(bound).collect();
@@ -323,16 +329,16 @@
             "bounds" => bounds.join(" "));
     }
 
-    /// What was heard counts no more.
-    fn lose(&mut self) {
+    /// Discards the state of the exchange, so that the next one starts with full state.
+    fn reset(&mut self) {
         if let Some(voter) = self.voter.take() {
             event!(self.board.log, LoadsGuessed, "voter" => %voter);
             self.tell(&dispatch::Input::Others(None));
         }
-        self.bound(Vec::new());
-        self.told.clear();
+        self.set_bounds(Vec::new());
+        self.sent_loads.clear();
         self.others.clear();
-        self.counted.clear();
+        self.sent_usage.clear();
         self.crashes = Told::default();
         self.leaving = 0;
         self.limits = 0;
@@ -345,7 +351,7 @@
     }
 }
 
-/// The endpoints that warm up and that the dispatchers here would send to, the most wanted first.
+/// Returns the warming endpoints that the dispatchers here would send to, the most wanted first.
 fn wanted(board: &Shared) -> Vec<name::Endpoint> {
     let now = now(board);
     let mut wanted = taken(board, |dispatcher| dispatcher.wants(now));
@@ -363,7 +369,8 @@
     loads
 }
 
-/// Counts what came of less urgent requests while more urgent ones were refused.
+/// Counts the less urgent requests that were held back or started while more urgent ones were
+/// refused.
 fn count_precedence(board: &Shared) {
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
@@ -383,18 +390,18 @@
     });
 }
 
-/// Adds to what is told what became of requests here since it was last taken.
-fn count_requests(board: &Shared, told: &mut load::News) {
+/// Adds to a report the requests that arrived, started or were refused here since the last call.
+fn count_requests(board: &Shared, report: &mut load::News) {
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
             for (class, counts) in dispatcher.take_counts() {
-                told.count(service, &class, counts);
+                report.count(service, &class, counts);
             }
         }
     });
 }
 
-/// What the dispatchers here have to tell since it was last taken.
+/// Returns what all dispatchers here have to report since the last call.
 fn taken<T>(board: &Shared, take: impl Fn(&mut dispatch::Dispatcher) -> Vec<T>) -> Vec<T> {
     let mut all = Vec::new();
     board.dispatchers.each(|shard| {
--- a/src/scalewood/ops/entry/mod.rs
+++ b/src/scalewood/ops/entry/mod.rs
@@ -1,18 +1,18 @@
-//! An entry box's process: takes callers' requests and has them served.
+//! The process of an entry box: accepts callers' requests and has them served.
 //!
-//! The controllers, each with the facts that it reads and writes on the board:
+//! Its tasks, with what each reads from or writes to the board:
 //!
 //! - [`follow`](crate::ops::source): the configuration in force.
-//! - `member`: probes peers; writes who is alive, and loads.
-//! - `desk`: holds dispatchers, tells them of this box's requests, delivers orders.
-//! - `link`: carries reports and orders between boxes.
-//! - `claim`: claims keys, and reads claims back after a start.
-//! - `poll`: asks endpoints how they are.
-//! - `directory`: follows the endpoints that announce themselves.
-//! - `fetch`: has the newest configuration that a voter tells of in force.
-//! - `exchange`: tells what this box has at endpoints, and hears what the others have.
-//! - `routed`: serves requests of routes.
-//! - `caller`: the HTTP server that callers see.
+//! - `member`: probes peers; writes which boxes are alive, and their dispatchers' loads.
+//! - `desk`: runs dispatchers, reports this box's requests to their dispatchers, delivers orders.
+//! - `link`: transfers reports and orders between boxes.
+//! - `claim`: claims idempotency keys, and reads claims back after a start.
+//! - `poll`: polls the health and load of endpoints.
+//! - `directory`: tracks the registries of voters, in which endpoints announce themselves.
+//! - `fetch`: fetches the newest configuration that a voter reports.
+//! - `exchange`: exchanges the boxes' loads at endpoints with a voter.
+//! - `routed`: serves requests that go by routes.
+//! - `caller`: the HTTP server for callers.
 
 use std::{
     net::SocketAddr,
@@ -65,56 +65,56 @@
 mod upstream;
 mod warmth;
 
-/// What a planned stop leaves of the time that it may take at most.
+/// The part of `stop_within` that is left over after the grace and drain times.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 
 /// Settings of an entry box's process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The box that it runs on.
+    /// The name of the box.
     pub name: name::Box,
     /// Its availability zone.
     pub zone: name::Zone,
-    /// The availability zones that are known beforehand, with their regions.
+    /// The availability zones that are known from the start, with their regions.
     pub zones: region::Map,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where the other processes of the system reach it.
+    /// The address for the other processes of the system.
     pub listen: SocketAddr,
-    /// Where the platform asks for its health and metrics.
+    /// The address at which the platform reads health and metrics.
     pub health: SocketAddr,
-    /// The voters.
+    /// The addresses of the voters.
     pub voters: Vec<SocketAddr>,
-    /// How often endpoints tell of themselves.
+    /// The heartbeat timing of endpoints.
     pub timing: registry::Timing,
-    /// How callers are treated.
+    /// Size and time limits of requests.
     pub limits: Limits,
-    /// What all boxes together may send again to a service of a routing.
+    /// How many retries all boxes together may send to a service of a route.
     pub retries: retry::Allowance,
-    /// How far requests to endpoints that warm up may go beyond what these bear.
+    /// By how much requests to warming endpoints may exceed what these can take.
     pub leeway: warm_up::Leeway,
     /// How long a claimed key is remembered.
     pub retention: Duration,
-    /// The length of the windows in which usage is counted; nothing is counted where it is zero.
+    /// The length of the windows in which usage is counted; zero turns counting off.
     pub usage_window: Duration,
-    /// How long callers are still taken after readiness went down.
+    /// How long requests are still accepted after readiness was withdrawn.
     pub grace: Duration,
-    /// How long running requests may take after that.
+    /// How long running requests may take to finish after that.
     pub drain: Duration,
 }
 
-/// How callers are treated.
+/// Size and time limits of requests.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The largest body of a request.
+    /// The largest request body.
     pub body: unit::Size,
-    /// How long a request's headers or body may take to arrive.
+    /// How long the headers or the body of a request may take to arrive.
     pub arrival: Duration,
-    /// How long an endpoint may be silent.
+    /// How long an endpoint may send nothing.
     pub silence: Duration,
-    /// How long a connection to an endpoint may take.
+    /// How long connecting to an endpoint may take.
     pub connect: Duration,
-    /// The largest answer of a plain service, and of a model without a stream.
+    /// The largest answer of a plain service, and of a model that does not stream.
     pub answer: unit::Size,
 }
 
@@ -152,7 +152,7 @@
         };
         for (key, value) in [("ratio", allowance.ratio), ("slack", allowance.slack)] {
             if !(0.0..=1e9).contains(&value) {
-                reader.problem(key, "it can't be below 0 or without end", "0.2");
+                reader.problem(key, "it must be between 0 and 1e9", "0.2");
             }
         }
         allowance
@@ -190,7 +190,7 @@
         };
         for (key, value) in [("factor", leeway.factor), ("slack", leeway.slack)] {
             if !(0.0..=1e6).contains(&value) {
-                reader.problem(key, "it can't be below 0 or without end", "1");
+                reader.problem(key, "it must be between 0 and 1e6", "1");
             }
         }
         leeway
@@ -235,7 +235,7 @@
 }
 
 impl Settings {
-    /// The settings with the time to drain cut so that a stop takes no longer.
+    /// Shortens the drain time so that a stop takes at most `within`.
     fn stopping_within(self, within: Duration) -> Self {
         let left = within.saturating_sub(self.grace + STOP_MARGIN);
         Self {
@@ -259,7 +259,7 @@
         if self.health == self.callers || self.health == self.listen {
             reader.problem(
                 "health",
-                "it clashes with another address here",
+                "it is the same address as `callers` or `listen`",
                 "another port",
             );
         }
@@ -272,7 +272,7 @@
     }
 }
 
-/// An entry box's process that can't start or go on.
+/// The entry process can't start or continue.
 #[derive(Debug)]
 pub struct Error;
 
@@ -286,12 +286,12 @@
 
 type Shared = Arc<Board<clock::System>>;
 
-/// Runs an entry box until it is asked to stop and has drained; callers and endpoints
-/// of routes speak a dialect. The settings are read again from their path, if any.
+/// Runs an entry box until it is asked to stop and has drained. Callers and endpoints of routes
+/// speak the dialect `D`. The settings are read again from `path`, if there is one.
 ///
 /// # Errors
 ///
-/// Fails if an address can't be listened on.
+/// Returns an error if an address can't be listened on.
 pub async fn run<D: dialect::Dialect>(
     settings: Settings,
     path: Option<PathBuf>,
@@ -302,8 +302,8 @@
         zone: settings.zone.clone(),
         regions: settings.zones.clone(),
         leeway: settings.leeway,
-        // Peers that know a higher one from a start before this say so. The wall clock
-        // jumps, back too, so it can't tell one start from another.
+        // A peer that knows a higher incarnation from an earlier start reports it. The wall clock
+        // can jump, also backwards, so it can't order starts.
         incarnation: unit::Incarnation::default(),
     };
     let clock = clock::System;
@@ -362,7 +362,7 @@
     tokio::spawn(directory::run(board.clone(), voters));
 }
 
-/// Waits for the signal to stop, takes readiness down, and lets the balancer see it.
+/// Waits for the stop signal, withdraws readiness, and gives the load balancer time to see it.
 async fn stopped(settings: &Settings, board: &Shared) {
     if let Err(error) = signal::stop().await {
         event!(board.log, DrainCut, "why" => %error);
@@ -374,7 +374,7 @@
     tokio::time::sleep(settings.grace).await;
 }
 
-/// The time on a board's clock.
+/// Returns the time on a board's clock.
 fn now(board: &Shared) -> Duration {
     board.clock.now()
 }
--- a/src/scalewood/ops/entry/observer.rs
+++ b/src/scalewood/ops/entry/observer.rs
@@ -1,4 +1,4 @@
-//! What becomes of each request, as the metrics count it: the users' measures.
+//! Counts the outcome of each request in the metrics: first token, pauses, goodput, failures.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     util::metric,
 };
 
-/// Counts what becomes of a request.
+/// Counts the outcome of a request. If it is dropped before the end, the caller has left.
 #[derive(Debug)]
 pub(super) struct Observer {
     board: Shared,
@@ -40,15 +40,15 @@
         (&self.call.key).into()
     }
 
-    /// Notes that an endpoint has begun the request: for the team's usage it counts once,
-    /// however many endpoints begin it and whatever comes of it.
+    /// Records that an endpoint has begun the request, and counts it for the team's usage: once per
+    /// request, for any number of endpoints and whatever the outcome.
     pub(super) fn begun(&mut self) {
         if !std::mem::replace(&mut self.begun, true) && self.call.is_known {
             self.board.count_usage(&self.call.team);
         }
     }
 
-    /// Notes the first token, or a plain service's answer.
+    /// Records the first token, or the answer of a plain service.
     pub(super) fn first(&mut self) {
         if self.first.is_some() {
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Notes a token of a stream.
+    /// Records a token of a stream.
     pub(super) fn token(&mut self) {
         let now = now(&self.board);
         if self.first.is_none() {
@@ -90,17 +90,17 @@
         self.tokens += 1;
     }
 
-    /// How long the first token, or a plain service's answer, took.
+    /// Returns how long the first token, or the answer of a plain service, took from the arrival.
     pub(super) fn first_after(&self) -> Option<Duration> {
         self.first
     }
 
-    /// The longest pause between two tokens so far.
+    /// Returns the longest pause between two tokens so far.
     pub(super) fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
 
-    /// Notes tokens that have to be processed again.
+    /// Counts tokens that have to be processed again.
     pub(super) fn wasted(&self, tokens: unit::Tokens) {
         self.board
             .metrics
@@ -109,7 +109,7 @@
             .inc_by(tokens.0);
     }
 
-    /// Notes a whole answer.
+    /// Records a complete answer.
     pub(super) fn done(&mut self, tokens: unit::Tokens) {
         if self
             .first
@@ -124,7 +124,7 @@
         self.end("done", verdict::Verdict::Ran);
     }
 
-    /// Notes a refusal or failure.
+    /// Records a refusal or failure, and logs it if the request may have run.
     pub(super) fn refused(&mut self, refusal: &Refusal) {
         if refusal.verdict != verdict::Verdict::NotRun {
             event!(self.board.log, RequestFailed, "request" => %self.call.request,
--- a/src/scalewood/ops/entry/poll.rs
+++ b/src/scalewood/ops/entry/poll.rs
@@ -1,9 +1,9 @@
-//! Asks endpoints how they are: their load, and whether they leave.
+//! Polls the load of endpoints, and whether they are about to leave.
 //!
-//! Only the box that dispatches a service asks its endpoints, so the cost does not
-//! grow with the number of boxes. The protocol is that of the usual model servers:
-//! `GET /health` answers 200 while new work is taken, and 503 before the endpoint
-//! goes; `GET /load` tells the requests inside of it. Both lag.
+//! Only the box that dispatches a service polls its endpoints, so the cost does not grow with
+//! the number of boxes. The protocol is that of common model servers: `GET /health` answers 200
+//! while new work is accepted, and 503 before the endpoint leaves; `GET /load` returns the number
+//! of requests in the endpoint. Both lag behind the real state.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -18,25 +18,25 @@
     ops::entry::{crash::At, desk, plain, said, upstream, Shared},
 };
 
-/// How often an endpoint is asked.
+/// The pause between two polls of the endpoints.
 const PERIOD: Duration = Duration::from_millis(500);
-/// How long it may take to answer.
-const ANSWER: Duration = Duration::from_millis(400);
+/// How long connecting may take, and how long the whole poll of an endpoint.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The answer to `GET /load`.
+/// The body of the answer to `GET /load`.
 #[derive(Debug, Deserialize)]
 struct Load {
     server_load: u32,
 }
 
-/// What an endpoint said.
+/// What an endpoint reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct State {
+struct Status {
     leaving: bool,
     load: u32,
 }
 
-/// Asks for ever.
+/// Polls the endpoints of the services dispatched here, for ever.
 pub(super) async fn run(board: Shared) {
     let mut leaving = HashMap::new();
     loop {
@@ -55,11 +55,11 @@
     let view = board.view.load_full();
     let asked = view
         .endpoints(service, &board.own.zone)
-        // It wants nothing for now, or little, and these are requests too.
+        // An endpoint that rests or limits its rate is left alone: polls are requests too.
         .filter(|(name, _)| board.rest_left(name).is_none() && board.limit_of(name).is_none())
         .map(|(name, endpoint)| async move {
             let at = plain::at(board, name, endpoint.address);
-            let state = tokio::time::timeout(ANSWER, ask(board, service, &at)).await;
+            let state = tokio::time::timeout(ANSWER_TIMEOUT, ask(board, service, &at)).await;
             (name, endpoint, state.ok().flatten())
         });
     for (name, endpoint, state) in futures_util::future::join_all(asked).await {
@@ -74,7 +74,7 @@
         if state.leaving && !known {
             event!(board.log, EndpointLeaving, "endpoint" => %name);
         }
-        // Told each time, since the dispatcher may be a new one.
+        // Passed on each time, since the dispatcher may be a new one.
         let leaves = state.leaving || endpoint.leaving;
         desk::input(
             board,
@@ -84,20 +84,22 @@
     }
 }
 
-async fn ask(board: &Shared, service: &name::Service, at: &At) -> Option<State> {
+async fn ask(board: &Shared, service: &name::Service, at: &At) -> Option<Status> {
     let health = get(at.address, "/health").await?;
     said::hear_health(board, service, at, &health);
     let load = get(at.address, "/load").await?;
     said::hear_health(board, service, at, &load);
     let read: Option<Load> = serde_json::from_slice(load.body()).ok();
-    Some(State {
+    Some(Status {
         leaving: health.status() == StatusCode::SERVICE_UNAVAILABLE,
         load: read.map_or(0, |load| load.server_load),
     })
 }
 
 async fn get(address: SocketAddr, path: &str) -> Option<Response<Bytes>> {
-    let mut sender = upstream::dial::<Empty<Bytes>>(address, ANSWER).await.ok()?;
+    let mut sender = upstream::dial::<Empty<Bytes>>(address, ANSWER_TIMEOUT)
+        .await
+        .ok()?;
     let request = hyper::Request::get(path).header("host", address.to_string());
     let response = sender
         .send_request(request.body(Empty::new()).ok()?)
