--- a/src/scalewood/ops/entry/routed/again.rs
+++ b/src/scalewood/ops/entry/routed/again.rs
@@ -1,4 +1,4 @@
-//! Whether another attempt may follow one that came to nothing, and when.
+//! Decides whether and when another attempt follows one that failed.
 
 use std::{collections::HashMap, sync::atomic::Ordering, time::Duration};
 
@@ -12,36 +12,38 @@
     },
 };
 
-/// The most tries at one request that reached an endpoint, also if it did not run there.
-const MAX_TRIES: u32 = 3;
-/// The most that did not: a zone that is cut off, or many endpoints that have gone at once,
-/// take a few of them before they are known to be.
+/// The most attempts of a request that reach an endpoint, whether or not it runs there.
+const MAX_ATTEMPTS: u32 = 3;
+/// The number of attempts that may miss their endpoint and still be followed by another one: if
+/// a zone is cut off, or many endpoints are gone at once, it takes a few before that is known.
 const MAX_MISSES: u32 = 7;
-/// What is left of the time is too short for another attempt below this.
-const MIN_LEFT: Duration = Duration::from_millis(20);
-/// The longest wait before the first retry, and before any: requests are due within some
-/// hundred milliseconds.
-const WAIT: Duration = Duration::from_millis(10);
-const LONGEST_WAIT: Duration = Duration::from_millis(50);
+/// The least remaining time for which another attempt is worth while.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
+/// The longest wait before the first retry, and before any. They are short since requests are
+/// due within some hundred milliseconds.
+const MAX_FIRST_WAIT: Duration = Duration::from_millis(10);
+const MAX_WAIT: Duration = Duration::from_millis(50);
 
-/// Notes a request of a service: its budget earns a part of a retry by it.
+/// Records a request of a service, which earns its budget a fraction of a retry.
 pub(super) fn earn<D>(context: &Context<D>, service: &name::Service) {
     let board = &context.board;
-    let part = context.retries.part(board.sharers.load(Ordering::Relaxed));
+    let share = context.retries.part(board.sharers.load(Ordering::Relaxed));
     let mut shard = board.budgets.shard(service);
-    let budget = budget(&mut shard, service, part);
-    budget.set(part);
+    let budget = budget(&mut shard, service, share);
+    budget.set(share);
     budget.earn();
 }
 
 impl<D: Dialect> Request<D> {
-    /// Whether the request may be sent once more after one that may have run.
+    /// Returns whether the request may be sent again if this attempt may have run.
     pub(super) fn may_run_again(&self) -> bool {
         let route = &self.routed.route;
-        route.kind.is_repeatable() && self.runs + 1 < route.attempts && self.reached() < MAX_TRIES
+        route.kind.is_repeatable()
+            && self.runs + 1 < route.attempts
+            && self.reached() < MAX_ATTEMPTS
     }
 
-    /// Tries that reached the endpoint that was meant.
+    /// Returns the number of attempts that reached their endpoint.
     fn reached(&self) -> u32 {
         self.tries - self.misses
     }
@@ -52,23 +54,23 @@
         shard.get(service).is_some_and(retry::Budget::has_any)
     }
 
-    /// Has the service's budget pay for one more arrival, after so many tries of this request;
-    /// how long to wait before it.
-    fn pay(&self, tries: u32) -> Option<Duration> {
+    /// Takes a retry from the service's budget, after so many attempts of this request; returns how
+    /// long to wait first, or `None` if the budget is used up.
+    fn take_retry(&self, tries: u32) -> Option<Duration> {
         let service = &self.routed.call.key.service;
         let mut shard = self.context.board.budgets.shard(service);
         shard.get_mut(service)?.spend(tries, rand::random())
     }
 
-    /// How long to wait before the next attempt, if there may be one.
+    /// Returns how long to wait before the next attempt, or `None` if there may be none.
     pub(super) fn next_wait(&self, failure: Failure) -> Option<Duration> {
         let route = &self.routed.route;
         let is_last = if failure.is_miss() {
             self.misses > MAX_MISSES
         } else {
-            self.reached() >= MAX_TRIES
+            self.reached() >= MAX_ATTEMPTS
         };
-        if self.left() < MIN_LEFT || is_last {
+        if self.time_left() < MIN_TIME_LEFT || is_last {
             return None;
         }
         let harmless = self.verdict == verdict::Verdict::NotRun;
@@ -76,18 +78,19 @@
             return None;
         }
         match failure.end {
-            // Nothing has arrived, so nothing is sent a second time.
+            // The endpoint received nothing, so the next attempt costs no budget.
             dispatch::End::Unreachable => Some(Duration::ZERO),
-            // By then the dispatcher here knows what bars it.
+            // By the next tick the dispatcher here knows what barred it, such as a cordon.
             dispatch::End::Unused => Some(desk::TICK),
-            // What an endpoint turned away arrived there; it costs this request no try.
-            dispatch::End::Mistaken => self.pay(0).map(|_| Duration::ZERO),
-            _ => self.pay(self.reached()),
+            // A wrong endpoint received the request and turned it away: this costs budget, but
+            // does not count against `MAX_ATTEMPTS`.
+            dispatch::End::Mistaken => self.take_retry(0).map(|_| Duration::ZERO),
+            _ => self.take_retry(self.reached()),
         }
     }
 }
 
-/// A service's budget of retries, new ones with what a box may earn and save up.
+/// Returns a service's retry budget. A new one gets the rates that a box may earn and save.
 fn budget<'a>(
     budgets: &'a mut HashMap<name::Service, retry::Budget>,
     service: &name::Service,
@@ -96,9 +99,9 @@
     let settings = retry::Settings {
         earned,
         most,
-        base: WAIT,
-        cap: LONGEST_WAIT,
-        attempts: MAX_TRIES,
+        base: MAX_FIRST_WAIT,
+        cap: MAX_WAIT,
+        attempts: MAX_ATTEMPTS,
     };
     budgets
         .entry(service.clone())
--- a/src/scalewood/ops/entry/routed/attempt.rs
+++ b/src/scalewood/ops/entry/routed/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at endpoints, until one answers or none may follow.
+//! Attempts a request at endpoints until one answers or no further attempt is allowed.
 
 use std::{future::Future, time::Duration};
 
@@ -26,44 +26,44 @@
     util::{lock::lock, metric},
 };
 
-/// How long a repeatable request waits for a silent endpoint at least, before another
-/// one is tried.
+/// The least time that a repeatable request waits for a silent endpoint before another one is
+/// tried.
 const MIN_PATIENCE: Duration = Duration::from_millis(1000);
-/// How many targets it waits for a silent endpoint.
-const PATIENCE_TARGETS: u32 = 4;
-/// After how long a request that got nothing back met silence. An endpoint that refuses or
-/// resets does so within the round trip; sent bytes stay unacknowledged for 0.7 s.
-const SILENT: Duration = Duration::from_millis(500);
-/// How often it is looked at whether a silent endpoint is still merely busy.
-const RECHECK: Duration = Duration::from_millis(100);
-/// How long the rest of a refusal may take, for its connection to be kept.
-const REST: Duration = Duration::from_millis(50);
-
-/// A request on its way to a final answer.
+/// How long a repeatable request waits for a silent endpoint, as a multiple of its target.
+const PATIENCE_IN_TARGETS: u32 = 4;
+/// The wait after which a failure without any answer counts as silence. An endpoint that
+/// refuses or resets does so within a round trip; sent bytes stay unacknowledged for 0.7 s.
+const MIN_SILENCE: Duration = Duration::from_millis(500);
+/// How often to check whether a silent endpoint is merely busy.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long the body of a refusal may take to arrive, for its connection to be kept.
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
+
+/// A request that has no final answer yet.
 #[derive(Debug)]
 pub(super) struct Request<D> {
     pub(super) context: Context<D>,
     pub(super) routed: Routed,
     pub(super) observer: Observer,
     ask: dispatch::Ask,
-    /// Tries so far, those of them that did not reach the endpoint that was meant, and those
-    /// that may have run.
+    /// The attempts so far, those of them that did not reach their endpoint, and those that may
+    /// have run.
     pub(super) tries: u32,
     pub(super) misses: u32,
     pub(super) runs: u32,
     pub(super) verdict: verdict::Verdict,
-    last: Option<name::Endpoint>,
+    last_endpoint: Option<name::Endpoint>,
     /// Where the last attempt was sent.
     sent_to: Option<At>,
-    /// What the last endpoint was chosen by.
+    /// The estimates by which the last endpoint was chosen.
     basis: dispatch::Basis,
-    /// When the caller was told to come back.
+    /// After how long the caller was told to try again.
     retry_after: Option<Duration>,
-    /// Why it was refused for want of room, if it was and that is known here.
+    /// Why the request was refused for lack of capacity, if it was and this box knows it.
     cause: Option<dispatch::Cause>,
 }
 
-/// An endpoint's answer that has begun.
+/// An endpoint's answer whose head has arrived.
 #[derive(Debug)]
 pub(super) struct Opened {
     pub(super) turn: Turn,
@@ -73,10 +73,10 @@
     pub(super) body: Incoming,
 }
 
-/// An attempt that came to nothing.
+/// An attempt that failed.
 pub(super) struct Failed {
     failure: Failure,
-    /// The endpoint's own answer, to be passed on if no attempt follows.
+    /// The endpoint's own answer, which the caller gets if no further attempt follows.
     own: Option<(response::Parts, Bytes)>,
 }
 
@@ -103,7 +103,7 @@
             misses: 0,
             runs: 0,
             verdict: verdict::Verdict::NotRun,
-            last: None,
+            last_endpoint: None,
             sent_to: None,
             basis: dispatch::Basis::default(),
             retry_after: None,
@@ -119,12 +119,12 @@
         now(&self.context.board)
     }
 
-    /// What is left until the final answer is due.
-    pub(super) fn left(&self) -> Duration {
+    /// Returns the time left until the final answer is due.
+    pub(super) fn time_left(&self) -> Duration {
         self.routed.until.saturating_sub(self.now())
     }
 
-    /// Serves a request whose answer is passed on whole.
+    /// Serves a request whose answer is not a stream.
     pub(super) async fn serve_whole(mut self) -> Response<Answer> {
         loop {
             let opened = match self.open(None).await {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Reads an answer to its end; nothing if another attempt follows.
+    /// Reads an answer to its end and returns it, or `None` if another attempt follows.
     pub(super) async fn finish_whole(&mut self, opened: Opened) -> Option<Response<Answer>> {
         let Opened {
             turn,
@@ -146,7 +146,7 @@
             parts,
             body,
         } = opened;
-        // Whatever its status, the endpoint has run the request.
+        // The endpoint has run the request, whatever the status.
         self.observer.begun();
         let most = self.context.limits.answer.0;
         let read = Limited::new(body, most).collect();
@@ -157,7 +157,7 @@
         };
         let failed = match read {
             Ok(body) => {
-                self.keep(&endpoint, sender, &parts.headers);
+                self.keep_connection(&endpoint, sender, &parts.headers);
                 if !parts.status.is_server_error() {
                     return Some(self.done(turn, parts, body));
                 }
@@ -168,11 +168,16 @@
             }
             Err(failure) => failure.into(),
         };
-        self.failed(turn, &endpoint, failed).await.err()
+        self.handle_failure(turn, &endpoint, failed).await.err()
     }
 
-    fn keep(&self, endpoint: &name::Endpoint, sender: pool::Sender, headers: &hyper::HeaderMap) {
-        let keep = pool::keep_time(headers);
+    fn keep_connection(
+        &self,
+        endpoint: &name::Endpoint,
+        sender: pool::Sender,
+        headers: &hyper::HeaderMap,
+    ) {
+        let keep = pool::keep_alive_time(headers);
         self.context
             .pool
             .give_back(endpoint, sender, keep, self.now());
@@ -188,11 +193,11 @@
     }
 
     async fn in_time<T>(&self, future: impl Future<Output = T>) -> Option<T> {
-        tokio::time::timeout(self.left(), future).await.ok()
+        tokio::time::timeout(self.time_left(), future).await.ok()
     }
 
-    /// Tries endpoints until one begins an answer to this request; else the final
-    /// answer. A stream is resumed after an event, if one is named.
+    /// Makes attempts until an endpoint begins an answer, or returns the final answer as an error.
+    /// A stream is resumed after the event with the id `after`, if there is one.
     pub(super) async fn open(&mut self, after: Option<&str>) -> Result<Opened, Response<Answer>> {
         loop {
             let (turn, endpoint) = self.turn().await?;
@@ -207,12 +212,12 @@
                         body,
                     });
                 }
-                Err(failed) => self.failed(turn, &endpoint, failed).await?,
+                Err(failed) => self.handle_failure(turn, &endpoint, failed).await?,
             }
         }
     }
 
-    /// Waits for a slot.
+    /// Asks the dispatcher for a slot at an endpoint, and waits for it.
     async fn turn(&mut self) -> Result<(Turn, name::Endpoint), Response<Answer>> {
         let board = self.context.board.clone();
         let zone = board.own.zone.clone();
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Sends the request to an endpoint and takes its answer's head.
+    /// Sends the request to an endpoint and reads the head of its answer.
     async fn exchange(
         &mut self,
         turn: &Turn,
@@ -251,7 +256,7 @@
         after: Option<&str>,
     ) -> Result<(pool::Sender, Response<Incoming>), Failed> {
         self.tries += 1;
-        self.last = Some(endpoint.clone());
+        self.last_endpoint = Some(endpoint.clone());
         let at = lock(&self.context.board.registry)
             .get(endpoint)
             .map(|record| At {
@@ -264,7 +269,7 @@
         self.sent_to = Some(at.clone());
         let instruction = Instruction {
             endpoint,
-            left: self.left(),
+            left: self.time_left(),
             team: self.routed.team.as_ref(),
             rank: self.routed.rank,
             after: after.or(self.routed.head.after.as_deref()),
@@ -274,16 +279,16 @@
         let sent = self.send(turn, &at, request);
         let sent = self.unless_silent(endpoint, self.patience(), sent).await;
         let sent = sent.unwrap_or(Err(Failure::SILENT));
-        let silent = self.now() >= sent_at + SILENT;
+        let silent = self.now() >= sent_at + MIN_SILENCE;
         if silent && matches!(sent, Err(Failure::SILENT | Failure::BROKEN)) {
             self.context.pool.forget(endpoint, sent_at);
         }
         let (sender, response) = sent?;
-        self.judge(&at, sender, response).await
+        self.check_head(&at, sender, response).await
     }
 
-    /// Waits for something of an endpoint for `least`, and longer while the endpoint is
-    /// merely busy; nothing if it stays silent.
+    /// Waits for data from an endpoint, for `least` or longer while the endpoint is merely busy.
+    /// Returns `None` if it stays silent.
     pub(super) async fn unless_silent<T>(
         &self,
         endpoint: &name::Endpoint,
@@ -294,26 +299,26 @@
         let since = self.now();
         let mut until = since + least;
         loop {
-            let wait = until.saturating_sub(self.now()).min(self.left());
+            let wait = until.saturating_sub(self.now()).min(self.time_left());
             if let Ok(got) = tokio::time::timeout(wait, awaited.as_mut()).await {
                 return Some(got);
             }
             let service = &self.routed.call.key.service;
             let patience = desk::patience(&self.context.board, service, endpoint, least);
-            if self.left().is_zero() || since + patience <= self.now() {
+            if self.time_left().is_zero() || since + patience <= self.now() {
                 return None;
             }
-            until = self.now() + RECHECK;
+            until = self.now() + RECHECK_INTERVAL;
         }
     }
 
-    /// How long the answer's head is waited for at least.
+    /// Returns the least time to wait for the head of the answer.
     fn patience(&self) -> Duration {
-        let left = self.left();
+        let left = self.time_left();
         if !self.may_run_again() || !self.has_budget() {
             return left;
         }
-        let patience = self.routed.route.target() * PATIENCE_TARGETS;
+        let patience = self.routed.route.target() * PATIENCE_IN_TARGETS;
         left.min(patience.max(MIN_PATIENCE))
     }
 
@@ -324,8 +329,8 @@
         request: hyper::Request<Full<Bytes>>,
     ) -> Result<(pool::Sender, Response<Incoming>), Failure> {
         let mut request = request;
-        // An idle connection may have been closed meanwhile; hyper gives a request
-        // back that it has not begun to write.
+        // The endpoint may have closed an idle connection. hyper returns a request of which it has
+        // written nothing, so it can be sent on another connection.
         let pool = &self.context.pool;
         while let Some(mut sender) = pool.take(&at.endpoint, at.start, self.now()) {
             if !turn.permits(&at.endpoint) {
@@ -338,7 +343,7 @@
             }
         }
         let requests = upstream::dial(at.address, self.context.limits.connect).await?;
-        // A connection takes a while, and the process may have been frozen meanwhile.
+        // Connecting takes time, and the process may have been frozen meanwhile.
         if !turn.permits(&at.endpoint) {
             return Err(Failure::BARRED);
         }
@@ -350,8 +355,8 @@
         }
     }
 
-    /// Decides whether an answer's head is one to this request.
-    async fn judge(
+    /// Checks whether the head of an answer belongs to an answer to this request.
+    async fn check_head(
         &self,
         at: &At,
         sender: pool::Sender,
@@ -367,24 +372,24 @@
             Said::Refused => {
                 let (parts, body) = response.into_parts();
                 let rest = Limited::new(body, self.context.limits.answer.0).collect();
-                if let Ok(Ok(_)) = tokio::time::timeout(REST, rest).await {
-                    self.keep(endpoint, sender, &parts.headers);
+                if let Ok(Ok(_)) = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, rest).await {
+                    self.keep_connection(endpoint, sender, &parts.headers);
                 }
                 Err(Failure::REFUSED.into())
             }
             Said::Mistaken => {
                 event!(self.context.board.log, EndpointMistaken, "endpoint" => %endpoint,
                     "id" => id);
-                // Only the start that it was sent to: a later one may have announced itself since.
+                // Only the start that got the request: a later one may have announced itself since.
                 lock(&self.context.board.registry).end(endpoint, sender.start());
                 Err(Failure::MISTAKEN.into())
             }
         }
     }
 
-    /// Gives the slot back and draws the consequences: another attempt follows, or the
-    /// final answer is given.
-    pub(super) async fn failed(
+    /// Releases the slot of a failed attempt, and prepares the next attempt; if there is none,
+    /// returns the final answer as an error.
+    pub(super) async fn handle_failure(
         &mut self,
         turn: Turn,
         endpoint: &name::Endpoint,
@@ -394,7 +399,7 @@
         let attempt = turn.attempt();
         turn.end(failure.end);
         if own.is_none() && failure.end == dispatch::End::Broken {
-            self.note_end().await;
+            self.check_for_crash().await;
         }
         self.verdict = self.verdict.and(failure.verdict);
         let may_have_run = failure.verdict != verdict::Verdict::NotRun;
@@ -407,10 +412,10 @@
         let rest = self.context.board.rest_left(endpoint);
         event!(self.context.board.log, RequestRetried, "id" => self.routed.head.id.as_deref(),
             "endpoint" => %endpoint, "how" => ?failure.end, "tries" => self.tries,
-            "rest_ms" => rest.map(|rest| rest.as_millis()), "again" => wait.is_some(), "left_ms" => self.left().as_millis());
+            "rest_ms" => rest.map(|rest| rest.as_millis()), "again" => wait.is_some(), "left_ms" => self.time_left().as_millis());
         let Some(wait) = wait else {
             return Err(match own {
-                Some((parts, body)) => self.pass(parts, body),
+                Some((parts, body)) => self.pass_through(parts, body),
                 None => self.refuse(&reply::failed(failure.end, self.verdict)),
             });
         };
@@ -424,27 +429,27 @@
         Ok(())
     }
 
-    /// Finds out whether the endpoint has ended that broke off the request.
-    async fn note_end(&self) {
+    /// Checks whether the endpoint that broke off the request has crashed, and records it if so.
+    async fn check_for_crash(&self) {
         let Some(at) = &self.sent_to else { return };
         let call = &self.routed.call;
         let id = self.routed.head.id.as_deref().unwrap_or_default();
         crash::note(&self.context.board, &call.content, id, at).await;
     }
 
-    /// Counts the caller's patience anew: it has got events, and waits for the next one.
+    /// Restarts the caller's patience: it has received events, and waits for the next one.
     pub(super) fn renew_patience(&mut self) {
         self.ask.renew_patience(self.routed.call.patience);
     }
 
-    /// Passes an endpoint's own failure on.
-    fn pass(&mut self, parts: response::Parts, body: Bytes) -> Response<Answer> {
+    /// Returns an endpoint's own failure as the final answer.
+    fn pass_through(&mut self, parts: response::Parts, body: Bytes) -> Response<Answer> {
         self.observer.done(unit::Tokens(0));
         self.log_end(parts.status, "endpoint-error", verdict::Verdict::Ran);
         reply::whole(parts, body)
     }
 
-    /// The final answer of a request that got none from an endpoint.
+    /// Returns the final answer to a request that got none from an endpoint.
     pub(super) fn refuse(&mut self, refusal: &Refusal) -> Response<Answer> {
         self.observer.refused(refusal);
         self.retry_after = refusal.retry_after;
@@ -452,19 +457,19 @@
         reply::refusal::<D>(refusal, self.routed.head.id.as_deref())
     }
 
-    /// Where the last attempt might be served, unless that is everywhere.
+    /// Returns where the last attempt was allowed to run, or `None` if that is everywhere.
     fn allowed(&self) -> Option<String> {
         let allowed = &self.ask.allowed;
         (!allowed.is_everywhere()).then(|| allowed.to_string())
     }
 
-    /// The more urgent class that held it back, if one did.
+    /// Returns the more urgent class that held the request back, if one did.
     fn held_back_by(&self) -> Option<&str> {
         let class = self.cause.as_ref()?.class()?;
         Some(class.as_str())
     }
 
-    /// Logs the final answer with what decided it.
+    /// Logs the final answer and what led to it.
     pub(super) fn log_end(&self, status: StatusCode, code: &str, verdict: verdict::Verdict) {
         let routed = &self.routed;
         let took = self.now().saturating_sub(routed.call.arrived);
@@ -473,7 +478,7 @@
             "route" => %routed.call.key, "team" => %routed.call.team, "rank" => %routed.rank,
             "allowed" => self.allowed(),
             "fingerprint" => crash::known_fingerprint(&self.context.board, &routed.call.content),
-            "endpoint" => self.last.as_ref().map(name::Endpoint::as_str),
+            "endpoint" => self.last_endpoint.as_ref().map(name::Endpoint::as_str),
             "prompt" => routed.call.prompt.0, "unread" => self.basis.unread.0,
             "ahead" => self.basis.ahead.0, "later" => self.basis.later.0, "kept" => self.basis.kept, "returned" => routed.call.returned,
             "cause" => self.cause.as_ref().map(dispatch::Cause::as_str), "held_back_by" => self.held_back_by(),
--- a/src/scalewood/ops/entry/routed/mod.rs
+++ b/src/scalewood/ops/entry/routed/mod.rs
@@ -1,11 +1,11 @@
-//! Requests of routes: from the caller's head to the final answer.
+//! Serves requests that go by routes, from the caller's head to the final answer.
 //!
 //! - `outgoing`: the head and body that an endpoint gets.
-//! - `pool`: connections to endpoints that are kept.
-//! - `attempt`: attempts at endpoints, until one answers or none may follow.
-//! - `stream`: passing a stream on, and going on with it elsewhere.
-//! - `reply`: what callers are answered.
-//! - `returning`: which callers come back after a refusal.
+//! - `pool`: idle connections to endpoints.
+//! - `attempt`: attempts at endpoints, until one answers or no further one is allowed.
+//! - `stream`: relays a stream, and resumes it at another endpoint on failure.
+//! - `reply`: the answers to callers.
+//! - `returning`: detects callers that try again after a refusal.
 
 use std::{marker::PhantomData, sync::Arc, time::Duration};
 
@@ -37,16 +37,16 @@
 mod returning;
 mod stream;
 
-/// How long after its start a box has its routes and endpoints, where the voters have
-/// started with it.
-const STARTING: Duration = Duration::from_millis(1200);
-/// The soonest that a caller is told to come back to a box without routes.
-const AGAIN: Duration = Duration::from_millis(500);
+/// How long after its start a box has its routes and endpoints, if the voters start at the same
+/// time.
+const STARTUP_TIME: Duration = Duration::from_millis(1200);
+/// The shortest wait that a caller is told while this box has no routes.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How often connections that are at rest are looked at.
-const SWEEP: Duration = Duration::from_secs(1);
+/// How often idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The parts of this box that requests of routes need.
+/// What serving requests of routes needs of this box.
 #[derive(Clone, Debug)]
 pub(super) struct Context<D> {
     board: Shared,
@@ -66,7 +66,7 @@
     team: Option<name::Team>,
     rank: unit::Tier,
     call: Call,
-    /// When its final answer is due.
+    /// When the final answer is due.
     until: Duration,
     outgoing: outgoing::Outgoing,
     revision: unit::Revision,
@@ -85,10 +85,10 @@
         }
     }
 
-    /// Closes connections that are at rest for too long, for ever.
+    /// Closes connections that have been idle for too long, for ever.
     pub(super) async fn sweep(self) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             let known = |name: &name::Endpoint| {
                 let registry = lock(&self.board.registry);
                 registry.get(name).map(|record| record.incarnation)
@@ -111,7 +111,7 @@
             Err(refusal) => return self.refuse(&refusal, id.as_deref()),
         };
         if caller.is_closed() {
-            // It left while its request waited to be read; there is nobody to answer.
+            // The caller left before its request was read, so nobody awaits the answer.
             let gone = Refusal::not_run(
                 StatusCode::REQUEST_TIMEOUT,
                 "caller-gone",
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The final answer of a request that no dispatcher was asked about.
+    /// Returns the final answer to a request that was refused before any dispatcher was asked.
     fn refuse(&self, refusal: &Refusal, id: Option<&str>) -> Response<Answer> {
         let behind = lock(&self.board.catchup).behind(now(&self.board));
         event!(self.board.log, RequestEnded, "id" => id,
@@ -137,7 +137,7 @@
         reply::refusal::<D>(refusal, id)
     }
 
-    /// Finds out what a request is and how it is to be served.
+    /// Reads a request and determines its route, team and service level.
     async fn route(
         &self,
         request: Request<Incoming>,
@@ -146,38 +146,38 @@
     ) -> Result<Routed, Refusal> {
         let view = self.board.view.load_full();
         let Some(routing) = view.document.routing.clone() else {
-            let why = "this box has no routes yet; ask again in a moment";
+            let why = "this box has no routes yet; try again in a moment";
             let refusal = Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "not-ready", why);
-            let up = arrived.saturating_sub(self.started);
-            return Err(refusal.after(STARTING.saturating_sub(up).max(AGAIN)));
+            let uptime = arrived.saturating_sub(self.started);
+            return Err(refusal.after(STARTUP_TIME.saturating_sub(uptime).max(MIN_RETRY_AFTER)));
         };
         let (parts, body) = request.into_parts();
         let host = host_of(&parts).unwrap_or_default();
         let name = view.table.route(host, parts.uri.path()).ok_or_else(|| {
-            let why = "no route holds for this host and path";
+            let why = "no route matches this host and path";
             Refusal::not_run(StatusCode::NOT_FOUND, "unknown-route", why)
         })?;
         let route = routing.routes.get(name).ok_or_else(|| {
-            let why = "the route is gone";
+            let why = "the route no longer exists";
             Refusal::not_run(StatusCode::NOT_FOUND, "unknown-route", why)
         })?;
         let (team, rights) = authenticate(&view, &routing, route, head.key.as_deref())?;
         let body = read(body, routing.limits.body_bytes, self.limits.arrival).await?;
         let service = route.pick(rand::random()).ok_or_else(|| {
-            let why = "the route leads to no service";
+            let why = "the route has no service";
             Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "no-service", why)
         })?;
-        let anybody = || "public".parse().expect("the name is valid");
-        let caller = team.clone().unwrap_or_else(anybody);
+        let public_team = || "public".parse().expect("the name is valid");
+        let caller = team.clone().unwrap_or_else(public_team);
         let content = crash::Content::new(&caller, &parts, body.clone());
-        let held = head.deadline.unwrap_or(Duration::MAX).min(route.timeout());
+        let time_limit = head.deadline.unwrap_or(Duration::MAX).min(route.timeout());
         let rank = view.table.rank(route.tier, rights.tier);
         let mut call = call(
             &head,
             (caller, team.as_ref()),
             (name, service, route),
             rank,
-            (arrived, held),
+            (arrived, time_limit),
             content,
         );
         call.allowed = route.allowed.and(&rights.allowed);
@@ -187,7 +187,7 @@
             team,
             rank,
             call,
-            until: arrived + held,
+            until: arrived + time_limit,
             outgoing: outgoing::Outgoing::new::<D>(parts, body),
             revision: view.revision,
             head,
@@ -195,21 +195,21 @@
     }
 }
 
-/// The host that a request is for.
+/// Returns the host that a request is addressed to.
 fn host_of(parts: &hyper::http::request::Parts) -> Option<&str> {
     let header = parts.headers.get(header::HOST);
     let header = header.and_then(|value| value.to_str().ok());
     header.or_else(|| parts.uri.host())
 }
 
-/// What a team lends its requests.
+/// The rights that a team gives its requests.
 #[derive(Clone, Debug, Default)]
 struct Rights {
     tier: unit::Tier,
     allowed: residency::Allowed,
 }
 
-/// The team whose key a request carries, and what that lends it.
+/// Returns the team whose key a request carries, if any, and the rights that come with it.
 fn authenticate(
     view: &View,
     routing: &route::Routing,
@@ -235,19 +235,19 @@
     ))
 }
 
-/// The request as dispatchers see it.
+/// Returns the request in the form that dispatchers use.
 fn call(
     head: &Head,
     (caller, team): (name::Team, Option<&name::Team>),
     (name, service, route): (&name::Class, &name::Service, &route::Route),
     rank: unit::Tier,
-    (arrived, held): (Duration, Duration),
+    (arrived, time_limit): (Duration, Duration),
     content: crash::Content,
 ) -> Call {
     let class = config::Class {
         tier: rank,
-        target: route.target().min(held),
-        deadline: held,
+        target: route.target().min(time_limit),
+        deadline: time_limit,
         preemptible: false,
         repeatable: route.kind.is_repeatable(),
         gap: route.gap_ms,
@@ -272,15 +272,15 @@
             route: name.clone(),
             team: team.cloned(),
         },
-        patience: Some(route.patience().min(held)),
+        patience: Some(route.patience().min(time_limit)),
         returned: false,
         content,
     }
 }
 
-/// Reads a request's body, within the limits.
-async fn read(body: Incoming, most: usize, within: Duration) -> Result<Bytes, Refusal> {
-    let whole = Limited::new(body, most).collect();
+/// Reads the body of a request, within the limits of size and time.
+async fn read(body: Incoming, max_bytes: usize, within: Duration) -> Result<Bytes, Refusal> {
+    let whole = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout(within, whole).await {
         Err(_) => Err(Refusal::not_run(
             StatusCode::REQUEST_TIMEOUT,
--- a/src/scalewood/ops/entry/routed/outgoing.rs
+++ b/src/scalewood/ops/entry/routed/outgoing.rs
@@ -1,5 +1,5 @@
-//! The head and body that an endpoint gets: the caller's own, less what concerns one
-//! connection, and with the system's instruction.
+//! Builds the request that an endpoint gets: the caller's own, without hop-by-hop headers, and
+//! with the system's instructions.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,8 +13,8 @@
     },
 };
 
-/// Headers that concern one connection only, or that hyper sets.
-const HOP: [&str; 11] = [
+/// Hop-by-hop headers, and headers that hyper sets.
+const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -28,7 +28,7 @@
     "expect",
 ];
 
-/// What is sent to an endpoint.
+/// A caller's request in the form in which endpoints get it.
 #[derive(Clone, Debug)]
 pub(super) struct Outgoing {
     method: Method,
@@ -38,7 +38,7 @@
 }
 
 impl Outgoing {
-    /// Takes a caller's request without what only the system may tell an endpoint.
+    /// Takes a caller's request, and removes the headers that only the system may set.
     pub(super) fn new<D: Dialect>(parts: request::Parts, body: Bytes) -> Self {
         let target = parts.uri.path_and_query().cloned();
         let mut headers = end_to_end(parts.headers);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The request for an endpoint.
+    /// Returns the request with the instructions for an endpoint.
     pub(super) fn request<D: Dialect>(
         &self,
         instruction: &Instruction<'_>,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Headers without those that concern one connection only.
+/// Removes hop-by-hop headers.
 pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -80,13 +80,13 @@
     for name in &named {
         headers.remove(name.as_str());
     }
-    for name in HOP {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
     headers
 }
 
-/// Where a prompt belongs: by the parts that other requests may share, all but the last.
+/// Returns the shared prefix by which a prompt is placed: all its parts but the last.
 pub(super) fn placed(head: &Head) -> Option<dispatch::Placed> {
     let (_, shared) = head.parts.split_last()?;
     if shared.is_empty() {
--- a/src/scalewood/ops/entry/routed/pool.rs
+++ b/src/scalewood/ops/entry/routed/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to endpoints that are kept between requests.
+//! Keeps connections to endpoints open between requests.
 //!
-//! A connection belongs to one start of an endpoint, not to an address: addresses pass
-//! to other endpoints. It is used again only if its last answer was read to the end,
-//! nothing came after that, and the endpoint is not about to close it.
+//! A connection belongs to one start of an endpoint, not to an address, since an address may pass
+//! to another endpoint. It is reused only if its last answer was read to the end, no data
+//! followed, and the endpoint is not about to close it.
 
 use std::{
     collections::HashMap,
@@ -19,12 +19,12 @@
     util::lock::lock,
 };
 
-/// Idle connections that are kept for each endpoint.
-const IDLE: usize = 32;
-/// How long an idle connection is kept where the endpoint names no time.
-const KEEP: Duration = Duration::from_secs(8);
-/// How long before an endpoint closes an idle connection it is used no more.
-const MARGIN: Duration = Duration::from_millis(700);
+/// The most idle connections that are kept for an endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 32;
+/// How long an idle connection is kept if the endpoint states no keep-alive time.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(8);
+/// How long before the endpoint would close an idle connection it is no longer used.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// A connection to one start of an endpoint.
 #[derive(Debug)]
@@ -34,12 +34,12 @@
 }
 
 impl Sender {
-    /// A new connection.
+    /// Wraps a new connection.
     pub(super) fn new(start: registry::Start, requests: http1::SendRequest<Full<Bytes>>) -> Self {
         Self { start, requests }
     }
 
-    /// The start of the endpoint that it leads to.
+    /// Returns the start of the endpoint to which the connection was made.
     pub(super) fn start(&self) -> registry::Start {
         self.start
     }
@@ -52,23 +52,23 @@
     until: Duration,
 }
 
-/// Connections that are kept between requests.
+/// The idle connections by endpoint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pool {
     idle: Arc<Mutex<HashMap<name::Endpoint, Vec<Idle>>>>,
 }
 
-/// Why a request got no answer.
+/// Why a request got no answer head.
 pub(super) enum Unsent {
-    /// No byte of it was written.
+    /// No byte of the request was written.
     Untouched(Box<Request<Full<Bytes>>>),
-    /// It may have been written.
+    /// The request may have been written.
     Broken,
 }
 
 impl Pool {
-    /// A kept connection to a start of an endpoint, if there is one that can be used. Those to
-    /// other starts are closed.
+    /// Returns a usable idle connection to a start of an endpoint, if there is one; closes those to
+    /// other starts that it comes across.
     pub(super) fn take(
         &self,
         endpoint: &name::Endpoint,
@@ -85,9 +85,9 @@
         None
     }
 
-    /// Closes what has been kept for an endpoint since before a time: a connection used then
-    /// has fallen silent, and those that rest longer may have too. Each would cost a request
-    /// to find out, and one that may run only once is lost by that.
+    /// Closes the connections to an endpoint that have been idle since before a time. A connection
+    /// used then got no response, and those idle for longer may be dead too: each would cost a
+    /// request to find out, and one that may run only once would be lost.
     pub(super) fn forget(&self, endpoint: &name::Endpoint, before: Duration) {
         if let Some(kept) = lock(&self.idle).get_mut(endpoint) {
             kept.retain(|connection| connection.since > before);
@@ -108,7 +108,7 @@
         let until = now + keep;
         let mut idle = lock(&self.idle);
         let kept = idle.entry(endpoint.clone()).or_default();
-        if kept.len() < IDLE {
+        if kept.len() < MAX_IDLE_PER_ENDPOINT {
             kept.push(Idle {
                 sender,
                 since: now,
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Closes what is kept for too long, and for starts of endpoints that are gone: `known` tells
-    /// the start of each endpoint that isn't.
+    /// Closes connections that were idle for too long or whose start of an endpoint is gone.
+    /// `known` returns the current start of each known endpoint.
     pub(super) fn sweep(
         &self,
         now: Duration,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Sends a request and waits for the answer's head.
+/// Sends a request and waits for the head of the answer.
 pub(super) async fn send(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
@@ -149,8 +149,8 @@
     })
 }
 
-/// How long a connection may be at rest after an answer with this head.
-pub(super) fn keep_time(headers: &HeaderMap) -> Duration {
+/// Returns how long a connection may stay idle after an answer with these headers.
+pub(super) fn keep_alive_time(headers: &HeaderMap) -> Duration {
     let text = |name| {
         headers
             .get(name)
@@ -164,6 +164,6 @@
         parameters.find_map(|p| p.trim().strip_prefix("timeout=")?.trim().parse().ok())
     });
     named
-        .map_or(KEEP, Duration::from_secs)
-        .saturating_sub(MARGIN)
+        .map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs)
+        .saturating_sub(KEEP_ALIVE_MARGIN)
 }
--- a/src/scalewood/ops/entry/routed/reply.rs
+++ b/src/scalewood/ops/entry/routed/reply.rs
@@ -1,4 +1,4 @@
-//! What callers of routes are answered.
+//! Builds the answers to callers of routes.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     ops::entry::{body::Answer, dialect::Dialect, reply::Refusal, routed::outgoing},
 };
 
-/// An answer that this box makes by itself.
+/// Builds the answer for a refusal by this box.
 pub(super) fn refusal<D: Dialect>(refusal: &Refusal, id: Option<&str>) -> Response<Answer> {
     let mut response = Response::new(Answer::whole(refusal.json()));
     *response.status_mut() = refusal.status;
@@ -26,7 +26,7 @@
     response
 }
 
-/// An endpoint's whole answer, passed on.
+/// Relays an endpoint's complete answer.
 pub(super) fn whole(parts: response::Parts, body: Bytes) -> Response<Answer> {
     let mut response = Response::new(Answer::whole(body));
     *response.status_mut() = parts.status;
@@ -34,7 +34,7 @@
     response
 }
 
-/// The head of an endpoint's stream, passed on, with the pieces to follow.
+/// Relays the head of an endpoint's stream; the pieces follow in `body`.
 pub(super) fn stream(parts: response::Parts, body: Answer) -> Response<Answer> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
@@ -42,10 +42,10 @@
     response
 }
 
-/// The soonest that a caller is told to come back after a failure.
-const AGAIN: Duration = Duration::from_millis(300);
+/// The wait that callers are told after a failure that did not run.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The refusal of a request that got no answer.
+/// Returns the refusal of a request that got no answer.
 pub(super) fn failed(end: dispatch::End, verdict: verdict::Verdict) -> Refusal {
     let (code, message) = match end {
         dispatch::End::Silent => ("endpoint-silent", "the endpoint did not answer in time"),
@@ -73,12 +73,12 @@
         code,
         message: format!("{message}; {advice}"),
         verdict,
-        retry_after: not_run.then_some(AGAIN),
+        retry_after: not_run.then_some(RETRY_AFTER),
     }
 }
 
-/// The refusal of a request that was shed before any endpoint had it, or after one
-/// that did not answer.
+/// Returns the refusal of a request that was shed, before any attempt or after one that got no
+/// answer.
 pub(super) fn shed(
     reason: dispatch::Reason,
     retry: Duration,
--- a/src/scalewood/ops/entry/routed/stream.rs
+++ b/src/scalewood/ops/entry/routed/stream.rs
@@ -1,8 +1,8 @@
-//! Passing a stream on, event by event, and going on with it elsewhere.
+//! Relays a stream to the caller, event by event, and resumes it at another endpoint on failure.
 //!
-//! Only whole events are passed on, so that a stream which breaks off can be resumed
-//! after the last one that the caller has. A stream that can't be resumed is cut: the
-//! caller never takes it for whole.
+//! Only whole events are relayed, so that a stream that breaks off can be resumed after the
+//! last event that the caller has. A stream that can't be resumed is cut off without its regular
+//! end, so the caller never takes it for complete.
 
 use std::time::Duration;
 
@@ -27,11 +27,11 @@
     util::lock::lock,
 };
 
-/// The longest that a resumable stream may pause at an endpoint with nothing to read before
-/// another one is tried.
+/// The longest pause of a resumable stream, at an endpoint where nothing waits for prefill,
+/// before another endpoint is tried.
 const MAX_PAUSE: Duration = Duration::from_millis(1200);
 
-/// Serves a stream.
+/// Serves a request whose answer is a stream.
 pub(super) async fn serve<D: Dialect>(mut request: Request<D>) -> Response<Answer> {
     loop {
         let opened = match request.open(None).await {
@@ -39,7 +39,7 @@
             Err(response) => return response,
         };
         if !opened.parts.status.is_success() {
-            // An endpoint's own failure is no stream.
+            // An error status of the endpoint comes with a plain body, not a stream.
             match request.finish_whole(opened).await {
                 Some(response) => return response,
                 None => continue,
@@ -56,7 +56,7 @@
         tokio::spawn(async move {
             tokio::select! {
                 () = relay.run(opened) => {}
-                // The caller went away: dropping the run cancels it and frees its slot.
+                // The caller left: dropping the relay cancels the run and frees its slot.
                 () = pieces.closed() => {}
             }
         });
@@ -64,11 +64,11 @@
     }
 }
 
-/// A stream that is being passed on.
+/// A stream that is being relayed.
 struct Relay<D> {
     request: Request<D>,
     pieces: mpsc::Sender<Piece>,
-    /// The id of the last event that was passed on.
+    /// The id of the last event that was relayed.
     last_id: Option<String>,
     events: u64,
 }
@@ -85,7 +85,7 @@
                 body,
             } = opened;
             let passed = if parts.status.is_success() {
-                self.pass_on(&turn, &endpoint, body).await
+                self.relay_events(&turn, &endpoint, body).await
             } else {
                 Err(Failure::BROKEN)
             };
@@ -93,15 +93,15 @@
                 Ok(()) => {
                     turn.end(dispatch::End::Done);
                     self.request.observer.done(unit::Tokens(self.events));
-                    self.keep(&endpoint, sender, &parts.headers);
+                    self.keep_connection(&endpoint, sender, &parts.headers);
                     self.request
                         .log_end(parts.status, "done", verdict::Verdict::Ran);
                     return;
                 }
                 Err(failure) => {
-                    // The connection goes, and the run at the endpoint with it.
+                    // Closing the connection ends the run at the endpoint.
                     drop(sender);
-                    let failed = self.request.failed(turn, &endpoint, failure.into());
+                    let failed = self.request.handle_failure(turn, &endpoint, failure.into());
                     if failed.await.is_err() {
                         return self.cut().await;
                     }
@@ -118,9 +118,14 @@
         }
     }
 
-    fn keep(&self, endpoint: &name::Endpoint, sender: pool::Sender, headers: &hyper::HeaderMap) {
+    fn keep_connection(
+        &self,
+        endpoint: &name::Endpoint,
+        sender: pool::Sender,
+        headers: &hyper::HeaderMap,
+    ) {
         let now = now(&self.request.context.board);
-        let keep = pool::keep_time(headers);
+        let keep = pool::keep_alive_time(headers);
         self.request
             .context
             .pool
@@ -131,8 +136,8 @@
         let _ = self.pieces.send(Err(Cut)).await;
     }
 
-    /// Passes whole events on until the stream ends.
-    async fn pass_on(
+    /// Relays whole events until the stream ends.
+    async fn relay_events(
         &mut self,
         turn: &Turn,
         endpoint: &name::Endpoint,
@@ -143,7 +148,7 @@
         let gap = self.request.routed.call.class.gap();
         let mut paused = false;
         loop {
-            let left = self.request.left();
+            let left = self.request.time_left();
             let pause = if self.request.routed.route.kind.is_repeatable() {
                 left.min(MAX_PAUSE)
             } else {
@@ -172,10 +177,11 @@
                     turn.paused();
                 }
                 self.measure(&mut stream, endpoint);
-                let taken = tokio::time::timeout(self.request.left(), self.pieces.send(Ok(events)));
+                let taken =
+                    tokio::time::timeout(self.request.time_left(), self.pieces.send(Ok(events)));
                 match taken.await {
                     Ok(Ok(())) => {}
-                    // The caller is gone; the other branch of the select ends this.
+                    // The caller is gone; the other branch of the `select` ends this task.
                     Ok(Err(_)) => std::future::pending().await,
                     Err(_) => return Err(Failure::UNREAD),
                 }
@@ -183,7 +189,7 @@
         }
     }
 
-    /// Notes an event for the endpoint's pace.
+    /// Records an event for the endpoint's token rate.
     fn measure(&self, stream: &mut pace::Stream, endpoint: &name::Endpoint) {
         let board = &self.request.context.board;
         let now = now(board);
@@ -194,7 +200,7 @@
         }
     }
 
-    /// Takes the whole events out of a buffer, and notes the last one's id.
+    /// Removes the whole events from a buffer, and records the id of the last one.
     fn take_events(&mut self, buffer: &mut BytesMut) -> Option<Bytes> {
         let end = end_of_events(buffer)?;
         let events = buffer.split_to(end).freeze();
@@ -207,7 +213,7 @@
     }
 }
 
-/// Where the last whole event of a buffer ends.
+/// Returns the position after the last whole event of a buffer.
 fn end_of_events(buffer: &[u8]) -> Option<usize> {
     let plain = buffer.windows(2).rposition(|pair| pair == b"\n\n");
     let returns = buffer.windows(4).rposition(|four| four == b"\r\n\r\n");
