--- a/src/scalewood/ops/control/mod.rs
+++ b/src/scalewood/ops/control/mod.rs
@@ -330,8 +330,8 @@
     let metrics = metric::Metrics::new();
     let endpoints =
         registry::Endpoints::new(settings.name.clone(), settings.timing, clock, log.clone());
-    endpoints.take_hints(&hints);
-    tokio::spawn(endpoints.clone().keep_hints(place, handle.clone()));
+    endpoints.restore_hints(&hints);
+    tokio::spawn(endpoints.clone().store_hints(place, handle.clone()));
     let registry = registry::Server {
         endpoints: endpoints.clone(),
         feed,
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -1,4 +1,5 @@
-//! What a voter knows of endpoints that announced themselves, and its followers.
+//! A voter's soft state: the endpoints that announced themselves, the loads and usage that boxes
+//! report, and the followers that are sent changes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -29,55 +30,58 @@
 
 pub(super) use server::Server;
 
-/// How often this voter looks for endpoints that fell silent.
-const SWEEP: Duration = Duration::from_millis(500);
-/// How often what was measured is written, if it has changed: often enough that little is
-/// measured anew after a loss of power, and rarely enough to cost next to nothing.
-const KEEP_HINTS: Duration = Duration::from_secs(2);
+/// The interval at which endpoints that fell silent are looked for.
+const SWEEP_PERIOD: Duration = Duration::from_millis(500);
+/// The interval at which the hints are written if they have changed: short enough that little is
+/// measured again after a power loss, and long enough that the writes cost next to nothing.
+const HINTS_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long ago an endpoint was heard of, at most, to be told to who gathers: some times as
-/// long as the time between two such calls.
-const LATELY: Duration = Duration::from_millis(800);
+/// How recently an endpoint must have been heard to be listed in an answer to `gather`: several
+/// times the interval between two such calls.
+const GATHER_HEARD_WITHIN: Duration = Duration::from_millis(800);
 
-/// How long before an endpoint was heard of, at most, for it to be kept, in heartbeats.
-const ALIVE_OF_LATE: u32 = 3;
+/// How recently an endpoint must have been heard to be stored in the hints, in heartbeat intervals.
+const HINTS_HEARD_WITHIN_HEARTBEATS: u32 = 3;
 
-/// Measured endpoints from which on those are forgotten that are not known here.
+/// The number of endpoints with reported paces above which those that are not in the registry are
+/// dropped.
 const MAX_MEASURED: usize = 32_768;
 
-/// The endpoints that are known here.
+/// A voter's soft state, shared between its tasks.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoints {
-    /// Those that announced themselves here, which other voters are told of.
+    /// The endpoints that announced themselves to this voter, which other voters follow.
     own: Arc<Mutex<registry::Registry>>,
-    /// Those that announced themselves to any voter, which boxes are told of.
+    /// The endpoints that announced themselves to any voter, which boxes follow.
     registry: Arc<Mutex<registry::Registry>>,
-    /// The other voters that are heard, by their addresses.
-    voters: Arc<Mutex<BTreeMap<SocketAddr, peers::Heard>>>,
-    /// Since when another voter has had a newer configuration than the one that is named.
+    /// The other voters whose registries are followed, by address.
+    voters: Arc<Mutex<BTreeMap<SocketAddr, peers::Peer>>>,
+    /// This voter's revision, and since when another voter has had a newer configuration.
     behind_since: Arc<Mutex<Option<(unit::Revision, Duration)>>>,
-    /// When endpoints that fell silent were looked for last.
-    swept: Arc<Mutex<Duration>>,
-    /// What boxes measured of each endpoint.
+    /// When endpoints that fell silent were last looked for.
+    swept_at: Arc<Mutex<Duration>>,
+    /// The paces that boxes reported of each endpoint.
     measured: Arc<Mutex<BTreeMap<name::Endpoint, pace::Reports>>>,
-    /// Endpoints that served before this process or another voter's started.
+    /// The endpoints that served before this process, or that of another voter, started.
     restored: Arc<Mutex<registry::Remembered>>,
-    /// What boxes have at endpoints.
+    /// The loads of boxes at endpoints.
     hub: Arc<Mutex<load::Hub>>,
-    /// Permits for endpoints that limit their requests.
+    /// Issues permits for endpoints that limit their requests.
     issuer: Arc<Mutex<throttle::Issuer>>,
-    /// What boxes have counted of their usage.
+    /// The usage that boxes have reported.
     book: Arc<Mutex<usage::Book>>,
-    /// The windows of usage that this voter has reported.
+    /// The usage windows that this voter has reported to the provider.
     reported: Arc<Mutex<BTreeSet<usage::Window>>>,
-    /// The times of day that voters tell.
+    /// The times of day that voters reported.
     readings: Arc<Mutex<wall::Readings>>,
+    /// Notifies the subscriptions that there is something new to send.
     changed: watch::Sender<u64>,
-    /// How many subscriptions there were; each has a number of its own.
-    subscriptions: Arc<AtomicU64>,
-    /// The boxes that follow, with the number of each one's latest subscription.
+    /// The number of the next subscription.
+    next_subscription: Arc<AtomicU64>,
+    /// The boxes that follow this voter, with the number of each one's latest subscription.
     followers: watch::Sender<BTreeMap<name::Box, u64>>,
-    started: Duration,
+    /// When this process started.
+    started_at: Duration,
     clock: clock::System,
     log: slog::Logger,
 }
@@ -95,7 +99,7 @@
             registry: registry(),
             voters: Arc::default(),
             behind_since: Arc::default(),
-            swept: Arc::default(),
+            swept_at: Arc::default(),
             measured: Arc::default(),
             restored: Arc::default(),
             hub: Arc::default(),
@@ -104,20 +108,20 @@
             reported: Arc::default(),
             readings: Arc::default(),
             changed: watch::Sender::new(0),
-            subscriptions: Arc::default(),
+            next_subscription: Arc::default(),
             followers: watch::Sender::default(),
-            started: clock.now(),
+            started_at: clock.now(),
             clock,
             log,
         }
     }
 
-    /// The times that follow from how often endpoints tell of themselves.
+    /// Returns the time limits that follow from the heartbeat interval of endpoints.
     pub(super) fn timing(&self) -> registry::Timing {
         lock(&self.registry).timing()
     }
 
-    /// Whether an endpoint has announced itself as one of a service.
+    /// Returns whether an endpoint has announced itself as one of a service.
     pub(super) fn serves(&self, name: &name::Endpoint, service: &name::Service) -> bool {
         let registry = lock(&self.registry);
         registry
@@ -125,7 +129,7 @@
             .is_some_and(|known| known.service == *service)
     }
 
-    /// Takes a heartbeat.
+    /// Merges a heartbeat.
     pub(super) fn announce(&self, record: registry::Record) {
         let (name, state, sequence) = (record.name.clone(), record.state, record.sequence);
         let service = record.service.clone();
@@ -134,7 +138,7 @@
         let is_new_here = lock(&self.own).merge(record.clone(), now).is_news();
         let merged = lock(&self.registry).merge(record, now);
         if merged == registry::Merged::Restarted {
-            // What boxes measured was of an earlier start.
+            // The reported paces are those of an earlier start.
             lock(&self.measured).remove(&name);
             lock(&self.hub).restarted(&name);
             event!(self.log, EndpointRestarted, "endpoint" => %name,
@@ -145,56 +149,58 @@
                 "state" => ?state, "sequence" => sequence);
         }
         if is_new_here || merged.is_news() {
-            self.tell();
+            self.notify();
         }
     }
 
-    /// Takes an endpoint's word that it has gone.
+    /// Records that an endpoint announced that it has shut down.
     pub(super) fn leave(&self, name: &name::Endpoint) {
         let (known, merged) = {
             let mut registry = lock(&self.registry);
             let known = registry.get(name).map(|record| record.incarnation);
             (known, registry.leave(name))
         };
-        // Others may not know which start it is that this voter has heard of by another one.
-        let told = match known {
+        // The start may be known here from another voter only. It is named, since the receivers may
+        // know a different one.
+        let ended = match known {
             Some(start) => lock(&self.own).end(name, start),
             None => lock(&self.own).leave(name),
         };
         if merged.is_news() {
             event!(self.log, EndpointGone, "endpoint" => %name);
         }
-        if merged.is_news() || told.is_news() {
-            self.tell();
+        if merged.is_news() || ended.is_news() {
+            self.notify();
         }
     }
 
-    /// Takes what a box heard in answers of endpoints that leave.
-    fn take_leaving(&self, from: &name::Box, leaving: &[registry::Leaving]) {
-        for told in leaving {
-            let noted = lock(&self.registry).note_leaving(&told.name, told.start);
+    /// Records the endpoints that, as a box reports, announced in responses that they are leaving.
+    fn record_leaving(&self, from: &name::Box, leaving: &[registry::Leaving]) {
+        for report in leaving {
+            let noted = lock(&self.registry).note_leaving(&report.name, report.start);
             if noted.is_news() {
-                self.pass_on_leaving(told);
-                event!(self.log, EndpointLeaving, "endpoint" => %told.name, "by" => %from,
-                    "incarnation" => told.start.map(|start| start.0));
-                self.tell();
+                self.forward_leaving(report);
+                event!(self.log, EndpointLeaving, "endpoint" => %report.name, "by" => %from,
+                    "incarnation" => report.start.map(|start| start.0));
+                self.notify();
             }
         }
     }
 
-    /// Has the other voters hear of an endpoint that leaves, whomever it tells of itself.
-    fn pass_on_leaving(&self, told: &registry::Leaving) {
-        let known = lock(&self.registry).get(&told.name).cloned();
+    /// Tells the other voters that an endpoint is leaving, even if it announces itself to another
+    /// voter: its record is copied to the endpoints that are sent from here.
+    fn forward_leaving(&self, report: &registry::Leaving) {
+        let known = lock(&self.registry).get(&report.name).cloned();
         let mut own = lock(&self.own);
-        if let Some(record) = known.filter(|_| own.get(&told.name).is_none()) {
+        if let Some(record) = known.filter(|_| own.get(&report.name).is_none()) {
             own.merge(record, self.clock.now());
         }
-        own.note_leaving(&told.name, told.start);
+        own.note_leaving(&report.name, report.start);
     }
 
-    /// Takes what a box measured. Followers hear of it with the next news, and at once if
-    /// other endpoints than before count as slow.
-    fn take_paces(&self, from: &name::Box, paces: Vec<pace::Paced>) {
+    /// Records the paces that a box measured. Followers are sent the medians with the next message,
+    /// and at once if this changes which endpoints count as slow.
+    fn record_paces(&self, from: &name::Box, paces: Vec<pace::Paced>) {
         let mut news = false;
         let mut medians = Vec::with_capacity(paces.len());
         {
@@ -217,18 +223,18 @@
         }
         drop(own);
         if news {
-            self.tell();
+            self.notify();
         }
     }
 
-    /// Forgets the endpoints that fell silent, once in a while.
+    /// Forgets the endpoints that fell silent, at most once per `SWEEP_PERIOD`.
     fn sweep(&self, now: Duration) {
         {
-            let mut swept = lock(&self.swept);
-            if now < *swept + SWEEP {
+            let mut swept_at = lock(&self.swept_at);
+            if now < *swept_at + SWEEP_PERIOD {
                 return;
             }
-            *swept = now;
+            *swept_at = now;
         }
         lock(&self.own).expire_silent(now);
         let mut registry = lock(&self.registry);
@@ -236,18 +242,18 @@
         registry.regrade();
     }
 
-    /// Keeps what a restart should not forget in a voter's folder, for ever.
-    pub(super) async fn keep_hints(self, place: hints::Place, handle: Handle) {
+    /// Writes the hints to the data folder whenever they have changed, for ever.
+    pub(super) async fn store_hints(self, place: hints::Place, handle: Handle) {
         let mut kept = hints::Hints::default();
         let mut failing = false;
         loop {
-            tokio::time::sleep(KEEP_HINTS).await;
+            tokio::time::sleep(HINTS_PERIOD).await;
             let fresh = self.hints(handle.published().status.committed);
             if fresh == kept {
                 continue;
             }
             let (place, written) = (place.clone(), fresh.clone());
-            // A disk that hangs holds up this task alone.
+            // A disk that hangs blocks this task only.
             let saved = tokio::task::spawn_blocking(move || place.save(&written)).await;
             match saved {
                 Ok(Ok(())) => {
@@ -264,18 +270,19 @@
         }
     }
 
+    /// Returns what a later start of this process should know.
     fn hints(&self, committed: agree::Index) -> hints::Hints {
         let held_back = lock(&self.hub).crashes().held_back_rows();
         let registry = lock(&self.registry);
         let since = self
             .clock
             .now()
-            .saturating_sub(ALIVE_OF_LATE * registry.timing().heartbeat);
+            .saturating_sub(HINTS_HEARD_WITHIN_HEARTBEATS * registry.timing().heartbeat);
         let own = lock(&self.own);
         let alive = own.heard_since(since);
         let records = alive.iter().filter_map(|name| own.get(name));
         let ready = records.filter(|record| record.state == registry::State::Ready);
-        // The number changes with each heartbeat, and is worth no write by itself.
+        // The sequence number changes with each heartbeat, which alone does not justify a write.
         let endpoints = ready.map(|record| registry::Record {
             sequence: 0,
             ..record.clone()
@@ -288,8 +295,8 @@
         }
     }
 
-    /// Takes over what was known before this process started.
-    pub(super) fn take_hints(&self, hints: &hints::Hints) {
+    /// Restores what an earlier start of this process stored.
+    pub(super) fn restore_hints(&self, hints: &hints::Hints) {
         lock(&self.hub).restore(&hints.held_back, self.clock.now());
         let mut registry = lock(&self.registry);
         for paced in &hints.paces {
@@ -300,26 +307,26 @@
         *lock(&self.restored) = registry::Remembered::new(hints.endpoints.clone(), until);
     }
 
-    /// What brings together what boxes have at endpoints.
+    /// Returns the hub that aggregates the loads of boxes.
     pub(super) fn hub(&self) -> &Mutex<load::Hub> {
         &self.hub
     }
 
-    /// What issues permits for endpoints that limit their requests.
+    /// Returns the issuer of permits for endpoints that limit their requests.
     pub(super) fn issuer(&self) -> &Mutex<throttle::Issuer> {
         &self.issuer
     }
 
-    /// What boxes have counted of their usage.
+    /// Returns the usage that boxes have reported.
     pub(super) fn book(&self) -> &Mutex<usage::Book> {
         &self.book
     }
 
-    /// What boxes and endpoints have told since some stamps.
+    /// Returns what boxes and endpoints have reported since the given stamps.
     pub(super) fn gather(&self, after: Stamps) -> Gathered {
         let usage = lock(&self.book).changed_since(after.usage);
         let registry = lock(&self.own);
-        let lately = self.clock.now().saturating_sub(LATELY);
+        let recently = self.clock.now().saturating_sub(GATHER_HEARD_WITHIN);
         Gathered {
             stamps: Stamps {
                 usage: usage.stamp,
@@ -329,47 +336,48 @@
             changed: registry.told_since(after.registry, self.clock.now()),
             gone: registry.gone_since(after.registry),
             ended: registry.ended_since(after.registry),
-            left: just_left(&registry, after.registry.into()),
+            left: left_since_stamp(&registry, after.registry.into()),
             leaving: registry.leaving_since(after.registry),
-            heard: registry.heard_since(lately),
+            heard: registry.heard_since(recently),
         }
     }
 
-    /// The windows of usage that this voter has reported.
+    /// Returns the usage windows that this voter has reported to the provider.
     pub(super) fn reported(&self) -> &Mutex<BTreeSet<usage::Window>> {
         &self.reported
     }
 
-    /// How many endpoints are known, and how many boxes follow.
+    /// Returns the number of known endpoints and the number of boxes that follow.
     pub(super) fn counts(&self) -> (usize, u32) {
         let known = lock(&self.registry).records().count();
         (known, self.follower_count())
     }
 
+    /// Returns the number of boxes that follow this voter.
     fn follower_count(&self) -> u32 {
         u32::try_from(self.followers.borrow().len()).unwrap_or(u32::MAX)
     }
 
-    /// Notes that a box follows; returns the number of this subscription.
-    fn followed_by(&self, who: &name::Box) -> u64 {
-        let number = self.subscriptions.fetch_add(1, Ordering::Relaxed);
+    /// Adds a subscription of a box; returns the number of the subscription.
+    fn add_follower(&self, who: &name::Box) -> u64 {
+        let number = self.next_subscription.fetch_add(1, Ordering::Relaxed);
         self.followers.send_modify(|followers| {
             followers.insert(who.clone(), number);
         });
         number
     }
 
-    /// Waits until a box has subscribed anew: its connection before that fell silent, and what
-    /// is sent over it would be counted and kept for nobody.
+    /// Waits until a box has subscribed again. It does so after its earlier connection fell silent,
+    /// and what is sent over that would be counted and buffered without a receiver.
     async fn superseded(&self, who: &name::Box, number: u64) {
         let mut followers = self.followers.subscribe();
         let is_later = |followers: &BTreeMap<_, _>| followers.get(who) > Some(&number);
-        // The sender lives as long as this.
+        // This can't fail, since the sender belongs to `self`.
         let _ = followers.wait_for(is_later).await;
     }
 
-    /// Notes that a subscription has ended.
-    fn left_by(&self, who: &name::Box, number: u64) {
+    /// Removes a subscription that has ended, unless the box has a later one.
+    fn remove_follower(&self, who: &name::Box, number: u64) {
         self.followers.send_if_modified(|followers| {
             let is_latest = followers.get(who) == Some(&number);
             if is_latest {
@@ -379,28 +387,31 @@
         });
     }
 
-    /// Notes another voter's time of day, as it told it in answer to a question.
-    pub(super) fn note_time(&self, from: &name::Box, unix_ms: u64, asked: Duration) {
+    /// Records another voter's time of day, from its answer to a call made at `asked`.
+    pub(super) fn record_time(&self, from: &name::Box, unix_ms: u64, asked: Duration) {
         let answered = self.clock.now();
         lock(&self.readings).note(from, unix_ms, asked, answered);
     }
 
-    /// The time of day that so many voters agree on, in milliseconds since the Unix epoch.
+    /// Returns the time of day on which that many voters agree, in milliseconds since the Unix
+    /// epoch.
     pub(super) fn unix_ms(&self, voters: usize) -> u64 {
         let now = self.clock.now();
         let offset = lock(&self.readings).agree(self.clock.unix_ms(), voters, now);
         offset.unix_ms(now)
     }
 
-    fn tell(&self) {
+    /// Notifies the subscriptions that there is something new to send.
+    fn notify(&self) {
         let stamp = lock(&self.registry).stamp();
         self.changed.send_replace(stamp);
     }
 }
 
-/// The endpoints that left after a stamp while no start of theirs was known here. Who asks for the
-/// first time may know a start that began long after that, and isn't told.
-fn just_left(registry: &registry::Registry, span: registry::Span) -> Vec<name::Endpoint> {
+/// Returns the endpoints that left within a range of stamps while no start of them was known here.
+/// They are not sent to a receiver at its first request: it may know a start that began long after
+/// that.
+fn left_since_stamp(registry: &registry::Registry, span: registry::Span) -> Vec<name::Endpoint> {
     if span.after == 0 {
         return Vec::new();
     }
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -1,4 +1,4 @@
-//! What the other voters tell of endpoints that announced themselves to them.
+//! Merges the changes that other voters send of the endpoints that announced themselves to them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,26 +11,28 @@
 };
 
 /// How long after its start a voter that hears no majority yet counts as one that does.
-const JUST_STARTED: Duration = Duration::from_secs(3);
-/// How long a voter may have an older configuration than another one.
-const BEHIND: Duration = Duration::from_millis(500);
-/// How long another voter may be silent and counts as heard.
-const IN_TOUCH: Duration = Duration::from_millis(2500);
+const STARTUP_GRACE: Duration = Duration::from_secs(3);
+/// How long a voter may have an older configuration than another voter before it counts as behind.
+const BEHIND_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long after its last message another voter still counts as heard.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Another voter, as what it tells is heard.
+/// Another voter, as known from its messages.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Heard {
-    at: Duration,
+pub(super) struct Peer {
+    /// When its last message arrived.
+    heard_at: Duration,
+    /// Its availability zone, if it reported one.
     zone: Option<name::Zone>,
-    /// How many boxes track it.
+    /// The number of boxes that track it.
     followers: u32,
-    /// The revision of the configuration that it has.
+    /// The revision of its configuration.
     revision: unit::Revision,
 }
 
 impl Endpoints {
-    /// Takes what another voter tells of the endpoints that announced themselves there.
-    pub(in crate::ops::control) fn take_news(
+    /// Merges a message from another voter about the endpoints that announced themselves there.
+    pub(in crate::ops::control) fn apply_news(
         &self,
         from: &name::Box,
         address: SocketAddr,
@@ -38,7 +40,7 @@
         news: News,
     ) {
         let now = self.clock.now();
-        self.note_heard(address, &news, now);
+        self.record_peer(address, &news, now);
         let mut registry = lock(&self.registry);
         let stamp = registry.stamp();
         for record in news.changed {
@@ -54,8 +56,8 @@
                 registry.vouch_for(&name, voucher);
             }
         }
-        for told in news.leaving {
-            registry.note_leaving(&told.name, told.start);
+        for report in news.leaving {
+            registry.note_leaving(&report.name, report.start);
         }
         registry.take_ends(&news.gone, &news.ended, &news.left);
         for name in &news.heard {
@@ -69,17 +71,18 @@
                 registry.vouched(voucher, now);
             }
         }
-        self.take_others_paces(&mut registry, from, news.paces);
+        self.record_peer_paces(&mut registry, from, news.paces);
         registry.regrade();
         let is_news = registry.stamp() != stamp;
         drop(registry);
         if lock(&self.restored).take(news.restored, now) || is_news {
-            self.tell();
+            self.notify();
         }
     }
 
-    /// Takes the medians of another voter's boxes: they count as what one box measured.
-    fn take_others_paces(
+    /// Records the median paces that another voter reports of its boxes. They count as the report
+    /// of one box.
+    fn record_peer_paces(
         &self,
         registry: &mut registry::Registry,
         from: &name::Box,
@@ -93,50 +96,50 @@
         }
     }
 
-    fn note_heard(&self, address: SocketAddr, news: &News, now: Duration) {
+    /// Records what a message says about the voter itself.
+    fn record_peer(&self, address: SocketAddr, news: &News, now: Duration) {
         let mut voters = lock(&self.voters);
-        let heard = voters.entry(address).or_default();
-        heard.at = now;
-        heard.followers = news.followers;
-        heard.revision = news.revision;
+        let peer = voters.entry(address).or_default();
+        peer.heard_at = now;
+        peer.followers = news.followers;
+        peer.revision = news.revision;
         if news.zone.is_some() {
-            heard.zone.clone_from(&news.zone);
+            peer.zone.clone_from(&news.zone);
         }
     }
 
-    /// The process of another voter, as one that vouches for endpoints from now on.
+    /// Registers the process of another voter as one that vouches for endpoints from now on; `None`
+    /// if there are too many.
     pub(in crate::ops::control) fn voucher(&self, voter: &name::Box) -> Option<registry::Voucher> {
         lock(&self.registry).voucher(voter)
     }
 
-    /// Notes that another voter can't be heard.
-    pub(in crate::ops::control) fn unheard(&self, voter: SocketAddr) {
+    /// Forgets another voter that can no longer be heard.
+    pub(in crate::ops::control) fn forget_voter(&self, voter: SocketAddr) {
         lock(&self.voters).remove(&voter);
     }
 
-    /// How many other voters are heard.
+    /// Returns the number of other voters that are heard.
     pub(in crate::ops::control) fn peer_count(&self) -> usize {
         lock(&self.voters).len()
     }
 
-    /// How many boxes there are: each tracks some voters.
+    /// Estimates the number of boxes from the followers of all voters: each box tracks several
+    /// voters.
     pub(super) fn box_count(&self) -> u32 {
         let own = self.follower_count();
         let voters = lock(&self.voters);
-        let others: u32 = voters.values().map(|heard| heard.followers).sum();
+        let others: u32 = voters.values().map(|peer| peer.followers).sum();
         let tracked = follow::tracked(voters.len() + 1);
         let tracked = u32::try_from(tracked).unwrap_or(u32::MAX);
         (own + others).div_ceil(tracked).max(own)
     }
 
-    /// Whether another voter has had a newer configuration than this one for a while: its disk may
-    /// have stalled, though it hears all others.
+    /// Returns whether another voter has had a newer configuration than this one for a while. This
+    /// voter's disk may have stalled even though it hears all others.
     pub(super) fn is_behind(&self, own: unit::Revision) -> bool {
         let now = self.clock.now();
-        let newest = lock(&self.voters)
-            .values()
-            .map(|heard| heard.revision)
-            .max();
+        let newest = lock(&self.voters).values().map(|peer| peer.revision).max();
         let mut since = lock(&self.behind_since);
         *since = match *since {
             _ if newest.is_none_or(|newest| newest <= own) => None,
@@ -144,20 +147,23 @@
             Some((revision, at)) if revision == own => Some((revision, at)),
             Some(_) => Some((own, now)),
         };
-        since.is_some_and(|(_, at)| now >= at + BEHIND)
+        since.is_some_and(|(_, at)| now >= at + BEHIND_TIMEOUT)
     }
 
-    /// Whether a majority of so many voters is heard, this one included.
+    /// Returns whether a majority of `members` voters is heard, including this one.
     pub(super) fn is_in_touch(&self, members: usize) -> bool {
         let now = self.clock.now();
-        if now < self.started + JUST_STARTED {
+        if now < self.started_at + STARTUP_GRACE {
             return true;
         }
         let voters = lock(&self.voters);
-        let heard = voters.values().filter(|heard| now < heard.at + IN_TOUCH);
+        let heard = voters
+            .values()
+            .filter(|peer| now < peer.heard_at + CONTACT_TIMEOUT);
         (heard.count() + 1) * 2 > members
     }
 
+    /// Returns the availability zone of another voter, if it is known.
     pub(super) fn zone_of(&self, voter: &SocketAddr) -> Option<name::Zone> {
         lock(&self.voters).get(voter)?.zone.clone()
     }
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -1,4 +1,4 @@
-//! Gives out what a voter knows of endpoints to boxes and to the other voters.
+//! Serves a voter's soft state and the configuration to boxes and to the other voters.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
 };
 use serde_json::value::RawValue;
 
-use super::{just_left, Endpoints};
+use super::{left_since_stamp, Endpoints};
 use crate::{
     board::feed,
     core::{change, load, name, pace, registry, throttle, unit, usage},
@@ -22,17 +22,18 @@
     },
 };
 
-/// How often followers hear at least.
-const ALIVE: Duration = Duration::from_secs(1);
-/// How often followers are told which endpoints were heard of; well below the time
-/// after which they forget them.
-const HEARD: Duration = Duration::from_secs(3);
-/// How long a follower is not told again: what changes meanwhile is told at once.
-const BATCH: Duration = Duration::from_millis(50);
-/// The most records of a message, 64 KB: a follower with a slow link hears something all the time.
-const PAGE: usize = 256;
+/// The longest time between two messages to a follower.
+const KEEPALIVE: Duration = Duration::from_secs(1);
+/// The interval at which followers are sent the names of the endpoints that were heard; well below
+/// the time after which they forget endpoints.
+const HEARD_PERIOD: Duration = Duration::from_secs(3);
+/// The shortest time between two messages to a follower; the changes meanwhile share one message.
+const BATCH_PERIOD: Duration = Duration::from_millis(50);
+/// The most records in a message, some 64 KB, so that a follower on a slow link still receives
+/// messages all the time.
+const MAX_RECORDS: usize = 256;
 
-/// Gives out the registry and the configuration.
+/// Serves the registry and the configuration.
 #[derive(Clone, Debug)]
 pub(in crate::ops::control) struct Server {
     pub(in crate::ops::control) endpoints: Endpoints,
@@ -40,31 +41,36 @@
     pub(in crate::ops::control) handle: Handle,
     /// The voter's availability zone, if its settings name it.
     pub(in crate::ops::control) zone: Option<name::Zone>,
-    /// Where the other processes reach it.
+    /// The voter's address for the other processes.
     pub(in crate::ops::control) address: SocketAddr,
 }
 
-/// What a follower has been told.
+/// What a follower has been sent.
 #[derive(Debug, Default)]
-struct Told {
+struct Cursor {
+    /// The registry's stamp up to which changes were sent.
     stamp: u64,
-    /// Up to when it was told which endpoints were heard of.
-    heard: Duration,
-    /// How many of the endpoints that were only remembered.
+    /// The time up to which it was sent the names of the endpoints that were heard.
+    heard_until: Duration,
+    /// The number of restored endpoints that were sent.
     restored: usize,
+    /// The voters' addresses that were last sent.
     voters: Vec<SocketAddr>,
-    zone: bool,
-    at: Duration,
-    /// Whether there is more to tell than one message holds.
-    behind: bool,
+    /// Whether the zone was sent.
+    zone_sent: bool,
+    /// When the last message was built.
+    sent_at: Duration,
+    /// Whether there are more changes than fitted in the last message.
+    has_more: bool,
 }
 
-/// Who follows, as far as that decides what it is told.
+/// The kind of a follower, which decides what it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Follower {
-    /// A box that wants the names of those that were heard of.
+    /// A box that is sent the names of all endpoints that were heard.
     ByNames,
-    /// One that goes by what this voter vouches for.
+    /// A box or voter for which this voter vouches that endpoints are alive, and that is sent the
+    /// names of silent ones only.
     ByChanges(Tracker),
 }
 
@@ -78,7 +84,7 @@
 impl RegistryServer for Server {
     async fn follow(&self, pending: PendingSubscriptionSink, who: name::Box) -> SubscriptionResult {
         let sink = pending.accept().await?;
-        self.serve(&sink, &who, Follower::ByNames).await;
+        self.serve_box(&sink, &who, Follower::ByNames).await;
         Ok(())
     }
 
@@ -90,8 +96,11 @@
     ) -> SubscriptionResult {
         let sink = pending.accept().await?;
         match tracker {
-            Tracker::Box => self.serve(&sink, &who, Follower::ByChanges(tracker)).await,
-            Tracker::Voter => self.give(&sink, Follower::ByChanges(tracker)).await,
+            Tracker::Box => {
+                self.serve_box(&sink, &who, Follower::ByChanges(tracker))
+                    .await
+            }
+            Tracker::Voter => self.push(&sink, Follower::ByChanges(tracker)).await,
         }
         Ok(())
     }
@@ -110,30 +119,30 @@
     }
 
     async fn measured(&self, who: name::Box, paces: Vec<pace::Paced>) -> RpcResult<()> {
-        self.endpoints.take_paces(&who, paces);
+        self.endpoints.record_paces(&who, paces);
         Ok(())
     }
 
     async fn exchange(
         &self,
         who: name::Box,
-        anew: bool,
-        told: load::News,
+        full: bool,
+        report: load::News,
         usage: usage::Told,
     ) -> RpcResult<Option<Exchanged>> {
         let now = self.endpoints.clock.now();
-        let mut told = told;
-        self.endpoints.take_leaving(&who, &told.leaving);
-        let throttled = std::mem::take(&mut told.throttle);
+        let mut report = report;
+        self.endpoints.record_leaving(&who, &report.leaving);
+        let throttled = std::mem::take(&mut report.throttle);
         let load = {
             let mut hub = lock(&self.endpoints.hub);
-            let known = anew || hub.knows(&who);
-            known.then(|| hub.exchange(&who, anew, told, now))
+            let known = full || hub.knows(&who);
+            known.then(|| hub.exchange(&who, full, report, now))
         };
         let Some(load) = load else {
             return Ok(None);
         };
-        let throttle = self.issuer().ask(&who, anew, throttled, now);
+        let throttle = self.issuer().ask(&who, full, throttled, now);
         let unix_ms = self.unix_ms();
         lock(&self.endpoints.book).take(usage::Page {
             source: usage::Source {
@@ -150,12 +159,12 @@
         }))
     }
 
-    async fn share(&self, who: name::Box, anew: bool, told: load::News) -> RpcResult<Shared> {
+    async fn share(&self, who: name::Box, full: bool, report: load::News) -> RpcResult<Shared> {
         let now = self.endpoints.clock.now();
-        let mut told = told;
-        let throttled = std::mem::take(&mut told.throttle);
+        let mut report = report;
+        let throttled = std::mem::take(&mut report.throttle);
         Ok(Shared {
-            known: lock(&self.endpoints.hub).take(&who, anew, told, now),
+            known: lock(&self.endpoints.hub).take(&who, full, report, now),
             unix_ms: self.endpoints.clock.unix_ms(),
             throttle: Some(self.issuer().ask_for(&who, throttled, now)),
         })
@@ -175,7 +184,7 @@
             return Ok(Some(Update::Steps(steps.collect())));
         }
         let text = state.text().unwrap_or_default();
-        // A text that was made of a document is JSON.
+        // The text was serialized from a document, so it is valid JSON.
         let document = RawValue::from_string(text.to_string());
         let whole = |document| Whole {
             revision: state.revision,
@@ -186,7 +195,7 @@
 }
 
 impl Server {
-    /// What issues permits, as one of the voters that there are now.
+    /// Returns the issuer of permits, set to the current number of voters.
     fn issuer(&self) -> lock::Guard<'_, throttle::Issuer> {
         let voters = self.handle.voter_count();
         let mut issuer = lock(&self.endpoints.issuer);
@@ -194,58 +203,58 @@
         issuer
     }
 
-    /// The time of day that the voters agree on, in milliseconds since the Unix epoch.
+    /// Returns the time of day on which the voters agree, in milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64 {
         let members = self.handle.voter_count();
         self.endpoints.unix_ms(members)
     }
 
-    /// Sends a box all news until it goes or follows anew.
-    async fn serve(&self, sink: &SubscriptionSink, who: &name::Box, follower: Follower) {
-        let number = self.endpoints.followed_by(who);
+    /// Sends a box all changes until it disconnects or subscribes again.
+    async fn serve_box(&self, sink: &SubscriptionSink, who: &name::Box, follower: Follower) {
+        let number = self.endpoints.add_follower(who);
         tokio::select! {
-            () = self.give(sink, follower) => {}
+            () = self.push(sink, follower) => {}
             () = self.endpoints.superseded(who, number) => {}
         }
-        self.endpoints.left_by(who, number);
+        self.endpoints.remove_follower(who, number);
     }
 
-    /// Sends a follower all news until it goes.
-    async fn give(&self, sink: &SubscriptionSink, follower: Follower) {
+    /// Sends a follower all changes until it disconnects.
+    async fn push(&self, sink: &SubscriptionSink, follower: Follower) {
         let mut endpoints = self.endpoints.changed.subscribe();
         let mut feed = self.feed.watch();
-        let mut told = Told::default();
+        let mut cursor = Cursor::default();
         loop {
             endpoints.borrow_and_update();
             feed.borrow_and_update();
-            let news = self.news(follower, &mut told);
+            let news = self.news(follower, &mut cursor);
             if send(sink, &news).await.is_none() {
                 return;
             }
-            if told.behind {
+            if cursor.has_more {
                 continue;
             }
             tokio::select! {
                 changed = endpoints.changed() => if changed.is_err() { return },
                 changed = feed.changed() => if changed.is_err() { return },
-                () = tokio::time::sleep(ALIVE) => {}
+                () = tokio::time::sleep(KEEPALIVE) => {}
                 () = sink.closed() => return,
             }
-            let next = told.at + BATCH;
+            let next = cursor.sent_at + BATCH_PERIOD;
             tokio::time::sleep(next.saturating_sub(self.endpoints.clock.now())).await;
         }
     }
 
-    /// What a follower has to be told.
-    fn news(&self, follower: Follower, told: &mut Told) -> News {
+    /// Returns the next message to a follower, and advances `cursor`.
+    fn news(&self, follower: Follower, cursor: &mut Cursor) -> News {
         let now = self.endpoints.clock.now();
         self.endpoints.sweep(now);
-        told.at = now;
+        cursor.sent_at = now;
         let remembered = lock(&self.endpoints.restored);
         let restored = if follower.is_voter() {
-            remembered.for_voter(&mut told.restored, now)
+            remembered.for_voter(&mut cursor.restored, now)
         } else {
-            remembered.for_box(&mut told.restored, now)
+            remembered.for_box(&mut cursor.restored, now)
         };
         drop(remembered);
         let mut news = News {
@@ -258,7 +267,7 @@
             },
             ..News::default()
         };
-        if !std::mem::replace(&mut told.zone, true) {
+        if !std::mem::replace(&mut cursor.zone_sent, true) {
             news.zone.clone_from(&self.zone);
         }
         let registry = if follower.is_voter() {
@@ -267,48 +276,56 @@
             &self.endpoints.registry
         };
         let registry = lock(registry);
-        if follower == Follower::ByNames && now >= told.heard + HEARD {
-            news.heard = registry.heard_since(told.heard);
-            told.heard = now;
+        if follower == Follower::ByNames && now >= cursor.heard_until + HEARD_PERIOD {
+            news.heard = registry.heard_since(cursor.heard_until);
+            cursor.heard_until = now;
         }
         let span = registry::Span {
-            after: told.stamp,
-            to: registry.stamp_within(told.stamp, PAGE),
+            after: cursor.stamp,
+            to: registry.stamp_within(cursor.stamp, MAX_RECORDS),
         };
         if follower != Follower::ByNames {
             news.vouches = true;
             news.silent = registry.silent_since(span);
         }
-        fill(&mut news, &registry, span, now);
-        told.stamp = span.to;
-        told.behind = span.to < registry.stamp();
+        add_changes(&mut news, &registry, span, now);
+        cursor.stamp = span.to;
+        cursor.has_more = span.to < registry.stamp();
         drop(registry);
-        self.fill_members(&mut news, told);
+        self.add_members(&mut news, cursor);
         news
     }
 
-    fn fill_members(&self, news: &mut News, told: &mut Told) {
+    /// Adds whether this voter is in touch with a majority, and the voters' addresses if they have
+    /// changed.
+    fn add_members(&self, news: &mut News, cursor: &mut Cursor) {
         let members = self.handle.published().status.members;
         news.in_touch = self.endpoints.is_in_touch(self.handle.voter_count())
             && !self.endpoints.is_behind(news.revision);
         let voters: Vec<_> = members.addresses().map(|(_, address)| *address).collect();
-        if told.voters != voters {
-            told.voters.clone_from(&voters);
+        if cursor.voters != voters {
+            cursor.voters.clone_from(&voters);
             news.voters = voters;
         }
     }
 }
 
-/// Adds what a follower at a stamp has to be told of endpoints.
-fn fill(news: &mut News, registry: &registry::Registry, span: registry::Span, now: Duration) {
+/// Adds the changes of endpoints within a range of stamps.
+fn add_changes(
+    news: &mut News,
+    registry: &registry::Registry,
+    span: registry::Span,
+    now: Duration,
+) {
     news.changed = registry.told_since(span, now);
     news.gone = registry.gone_since(span);
     news.ended = registry.ended_since(span);
-    news.left = just_left(registry, span);
+    news.left = left_since_stamp(registry, span);
     news.leaving = registry.leaving_since(span);
     news.paces = registry.paces_since(span);
 }
 
+/// Sends a message; returns `None` if the subscription has ended.
 async fn send(sink: &SubscriptionSink, news: &News) -> Option<()> {
     let raw = serde_json::value::to_raw_value(news).ok()?;
     sink.send(SubscriptionMessage::from(raw)).await.ok()
--- a/src/scalewood/ops/control/server.rs
+++ b/src/scalewood/ops/control/server.rs
@@ -1,4 +1,4 @@
-//! What a voter takes from other processes.
+//! The RPC methods of a voter for the other processes of the system.
 
 use std::{
     collections::BTreeMap,
@@ -22,12 +22,13 @@
     },
 };
 
-/// How long a box's report is shown after its last one.
-const FORGET: Duration = Duration::from_secs(24 * 3600);
+/// How long the last heartbeat of a box is shown in the status.
+const BEAT_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
+/// The last heartbeat of each box, with the time of its arrival.
 type Beats = Arc<Mutex<BTreeMap<name::Box, (Duration, Beat)>>>;
 
-/// Takes calls of other processes.
+/// Serves the calls of other processes.
 #[derive(Clone, Debug)]
 pub(super) struct Server {
     handle: Handle,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// How the system stands, as seen here.
+    /// Returns the status of the system as this voter sees it.
     pub(super) fn status(&self) -> admin::Status {
         let published = self.handle.published();
         let revision = published.ledger.revision();
@@ -75,7 +76,7 @@
     async fn beat(&self, beat: Beat) -> RpcResult<unit::Revision> {
         let now = self.clock.now();
         let mut beats = lock(&self.beats);
-        beats.retain(|_, (at, _)| now.saturating_sub(*at) < FORGET);
+        beats.retain(|_, (at, _)| now.saturating_sub(*at) < BEAT_RETENTION);
         beats.insert(beat.name.clone(), (now, beat));
         Ok(self.handle.published().ledger.revision())
     }
--- a/src/scalewood/ops/control/share.rs
+++ b/src/scalewood/ops/control/share.rs
@@ -1,8 +1,8 @@
-//! Tells the other voters what the boxes here have at endpoints, and hears from them which
-//! endpoints told them of themselves.
+//! Exchanges soft state with the other voters: sends them the loads of the boxes of this voter, and
+//! follows their registries of endpoints.
 //!
-//! Each voter brings together what the boxes of its own availability zone have; so what a
-//! box hears of the others is about two periods old, however many boxes there are.
+//! Each voter sums up the loads of the boxes in its own availability zone. So the loads of the
+//! others are about two periods old when they reach a box, however many boxes there are.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,29 +23,31 @@
     wire::registry::{RegistryClient as _, Tracker},
 };
 
-/// How often another voter is told at most.
-const PERIOD: Duration = Duration::from_millis(100);
-/// What each other voter adds to that: each telling costs both ends a message, and so a voter
-/// sends and takes fifty a second at most, up to fifteen voters.
-const PERIOD_PER_PEER: Duration = Duration::from_millis(20);
-/// How many round trips lie between two tellings at least: news that is under way for long
-/// anyway is told less often, and what changes meanwhile is told as one.
-const TRIPS: u32 = 5;
-/// The longest time between two tellings; with the way, and one that is lost, still well
-/// within the time after which a hub is taken for silent.
+/// The shortest time between two reports to another voter.
+const MIN_PERIOD: Duration = Duration::from_millis(100);
+/// The shortest time between two reports, per other voter. Each report costs both ends a message;
+/// this limits a voter to sending and receiving fifty per second, up to fifteen voters.
+const MIN_PERIOD_PER_PEER: Duration = Duration::from_millis(20);
+/// The least number of round trips between two reports: over a slow link a report is old on arrival
+/// anyway, so reports are sent less often and each combines more changes.
+const ROUND_TRIPS_PER_REPORT: u32 = 5;
+/// The upper bound of the time between two reports. Even with the latency of the link and one lost
+/// report, it is well below the time after which a hub counts as silent.
 const MAX_PERIOD: Duration = Duration::from_millis(300);
-/// How often it is told at least, so that it does not take this voter for lost.
-const ALIVE: Duration = Duration::from_millis(250);
-/// How long a telling may take.
-const ANSWER: Duration = Duration::from_millis(400);
-/// How long another voter may be silent that tells once a second.
-const SILENCE: Duration = Duration::from_millis(2500);
-/// The wait before a voter that was lost is tried again.
-const AGAIN: Duration = Duration::from_millis(250);
-/// How often the members are looked at.
-const MEMBERS: Duration = Duration::from_millis(500);
+/// The time after which a report is sent even if it is empty, so that the receiver does not take
+/// this voter for lost.
+const KEEPALIVE: Duration = Duration::from_millis(250);
+/// How long another voter may take to answer a report.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// The time without a message after which another voter's subscription counts as lost. Voters send
+/// at least one message per second.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The delay before a lost connection is made again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(250);
+/// The interval at which the membership is checked for changes.
+const MEMBERS_PERIOD: Duration = Duration::from_millis(500);
 
-/// Tells all other members, for ever.
+/// Exchanges soft state with all other members, for ever.
 pub(super) async fn run(
     handle: Handle,
     endpoints: Endpoints,
@@ -77,17 +79,19 @@
                 log: log.clone(),
             };
             let task = tokio::spawn(async move {
-                tokio::join!(peer.keep(), peer.hear());
+                tokio::join!(peer.report_forever(), peer.track_forever());
             });
             peers.insert(node.clone(), (*address, task));
         }
-        tokio::time::sleep(MEMBERS).await;
+        tokio::time::sleep(MEMBERS_PERIOD).await;
     }
 }
 
-/// Another voter that is told.
+/// Another voter, with which soft state is exchanged.
 struct Peer {
+    /// The name of this voter's box.
     own: name::Box,
+    /// The name of the other voter's box.
     name: name::Box,
     address: SocketAddr,
     endpoints: Endpoints,
@@ -96,36 +100,37 @@
 }
 
 impl Peer {
-    /// Tells it for ever, over a connection that is made anew as it is lost.
-    async fn keep(&self) {
+    /// Sends reports for ever, and reconnects when the connection is lost.
+    async fn report_forever(&self) {
         loop {
             if let Ok(client) = rpc::connect(self.address).await {
                 event!(self.log, LoadsPassedOn, "voter" => %self.name);
-                self.tell(&client).await;
+                self.report(&client).await;
                 event!(self.log, LoadsHeldBack, "voter" => %self.name);
                 lock(self.endpoints.hub()).unlink(&self.name);
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
         }
     }
 
-    /// Hears it for ever, over a connection of its own: it may tell while it answers late.
-    async fn hear(&self) {
+    /// Follows the voter's registry for ever. It uses a separate connection, since the voter may
+    /// send changes in time while it answers reports late.
+    async fn track_forever(&self) {
         loop {
             if let Ok(client) = rpc::connect(self.address).await {
                 self.track(&client).await;
-                self.endpoints.unheard(self.address);
+                self.endpoints.forget_voter(self.address);
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
         }
     }
 
-    /// Takes what it tells until it falls silent.
+    /// Follows the voter's registry until it falls silent.
     async fn track(&self, client: &Arc<WsClient>) {
         let own = self.own.clone();
         let news = match client.track(own.clone(), Tracker::Voter).await {
             Ok(news) => Ok(news),
-            // A build that knows no trackers tells its followers the same.
+            // An older build without `track` sends the same changes to subscribers of `follow`.
             Err(_) => client.follow(own).await,
         };
         let mut news = match news {
@@ -137,36 +142,36 @@
         };
         event!(self.log, RegistryFound, "voter" => %self.address);
         let voucher = self.endpoints.voucher(&self.name);
-        while let Ok(Some(Ok(next))) = tokio::time::timeout(SILENCE, news.next()).await {
+        while let Ok(Some(Ok(next))) = tokio::time::timeout(SILENCE_TIMEOUT, news.next()).await {
             self.endpoints
-                .take_news(&self.name, self.address, voucher, next);
+                .apply_news(&self.name, self.address, voucher, next);
         }
         event!(self.log, RegistryLost, "voter" => %self.address);
     }
 
-    /// How often it is told at most, by how many voters there are.
-    fn least_period(&self) -> Duration {
+    /// Returns the shortest time between two reports, given the number of voters.
+    fn min_period(&self) -> Duration {
         let peers = u32::try_from(self.endpoints.peer_count()).unwrap_or(u32::MAX);
-        PERIOD_PER_PEER
+        MIN_PERIOD_PER_PEER
             .saturating_mul(peers)
-            .clamp(PERIOD, MAX_PERIOD)
+            .clamp(MIN_PERIOD, MAX_PERIOD)
     }
 
-    /// Tells it until it does not answer.
-    async fn tell(&self, client: &Arc<WsClient>) {
-        let mut anew = true;
-        let mut told_at = Duration::ZERO;
-        let mut period = PERIOD;
+    /// Sends reports until one is not answered in time.
+    async fn report(&self, client: &Arc<WsClient>) {
+        let mut full = true;
+        let mut reported_at = Duration::ZERO;
+        let mut period = MIN_PERIOD;
         loop {
             let now = self.clock.now();
-            let mut news = lock(self.endpoints.hub()).news_for(&self.name, anew, now);
-            news.throttle = lock(self.endpoints.issuer()).news_for(&self.name, anew, now);
-            if anew || !news.is_empty() || now >= told_at + ALIVE {
-                let call = client.share(self.own.clone(), anew, news);
-                match tokio::time::timeout(ANSWER, call).await {
+            let mut news = lock(self.endpoints.hub()).news_for(&self.name, full, now);
+            news.throttle = lock(self.endpoints.issuer()).news_for(&self.name, full, now);
+            if full || !news.is_empty() || now >= reported_at + KEEPALIVE {
+                let call = client.share(self.own.clone(), full, news);
+                match tokio::time::timeout(ANSWER_TIMEOUT, call).await {
                     Ok(Ok(shared)) => {
-                        anew = !shared.known;
-                        self.endpoints.note_time(&self.name, shared.unix_ms, now);
+                        full = !shared.known;
+                        self.endpoints.record_time(&self.name, shared.unix_ms, now);
                         let answered = self.clock.now();
                         lock(self.endpoints.issuer()).take(
                             &self.name,
@@ -174,12 +179,13 @@
                             now,
                             answered,
                         );
-                        let trip = answered.saturating_sub(now);
-                        period = (trip * TRIPS).clamp(self.least_period(), MAX_PERIOD);
+                        let round_trip = answered.saturating_sub(now);
+                        period = (round_trip * ROUND_TRIPS_PER_REPORT)
+                            .clamp(self.min_period(), MAX_PERIOD);
                     }
                     Ok(Err(_)) | Err(_) => return,
                 }
-                told_at = now;
+                reported_at = now;
             }
             tokio::time::sleep(period).await;
         }
