--- a/src/scalewood/ops/control/cordon.rs
+++ b/src/scalewood/ops/control/cordon.rs
@@ -1,4 +1,4 @@
-//! Orders to cordon and uncordon zones, from the operators' APIs to the log.
+//! Cordon and uncordon orders, from the operators' APIs to the replicated log.
 
 use warp::{http::StatusCode, Reply as _};
 
@@ -14,17 +14,17 @@
 };
 
 impl Handle {
-    /// Agrees on an order to cordon or uncordon a zone, here or by way of the leader.
+    /// Commits an order to cordon or uncordon a zone, through the leader if that is another voter.
     pub async fn cordon(&self, order: cordon::Order) -> Passed<change::Answer> {
         match self.cordon_here(order.clone()).await {
-            Passed::NotLeader => self.links.pass_cordon(self.leader(), order).await,
+            Passed::NotLeader => self.links.forward_cordon(self.leader(), order).await,
             passed => passed,
         }
     }
 
-    /// Agrees on an order to cordon or uncordon a zone if this voter leads.
+    /// Commits an order to cordon or uncordon a zone if this voter leads.
     pub async fn cordon_here(&self, order: cordon::Order) -> Passed<change::Answer> {
-        // What was answered is committed, so any voter that knows it may say it again.
+        // An answer in the ledger is committed, so any voter that has it may repeat it.
         if let Some(answer) = self.published().ledger.cordon_answered(&order) {
             return Passed::Answer(answer);
         }
@@ -32,8 +32,9 @@
     }
 }
 
-/// Why no order is taken for a zone: the zones are known beforehand, and it is none of them.
-pub(super) fn unknown(zone: &name::Zone, zones: &region::Map) -> Option<String> {
+/// Returns why orders for a zone are refused, which is so if zones are configured and it is none of
+/// them.
+pub(super) fn check_zone(zone: &name::Zone, zones: &region::Map) -> Option<String> {
     if zones.is_empty() || zones.has_zone(zone) {
         return None;
     }
@@ -45,7 +46,7 @@
 }
 
 impl admin::Admin {
-    /// The zones that are cordoned.
+    /// Returns the cordoned zones.
     pub(super) fn cordons(&self) -> warp::reply::Response {
         let published = self.handle.published();
         if !published.current {
@@ -59,7 +60,7 @@
         .into_response()
     }
 
-    /// Cordons or uncordons a zone.
+    /// Handles an operator's order to cordon or uncordon a zone.
     pub(super) async fn cordon(
         &self,
         operator: name::Operator,
@@ -70,7 +71,7 @@
             Err(error) => return admin::malformed(&error),
         };
         let mark = cordon::Mark { zone, act };
-        if let Some(why) = unknown(&mark.zone, &self.zones) {
+        if let Some(why) = check_zone(&mark.zone, &self.zones) {
             event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act,
                 "operator" => %operator, "change" => %id, "why" => &why);
             return admin::failure(StatusCode::BAD_REQUEST, why, verdict::Verdict::NotRun);
--- a/src/scalewood/ops/control/crash.rs
+++ b/src/scalewood/ops/control/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that are held back, as operators see them.
+//! The operators' calls about requests that are held back because endpoints ended under them.
 
 use warp::{http::StatusCode, Reply as _};
 
@@ -11,21 +11,21 @@
 };
 
 impl admin::Admin {
-    /// The requests that are held back, as this voter knows them: it hears of all within some
-    /// tenths of a second.
+    /// Returns the requests that this voter knows to be held back. It learns of every one within
+    /// some tenths of a second.
     pub(super) fn held_back(&self) -> warp::reply::Response {
         let hub = lock(self.endpoints.hub());
         let known = hub.crashes().held_back();
         let held_back = known.map(|(fingerprint, ends)| HeldBackRequest {
             fingerprint: *fingerprint,
-            ends: ends.iter().map(ended).collect(),
+            ends: ends.iter().map(to_wire).collect(),
         });
         let held_back = held_back.collect();
         warp::reply::json(&HeldBack { held_back }).into_response()
     }
 
-    /// Takes a request back into service. The other voters and the boxes hear of it as they hear
-    /// of a run to its end.
+    /// Releases a request that is held back. The other voters and the boxes are told in the same
+    /// way as of a request that completed.
     pub(super) fn pardon(
         &self,
         operator: &name::Operator,
@@ -48,7 +48,7 @@
     }
 }
 
-fn ended(end: &crash::End) -> Ended {
+fn to_wire(end: &crash::End) -> Ended {
     Ended {
         endpoint: end.endpoint.clone(),
         at_unix_ms: end.at_unix_ms,
--- a/src/scalewood/ops/control/link.rs
+++ b/src/scalewood/ops/control/link.rs
@@ -1,7 +1,7 @@
 //! Links from a voter to the other voters.
 //!
-//! A link may lose messages, but never keeps them for long: what does not go out at
-//! once is dropped, and the machine sends what still matters again.
+//! A link may lose messages but never delays them for long: a message that can't be sent at once
+//! is dropped, and the consensus state machine sends again whatever is still needed.
 
 use std::{
     collections::HashMap,
@@ -22,41 +22,42 @@
     wire::control::{ControlClient as _, Envelope, Passed},
 };
 
-/// Messages that wait for a link.
-const QUEUE: usize = 256;
-/// The wait before a lost link is tried again.
-const AGAIN: Duration = Duration::from_millis(200);
-/// How long a call to another voter may take; one that is cut off in silence is left
-/// for a new connection after that.
-const CALL: Duration = Duration::from_millis(700);
+/// The most messages that are queued for one link.
+const QUEUE_CAPACITY: usize = 256;
+/// The delay after a failed connection attempt.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// How long a call to another voter may take. After that its connection counts as lost, since a
+/// network partition closes no connection, and a new one is made.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 type Message = agree::Message<ledger::Ledger>;
 
+/// The queue of messages to one voter, which a task sends.
 #[derive(Debug)]
 struct Link {
     address: SocketAddr,
     sender: mpsc::Sender<Envelope>,
 }
 
-/// A connection that is kept, and where it leads.
-type Kept = (SocketAddr, Arc<WsClient>);
+/// A cached connection with its remote address.
+type Connection = (SocketAddr, Arc<WsClient>);
 
-/// Links to the other voters, made as they are needed.
+/// The links to the other voters, created on first use.
 #[derive(Clone, Debug)]
 pub(super) struct Links {
-    own: SocketAddr,
+    own_address: SocketAddr,
     runtime: tokio::runtime::Handle,
     log: slog::Logger,
     addresses: Arc<Mutex<HashMap<agree::Node, SocketAddr>>>,
     links: Arc<Mutex<HashMap<agree::Node, Link>>>,
-    leader: Arc<Mutex<Option<Kept>>>,
+    leader: Arc<Mutex<Option<Connection>>>,
 }
 
 impl Links {
-    pub(super) fn new(own: SocketAddr, log: slog::Logger) -> Self {
+    pub(super) fn new(own_address: SocketAddr, log: slog::Logger) -> Self {
         let runtime = tokio::runtime::Handle::current();
         Self {
-            own,
+            own_address,
             runtime,
             log,
             addresses: Arc::default(),
@@ -65,13 +66,14 @@
         }
     }
 
-    /// Notes where a node said that it takes answers. The members' list goes first;
-    /// a learner does not have it yet.
+    /// Records the address that a node named in a message. The membership takes precedence, but
+    /// a new learner is not in it yet.
     pub(super) fn learn(&self, node: &agree::Node, address: SocketAddr) {
         lock(&self.addresses).insert(node.clone(), address);
     }
 
-    /// Sends messages, or drops those that can't go out.
+    /// Queues messages for their receivers; drops those without a known address or whose queue is
+    /// full.
     pub(super) fn send(&self, status: &agree::Status, sends: Vec<(agree::Node, Message)>) {
         if sends.is_empty() {
             return;
@@ -86,7 +88,7 @@
             let from = status.node.clone();
             let envelope = Envelope {
                 from,
-                address: self.own,
+                address: self.own_address,
                 to: to.clone(),
                 message,
             };
@@ -94,12 +96,14 @@
         }
     }
 
+    /// Returns the queue of the link to a node, which is created if the node has none at this
+    /// address.
     fn link(&self, to: &agree::Node, address: SocketAddr) -> mpsc::Sender<Envelope> {
         let mut links = lock(&self.links);
         if let Some(link) = links.get(to).filter(|link| link.address == address) {
             return link.sender.clone();
         }
-        let (sender, receiver) = mpsc::channel(QUEUE);
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
         links.insert(
             to.clone(),
             Link {
@@ -108,11 +112,11 @@
             },
         );
         self.runtime
-            .spawn(carry(to.clone(), address, receiver, self.log.clone()));
+            .spawn(send_queued(to.clone(), address, receiver, self.log.clone()));
         sender
     }
 
-    /// A connection to the leader, kept between calls.
+    /// Returns a connection to the leader, which is kept between calls.
     async fn leader(&self, leader: Option<agree::Node>) -> Option<Arc<WsClient>> {
         let address = lock(&self.addresses).get(&leader?).copied()?;
         let kept = lock(&self.leader)
@@ -126,7 +130,7 @@
         Some(client)
     }
 
-    /// Calls the leader; what takes too long is given up, and its connection too.
+    /// Calls the leader. On a timeout the outcome is unknown, and the connection is dropped.
     async fn call<T, F>(
         &self,
         leader: Option<agree::Node>,
@@ -135,13 +139,13 @@
     where
         F: Future<Output = Result<Passed<T>, ClientError>>,
     {
-        let asked = async {
+        let response = async {
             let Some(client) = self.leader(leader).await else {
                 return Passed::NotLeader;
             };
             call(client).await.unwrap_or(Passed::Unknown)
         };
-        match tokio::time::timeout(CALL, asked).await {
+        match tokio::time::timeout(CALL_TIMEOUT, response).await {
             Ok(passed) => passed,
             Err(_) => {
                 *lock(&self.leader) = None;
@@ -150,8 +154,8 @@
         }
     }
 
-    /// Passes a routing on to the leader.
-    pub(super) async fn pass_publication(
+    /// Forwards a routing to the leader.
+    pub(super) async fn forward_publication(
         &self,
         leader: Option<agree::Node>,
         publication: ledger::Publication,
@@ -161,13 +165,16 @@
     }
 
     /// Reads the routing from the leader.
-    pub(super) async fn pass_read(&self, leader: Option<agree::Node>) -> Passed<Option<Arc<str>>> {
+    pub(super) async fn forward_read(
+        &self,
+        leader: Option<agree::Node>,
+    ) -> Passed<Option<Arc<str>>> {
         let call = |client: Arc<WsClient>| async move { client.read().await };
         self.call(leader, call).await
     }
 
-    /// Passes a change on to the leader.
-    pub(super) async fn pass_change(
+    /// Forwards a change to the leader.
+    pub(super) async fn forward_change(
         &self,
         leader: Option<agree::Node>,
         change: change::Change,
@@ -177,8 +184,8 @@
         self.call(leader, call).await
     }
 
-    /// Passes an order to cordon or uncordon a zone on to the leader.
-    pub(super) async fn pass_cordon(
+    /// Forwards an order to cordon or uncordon a zone to the leader.
+    pub(super) async fn forward_cordon(
         &self,
         leader: Option<agree::Node>,
         order: cordon::Order,
@@ -187,8 +194,8 @@
         self.call(leader, call).await
     }
 
-    /// Passes a change of the voters on to the leader.
-    pub(super) async fn pass_members(
+    /// Forwards a membership change to the leader.
+    pub(super) async fn forward_members(
         &self,
         leader: Option<agree::Node>,
         request: agree::MembersRequest,
@@ -198,8 +205,8 @@
     }
 }
 
-/// Carries messages to one node for as long as they come.
-async fn carry(
+/// Sends the queued messages to one node until the link is dropped.
+async fn send_queued(
     to: agree::Node,
     address: SocketAddr,
     mut receiver: mpsc::Receiver<Envelope>,
@@ -215,10 +222,10 @@
             client = rpc::connect(address).await.ok();
         }
         let Some(connected) = &client else {
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
-        let sent = tokio::time::timeout(CALL, connected.messages(envelopes)).await;
+        let sent = tokio::time::timeout(CALL_TIMEOUT, connected.messages(envelopes)).await;
         if !matches!(sent, Ok(Ok(()))) {
             event!(log, VoterUnreachable, "voter" => %to, "address" => %address);
             client = None;
--- a/src/scalewood/ops/control/membership.rs
+++ b/src/scalewood/ops/control/membership.rs
@@ -1,4 +1,4 @@
-//! How a voter's process becomes a member: by forming a new system, or by joining.
+//! How a voter's process becomes a member of the cluster: by forming a new one, or by joining one.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,82 +13,86 @@
     wire::control::ControlClient as _,
 };
 
-/// How often it is asked again.
-const AGAIN: Duration = Duration::from_millis(300);
-/// How long one call may take.
-const CALL: Duration = Duration::from_millis(700);
+/// The interval at which a node that is not a member asks to join.
+const RETRY_PERIOD: Duration = Duration::from_millis(300);
+/// How long one request to join may take.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The identity of the voters that form a new system: they are known to each other
-/// before any of them has a folder. Every later folder gets a random one.
-pub(super) const FOUNDER: agree::Identity = agree::Identity(1);
+/// The identity of all voters that form a new cluster. Each has to know the others' identities
+/// before their data folders exist, so it is fixed; every later folder gets a random one.
+pub(super) const FOUNDER_IDENTITY: agree::Identity = agree::Identity(1);
 
-/// The members of a new system whose voters are reached at these addresses. A box is
-/// named after its IP address there, since nothing else is known of it.
+/// Returns the members of a new cluster with voters at these addresses. Boxes are named after their
+/// IP addresses, since nothing else is known of them.
 pub(super) fn founders(addresses: &[SocketAddr]) -> agree::Members {
     let founders = addresses.iter().map(|address| {
         let node = agree::Node {
             name: box_at(*address),
-            identity: FOUNDER,
+            identity: FOUNDER_IDENTITY,
         };
         (node, *address)
     });
     agree::Members::of_all(founders)
 }
 
-/// The name of the box at an address.
+/// Returns the name of the box at an address.
 fn box_at(address: SocketAddr) -> name::Box {
     let text = address.ip().to_string().replace(':', "-");
     text.parse().expect("an address is a valid name")
 }
 
-/// How long a member may hear of no leader before it asks to join: it may have been
-/// removed while it was silent, and then nobody tells it. Longer than an election takes,
-/// and asking in vain does no harm.
-const ALONE: Duration = Duration::from_millis(1200);
+/// How long a member may know of no leader before it asks to join. It may have been removed while
+/// it was unreachable, and a removed node is not told. This is longer than an election takes; a
+/// request to join by a node that is still a member does no harm.
+const LEADERLESS_LIMIT: Duration = Duration::from_millis(1200);
 
-/// Whether a node has to ask to become a member.
+/// Detects when a node has to ask to become a member.
 #[derive(Debug, Default)]
-struct Standing {
-    /// Since when no leader is heard.
-    alone_since: Option<Duration>,
+struct Monitor {
+    /// Since when no leader has been known.
+    leaderless_since: Option<Duration>,
 }
 
-impl Standing {
-    fn has_to_ask(&mut self, status: &agree::Status, now: Duration) -> bool {
+impl Monitor {
+    /// Returns whether the node is no member, or has known of no leader for too long.
+    fn must_join(&mut self, status: &agree::Status, now: Duration) -> bool {
         if status.leader.is_some() {
-            self.alone_since = None;
+            self.leaderless_since = None;
         } else {
-            self.alone_since.get_or_insert(now);
+            self.leaderless_since.get_or_insert(now);
         }
         let members = &status.members;
         let is_member = members.is_voter(&status.node) || members.is_learner(&status.node);
-        !is_member || self.alone_since.is_some_and(|since| now >= since + ALONE)
+        !is_member
+            || self
+                .leaderless_since
+                .is_some_and(|since| now >= since + LEADERLESS_LIMIT)
     }
 }
 
-/// Asks to become a member whenever this node is none, or may be none without knowing it;
-/// for ever.
-pub(super) async fn keep(
+/// Runs for ever, and asks to join whenever this node is not a member or may have been removed
+/// without being told.
+pub(super) async fn maintain(
     handle: Handle,
     own: SocketAddr,
     known: watch::Receiver<Vec<SocketAddr>>,
     clock: clock::System,
     log: slog::Logger,
 ) {
-    let mut standing = Standing::default();
-    let mut asked = false;
-    let mut turn = 0;
-    let mut next: Option<SocketAddr> = None;
+    let mut monitor = Monitor::default();
+    let mut is_joining = false;
+    let mut attempt = 0;
+    let mut leader: Option<SocketAddr> = None;
     loop {
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_PERIOD).await;
         let status = handle.published().status;
-        if !standing.has_to_ask(&status, clock.now()) {
-            asked = false;
+        if !monitor.must_join(&status, clock.now()) {
+            is_joining = false;
             continue;
         }
-        if !asked {
+        if !is_joining {
             event!(log, VoterJoins, "node" => %status.node);
-            asked = true;
+            is_joining = true;
         }
         let members = &status.members;
         let mut addresses: Vec<_> = members.addresses().map(|(_, address)| *address).collect();
@@ -97,17 +101,19 @@
         if addresses.is_empty() {
             continue;
         }
-        let to = next.take().unwrap_or(addresses[turn % addresses.len()]);
-        turn += 1;
-        next = ask(to, status.node, own).await;
+        let to = leader
+            .take()
+            .unwrap_or(addresses[attempt % addresses.len()]);
+        attempt += 1;
+        leader = request_join(to, status.node, own).await;
     }
 }
 
-/// Asks one voter; it names the leader if that is another.
-async fn ask(to: SocketAddr, node: agree::Node, own: SocketAddr) -> Option<SocketAddr> {
-    let asked = async {
+/// Asks one voter to add this node. Returns the leader's address if that is another voter.
+async fn request_join(to: SocketAddr, node: agree::Node, own: SocketAddr) -> Option<SocketAddr> {
+    let response = async {
         let client: Arc<WsClient> = rpc::connect(to).await.ok()?;
         client.join(node, own).await.ok()?
     };
-    tokio::time::timeout(CALL, asked).await.ok()?
+    tokio::time::timeout(CALL_TIMEOUT, response).await.ok()?
 }
--- a/src/scalewood/ops/control/mod.rs
+++ b/src/scalewood/ops/control/mod.rs
@@ -1,4 +1,5 @@
-//! A voter's process: agreement, the administration API, orders to endpoints.
+//! A voter's process: consensus, the endpoint registry, the administration API, and orders to
+//! endpoints.
 
 use std::{
     collections::BTreeMap,
@@ -44,36 +45,37 @@
 /// Settings of a voter's process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The box that it runs on.
+    /// The name of the box that it runs on.
     pub name: name::Box,
-    /// Its availability zone, if that is known: boxes of the zone prefer it.
+    /// Its availability zone, if configured: boxes in the same zone prefer this voter.
     pub zone: Option<name::Zone>,
-    /// The availability zones that are known beforehand, with their regions.
+    /// The configured availability zones, with their regions.
     pub zones: region::Map,
-    /// Where the other processes of the system reach it.
+    /// The address for the other processes of the system.
     pub listen: SocketAddr,
-    /// Where operators reach it.
+    /// The address of the administration API.
     pub admin: SocketAddr,
     /// Its data folder.
     pub data: PathBuf,
-    /// Where operators publish routings and endpoints announce themselves, if anywhere.
+    /// The address where operators publish routings and endpoints announce themselves; `None` if
+    /// that API is not served.
     pub publish: Option<SocketAddr>,
-    /// Whether an empty folder is initialised at the start: as one of a new system's
-    /// voters if `form` is set and `voters` name this one, else to join.
+    /// Whether an empty data folder is initialised at the start: as that of a founding voter if
+    /// `form` is set and `voters` contains this one, otherwise to join an existing cluster.
     pub unattended: bool,
-    /// Whether this is the first start of a new system.
+    /// Whether to form a new cluster with `voters`.
     pub form: bool,
-    /// Voters that are known beforehand.
+    /// The addresses of the voters that are known in advance.
     pub voters: Vec<SocketAddr>,
-    /// How often endpoints tell of themselves.
+    /// The time limits that follow from the heartbeat interval of endpoints.
     pub timing: core_registry::Timing,
-    /// The operators and the hashes of their tokens.
+    /// The operators, with the hashes of their access tokens.
     pub operators: BTreeMap<name::Operator, secret::Hash>,
-    /// Orders to endpoints a second, as the weight store bears them.
+    /// The most orders to endpoints per second, limited by the load on the weight store.
     pub orders: unit::Rate,
-    /// What is done for a provider.
+    /// The settings of the tasks done for a provider.
     pub provider: provider::Settings,
-    /// Settings of the agreement.
+    /// The settings of the consensus protocol.
     pub agree: agree::Settings,
 }
 
@@ -92,7 +94,8 @@
             voters: Vec::new(),
             timing: core_registry::Timing::default(),
             operators: BTreeMap::new(),
-            orders: unit::Rate::try_from(DEFAULT_ORDERS).expect("the default rate is valid"),
+            orders: unit::Rate::try_from(DEFAULT_ORDERS_PER_SECOND)
+                .expect("the default rate is valid"),
             provider: provider::Settings::default(),
             agree: agree::Settings::default(),
         }
@@ -189,7 +192,7 @@
     }
 }
 
-/// An operator as settings name one.
+/// An operator in the settings, or `None` if its entry is invalid.
 struct Operator(Option<(name::Operator, secret::Hash)>);
 
 impl settings::Settings for Operator {
@@ -200,7 +203,7 @@
     }
 }
 
-/// A voter's process that can't start or go on.
+/// A failure to start or to continue running a voter's process.
 #[derive(Debug)]
 pub struct Error;
 
@@ -212,7 +215,7 @@
 
 impl std::error::Error for Error {}
 
-/// Gives a data folder the identity and journal of the first voter of a new system.
+/// Initialises a data folder as that of the first voter of a new cluster.
 ///
 /// # Errors
 ///
@@ -224,7 +227,7 @@
     })
 }
 
-/// Gives a data folder the identity of a voter that joins a system.
+/// Initialises a data folder as that of a voter that joins an existing cluster.
 ///
 /// # Errors
 ///
@@ -235,6 +238,7 @@
     })
 }
 
+/// Writes the journal and the identity to an unused data folder.
 fn initialise(
     settings: &Settings,
     identity: agree::Identity,
@@ -246,12 +250,13 @@
         name: settings.name.clone(),
         identity,
     };
-    // The identity goes last: a folder that has one is whole, also after a loss of power.
+    // The identity is written last, so a folder that has one is complete even after a power loss.
     let journal = journal::Journal::create(folder, kept(node)).change_context(Error)?;
     let mut folder = journal.into_media();
     identity::make(&mut folder, &settings.name, identity).change_context(Error)
 }
 
+/// Opens the data folder.
 fn open_folder(settings: &Settings) -> Result<folder::Folder, Report<Error>> {
     folder::Folder::open(&settings.data)
         .change_context(Error)
@@ -263,8 +268,8 @@
         })
 }
 
-/// Initialises an empty folder without an operator: as one of the voters of a new
-/// system, or to join.
+/// Initialises an empty data folder without an operator: as that of a founding voter of a new
+/// cluster, or to join an existing one.
 fn initialise_unattended(settings: &Settings, log: &slog::Logger) -> Result<(), Report<Error>> {
     let folder = open_folder(settings)?;
     let empty = matches!(
@@ -275,20 +280,21 @@
     if !empty {
         return Ok(());
     }
-    let founds = settings.form && settings.voters.contains(&settings.listen);
-    if !founds {
+    let is_founder = settings.form && settings.voters.contains(&settings.listen);
+    if !is_founder {
         return join(settings).map(drop);
     }
     let members = membership::founders(&settings.voters);
-    initialise(settings, membership::FOUNDER, |_| {
+    initialise(settings, membership::FOUNDER_IDENTITY, |_| {
         agree::Kept::formed(members)
     })?;
     event!(log, VoterFormed, "voters" => settings.voters.len());
     Ok(())
 }
 
-/// Runs a voter until it is asked to stop; operators and endpoints speak a dialect. The
-/// settings are read again from their path, if any.
+/// Runs a voter until the process is asked to stop. `D` defines the HTTP paths and bodies for
+/// operators, endpoints and the provider. The settings file at `path`, if given, is
+/// read again on SIGHUP and when it changes.
 ///
 /// # Errors
 ///
@@ -350,13 +356,13 @@
         clock,
         log.clone(),
     ));
-    let giver = order::Giver {
+    let sender = order::Sender {
         handle: handle.clone(),
         clock,
         log: log.clone(),
         rate: settings.orders,
     };
-    tokio::spawn(giver.run());
+    tokio::spawn(sender.run());
     serve_provider::<D>(&settings, &handle, &endpoints, clock, &log);
     tokio::spawn(breach::watch(log.clone()));
     let admin = admin::Admin {
@@ -387,7 +393,7 @@
     }
     let voters = reload::watch(settings.clone(), path, log.clone());
     if settings.unattended {
-        tokio::spawn(membership::keep(
+        tokio::spawn(membership::maintain(
             handle.clone(),
             settings.listen,
             voters,
@@ -410,7 +416,7 @@
     Ok(())
 }
 
-/// Does what the settings ask for a provider.
+/// Starts the configured tasks for a provider, if there are any.
 fn serve_provider<D: provider::Dialect>(
     settings: &Settings,
     handle: &Handle,
@@ -458,7 +464,7 @@
     }
 }
 
-/// What was kept beside the journal before this process started; nothing if it can't be read.
+/// Reads the hints that an earlier process stored beside the journal; empty if they can't be read.
 fn read_hints(place: &hints::Place, log: &slog::Logger) -> hints::Hints {
     match place.load() {
         Ok(hints) => {
@@ -473,7 +479,7 @@
     }
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns this machine's time of day, in milliseconds since the Unix epoch.
 fn unix_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -481,8 +487,8 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// How long a proposal may take before its outcome is called unknown.
-const PROPOSAL: Duration = Duration::from_secs(5);
+/// How long a caller waits for a proposal before its outcome is reported as unknown.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Orders to endpoints a second where the settings name no rate.
-const DEFAULT_ORDERS: f64 = 2.0;
+/// The rate of orders to endpoints, per second, if the settings name none.
+const DEFAULT_ORDERS_PER_SECOND: f64 = 2.0;
--- a/src/scalewood/ops/control/order.rs
+++ b/src/scalewood/ops/control/order.rs
@@ -1,12 +1,13 @@
-//! Orders to endpoints: which model each is to have loaded.
+//! Orders to endpoints, which tell each endpoint which model to load.
 //!
-//! Only the leader gives orders, and only under its lease. Each order carries the term and
-//! a number that rises within it, so that an endpoint that checks can refuse an older one.
-//! For endpoints that check nobody the lease has to do (`guarded`). A new leader can't be
-//! elected before the old one's lease is over, so it need not wait.
+//! Only the leader sends orders, and only under its lease. Each order carries the term and a number
+//! that rises within the term, as a fencing token: an endpoint that checks it can refuse an older
+//! order. Endpoints that don't check it are protected by the lease alone (see `guarded`). A new
+//! leader can't be elected before the old one's lease has expired, so it need not wait.
 //!
-//! A new leader gives all orders anew: it does not know which arrived, and to load what is
-//! loaded costs nothing. The weight store bounds how many orders go out a second.
+//! A new leader sends all orders again: it does not know which of them arrived, and loading a model
+//! that is loaded already costs nothing. The rate of orders is limited by what the weight store can
+//! serve.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -22,12 +23,12 @@
     util::clock::Clock,
 };
 
-/// How often it is looked for orders that are due.
-const PERIOD: Duration = Duration::from_millis(100);
-/// How long an order may take to be answered.
-const ORDER: Duration = Duration::from_millis(200);
+/// The interval between two checks for orders to send.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
+/// How long an endpoint may take to answer an order.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// An order as it is sent.
+/// The body of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 struct Order {
     term: u64,
@@ -35,117 +36,122 @@
     load: name::Model,
 }
 
-/// Gives the orders of one voter.
+/// Sends orders to endpoints while this voter leads.
 #[derive(Debug)]
-pub(super) struct Giver<C> {
+pub(super) struct Sender<C> {
     pub(super) handle: Handle,
     pub(super) clock: C,
     pub(super) log: slog::Logger,
-    /// Orders a second that the weight store bears.
+    /// The most orders per second.
     pub(super) rate: unit::Rate,
 }
 
-/// What a leader has done in its term.
+/// The orders that this leader has sent in its term.
 #[derive(Debug, Default)]
-struct Done {
+struct Progress {
     term: u64,
+    /// The number of the last order.
     number: u64,
-    taken: HashMap<name::Endpoint, name::Model>,
+    /// The model of the last order that each endpoint accepted.
+    accepted: HashMap<name::Endpoint, name::Model>,
 }
 
-/// What became of an order.
-enum Given {
-    /// The endpoint took it.
-    Taken,
-    /// The endpoint turned it away, and wants nothing for so long.
-    Rests(Duration),
-    /// It may be given again.
+/// The outcome of an order.
+enum Outcome {
+    /// The endpoint accepted it.
+    Accepted,
+    /// The endpoint refused it, and asked to be sent nothing for this long.
+    RetryAfter(Duration),
+    /// It failed, and may be sent again.
     Failed,
 }
 
-/// What is due: the endpoint, where it is, and what it is to load.
+/// An order to send: the endpoint, its address, and the model to load.
 type Due = (name::Endpoint, SocketAddr, name::Model);
 
-impl<C: Clock> Giver<C> {
-    /// Gives orders for ever.
+impl<C: Clock> Sender<C> {
+    /// Sends the orders that are due, for ever.
     pub(super) async fn run(self) {
-        let mut done = Done::default();
+        let mut progress = Progress::default();
         let mut bucket = limit::Bucket::full(self.rate, self.clock.now());
         let own = self.handle.published().status.node.name;
         let mut rests = rest::Book::new(own);
         loop {
-            tokio::time::sleep(PERIOD).await;
+            tokio::time::sleep(CHECK_PERIOD).await;
             let published = self.handle.published();
-            if !self.lasts(&published, guarded::WRITTEN) {
+            if !self.has_lease_for(&published, guarded::WRITTEN) {
                 continue;
             }
-            if done.term != published.status.term.0 {
-                done = Done {
+            if progress.term != published.status.term.0 {
+                progress = Progress {
                     term: published.status.term.0,
-                    ..Done::default()
+                    ..Progress::default()
                 };
             }
-            for (endpoint, address, load) in due(&published, &done) {
-                // Orders are requests too.
+            for (endpoint, address, load) in due(&published, &progress) {
+                // Orders count as requests, so an endpoint's Retry-After applies to them too.
                 if rests.left(&endpoint, None, self.clock.now()).is_some() {
                     continue;
                 }
                 if bucket.take(1.0, self.rate, self.clock.now()).is_err() {
                     break;
                 }
-                done.number += 1;
+                progress.number += 1;
                 let order = Order {
-                    term: done.term,
-                    number: done.number,
+                    term: progress.term,
+                    number: progress.number,
                     load: load.clone(),
                 };
-                match self.give(&endpoint, address, &order).await {
-                    Given::Taken => drop(done.taken.insert(endpoint, load)),
-                    Given::Rests(length) => {
+                match self.send(&endpoint, address, &order).await {
+                    Outcome::Accepted => drop(progress.accepted.insert(endpoint, load)),
+                    Outcome::RetryAfter(length) => {
                         let configured = published.ledger.document().endpoints.get(&endpoint);
                         if let Some(configured) = configured {
                             let now = self.clock.now();
                             rests.note(&endpoint, &configured.service, None, length, now);
                         }
                     }
-                    Given::Failed => {}
+                    Outcome::Failed => {}
                 }
             }
         }
     }
 
-    /// Whether the lease lasts for so long.
-    fn lasts(&self, published: &Published, long: Duration) -> bool {
+    /// Returns whether the lease is valid for longer than `long`.
+    fn has_lease_for(&self, published: &Published, long: Duration) -> bool {
         published
             .lease
             .is_some_and(|until| until > self.clock.now() + long)
     }
 
-    async fn give(&self, endpoint: &name::Endpoint, address: SocketAddr, order: &Order) -> Given {
+    /// Sends an order if the lease is still valid for long enough when it is written.
+    async fn send(&self, endpoint: &name::Endpoint, address: SocketAddr, order: &Order) -> Outcome {
         let Some(request) = request(order) else {
-            return Given::Failed;
+            return Outcome::Failed;
         };
         let holds = |long| {
-            // What was read before may be long out of date by now.
+            // Checked again, since connecting may have taken long.
             let published = self.handle.published();
             let current = published.status.term.0 == order.term;
             let cordoned = is_cordoned(&published, endpoint);
-            let lasts = current && !cordoned && self.lasts(&published, long);
-            if lasts {
+            let may_send = current && !cordoned && self.has_lease_for(&published, long);
+            if may_send {
                 self.check_lease(&published, order);
             }
-            lasts
+            may_send
         };
         let sent = async {
             let mut connection = guarded::Connection::open(address).await?;
             let unix_ms = self.clock.unix_ms();
-            connection.call(request, holds, ORDER, unix_ms).await
+            connection
+                .call(request, holds, ANSWER_TIMEOUT, unix_ms)
+                .await
         };
         match sent.await {
             Ok(answer) if answer.status == StatusCode::OK => {
                 event!(self.log, OrderSent, "endpoint" => %endpoint, "load" => %order.load,
                     "term" => order.term, "number" => order.number);
-                Given::Taken
+                Outcome::Accepted
             }
             Ok(answer) => {
                 let rest = match answer.rest {
@@ -154,52 +160,55 @@
                 };
                 event!(self.log, OrderFailed, "endpoint" => %endpoint, "why" => %answer.status,
                     "rest_ms" => rest.map(|rest| rest.as_millis()));
-                rest.map_or(Given::Failed, Given::Rests)
+                rest.map_or(Outcome::Failed, Outcome::RetryAfter)
             }
             Err(guarded::Failure::NoLease) => {
                 event!(self.log, OrderHeldBack, "endpoint" => %endpoint, "term" => order.term);
-                Given::Failed
+                Outcome::Failed
             }
             Err(failure) => {
                 event!(self.log, OrderFailed, "endpoint" => %endpoint, "why" => failure.as_str());
-                Given::Failed
+                Outcome::Failed
             }
         }
     }
 
+    /// Checks the invariant that no order is sent without a lease.
     fn check_lease(&self, published: &Published, order: &Order) {
         let held = published
             .lease
             .is_some_and(|until| until > self.clock.now());
         invariant::check(held, invariant::Rule::LeaseHeld, || {
             format!(
-                "order {}.{} under a lease that has run out",
+                "order {}.{} under an expired lease",
                 order.term, order.number
             )
         });
     }
 }
 
-/// The orders that the configuration asks for and that were not taken in this term.
-fn due(published: &Published, done: &Done) -> Vec<Due> {
+/// Returns the orders that the configuration asks for and that were not accepted in this term.
+fn due(published: &Published, progress: &Progress) -> Vec<Due> {
     let endpoints = published.ledger.document().endpoints.iter();
     let wanted = endpoints.filter_map(|(name, endpoint)| {
         let load = endpoint.load.clone()?;
         if is_cordoned(published, name) {
             return None;
         }
-        (done.taken.get(name) != Some(&load)).then(|| (name.clone(), endpoint.address, load))
+        (progress.accepted.get(name) != Some(&load)).then(|| (name.clone(), endpoint.address, load))
     });
     wanted.collect()
 }
 
-/// Whether an endpoint's zone is cordoned: to load a model is new work too.
+/// Returns whether an endpoint's zone is cordoned. Loading a model counts as new work, which a
+/// cordoned zone does not get.
 fn is_cordoned(published: &Published, endpoint: &name::Endpoint) -> bool {
     let document = published.ledger.document();
     let endpoint = document.endpoints.get(endpoint);
     endpoint.is_some_and(|endpoint| document.cordoned.contains(&endpoint.zone))
 }
 
+/// Builds the HTTP request for an order.
 fn request(order: &Order) -> Option<Request<Full<Bytes>>> {
     let body = serde_json::to_vec(order).ok()?;
     Request::post("/orders")
--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -347,7 +347,7 @@
 
     async fn cordon(&self, mark: cordon::Mark, request: Request<Incoming>) -> Reply {
         let arrived = self.clock.now();
-        if let Some(why) = control::cordon::unknown(&mark.zone, &self.zones) {
+        if let Some(why) = control::cordon::check_zone(&mark.zone, &self.zones) {
             return self.refuse_cordon(&mark, &why);
         }
         if has_body(request).await {
--- a/src/scalewood/ops/control/replica.rs
+++ b/src/scalewood/ops/control/replica.rs
@@ -1,8 +1,8 @@
-//! The voter's thread: the only one that touches its journal.
+//! The thread that runs a voter; no other thread accesses the voter's journal.
 //!
-//! It takes all inputs that wait, steps the machine through them, makes the writes
-//! last with a single sync, and only then sends messages and gives answers. A disk
-//! that hangs stops this thread and nothing else.
+//! It takes all queued inputs, steps the consensus state machine through them, makes the writes
+//! durable with a single sync, and only then sends messages and answers. A disk that hangs blocks
+//! this thread only.
 
 use std::{
     collections::HashMap,
@@ -30,40 +30,41 @@
     wire::control::{Envelope, Passed},
 };
 
-/// How often the machine is told that time has passed.
-const TICK: Duration = Duration::from_millis(20);
-/// The most inputs in one step.
-const BATCH: usize = 256;
+/// The interval at which the state machine is told that time has passed.
+const TICK_PERIOD: Duration = Duration::from_millis(20);
+/// The most inputs that share one sync.
+const MAX_BATCH: usize = 256;
 
-/// How often a disk that failed is tried again.
-const AGAIN: Duration = Duration::from_millis(250);
+/// The interval at which a journal whose disk failed is opened again.
+const REOPEN_PERIOD: Duration = Duration::from_millis(250);
 
 type Ledger = ledger::Ledger;
 type Keeper = journal::Keeper<folder::Folder, Ledger>;
 type Outcome = agree::Outcome<change::Answer>;
 
-/// What a voter's thread is told.
+/// A command to a voter's thread.
 enum Command {
     Input(agree::Input<Ledger>),
     Stop(oneshot::Sender<()>),
 }
 
-/// What a voter's thread shows.
+/// The state of a voter that its thread publishes after each step.
 #[derive(Clone, Debug)]
 pub struct Published {
-    /// How the voter stands.
+    /// The voter's view of the cluster.
     pub status: agree::Status,
-    /// The ledger.
+    /// The ledger, with all entries applied that the voter knows to be committed.
     pub ledger: Arc<Ledger>,
-    /// Until when it holds the control lease, by its clock.
+    /// Until when it holds the leader's lease, by its monotonic clock; `None` if it does not.
     pub lease: Option<Duration>,
-    /// Whether the ledger is what is in force, as far as one voter can know.
+    /// Whether the ledger is certain to be the newest, because the voter leads under a lease.
     pub current: bool,
 }
 
+/// The callers that wait for the outcomes of their proposals.
 type Waiters = Arc<Mutex<HashMap<agree::Ticket, oneshot::Sender<Outcome>>>>;
 
-/// Speaks to a voter's thread.
+/// A handle to a voter's thread.
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: mpsc::SyncSender<Command>,
@@ -81,33 +82,34 @@
 }
 
 impl Handle {
-    /// What the voter shows now.
+    /// Returns the published state.
     pub fn published(&self) -> Published {
         self.published.borrow().clone()
     }
 
-    /// How many voters there are.
+    /// Returns the number of voters.
     pub(super) fn voter_count(&self) -> usize {
         self.published.borrow().status.members.voters().count()
     }
 
-    /// Waits for what the voter shows next.
+    /// Returns a receiver that is notified when the published state changes.
     pub fn watch(&self) -> watch::Receiver<Published> {
         self.published.clone()
     }
 
-    /// Takes a message of another voter, if it is for this one.
+    /// Queues a message from another voter. One for another node, such as an earlier identity of
+    /// this box, is ignored.
     pub fn message(&self, envelope: Envelope) {
         if envelope.to != self.published.borrow().status.node {
             return;
         }
         self.links.learn(&envelope.from, envelope.address);
-        // A full queue loses the message, as a network would.
+        // If the queue is full the message is lost, which the protocol tolerates.
         let input = agree::Input::Message(envelope.from, envelope.message);
         let _ = self.commands.try_send(Command::Input(input));
     }
 
-    /// Agrees on a change, here or by way of the leader.
+    /// Commits a change, through the leader if that is another voter.
     pub async fn change(
         &self,
         change: change::Change,
@@ -116,14 +118,14 @@
         match self.change_here(change.clone(), operator.clone()).await {
             Passed::NotLeader => {
                 self.links
-                    .pass_change(self.leader(), change, operator)
+                    .forward_change(self.leader(), change, operator)
                     .await
             }
             passed => passed,
         }
     }
 
-    /// Agrees on a change if this voter leads.
+    /// Commits a change if this voter leads.
     pub async fn change_here(
         &self,
         change: change::Change,
@@ -141,7 +143,7 @@
         self.propose(command).await
     }
 
-    /// Agrees on a command if this voter leads.
+    /// Commits a command if this voter leads.
     pub(super) async fn propose(&self, command: ledger::Command) -> Passed<change::Answer> {
         match self
             .ask(|ticket| agree::Input::Propose(ticket, command))
@@ -154,31 +156,31 @@
         }
     }
 
-    /// Agrees on a routing, here or by way of the leader.
+    /// Commits a routing, through the leader if that is another voter.
     pub async fn publish(&self, publication: ledger::Publication) -> Passed<change::Answer> {
         match self.publish_here(publication.clone()).await {
             Passed::NotLeader => {
-                let passed = self.links.pass_publication(self.leader(), publication);
+                let passed = self.links.forward_publication(self.leader(), publication);
                 passed.await
             }
             passed => passed,
         }
     }
 
-    /// Agrees on a routing if this voter leads.
+    /// Commits a routing if this voter leads.
     pub async fn publish_here(&self, publication: ledger::Publication) -> Passed<change::Answer> {
         self.propose(ledger::Command::Publish(publication)).await
     }
 
-    /// The text of the routing in force, from here or by way of the leader.
+    /// Returns the text of the current routing as the leader has it.
     pub async fn read(&self) -> Passed<Option<Arc<str>>> {
         match self.read_here() {
-            Passed::NotLeader => self.links.pass_read(self.leader()).await,
+            Passed::NotLeader => self.links.forward_read(self.leader()).await,
             passed => passed,
         }
     }
 
-    /// The text of the routing in force, if this voter leads under a lease now.
+    /// Returns the text of the current routing if this voter leads under a valid lease.
     pub fn read_here(&self) -> Passed<Option<Arc<str>>> {
         let published = self.published();
         if published
@@ -190,7 +192,8 @@
         Passed::Answer(published.ledger.source().cloned())
     }
 
-    /// Has a node made a member if this voter leads; else tells who does.
+    /// Starts to add a node to the members if this voter leads; otherwise returns the leader's
+    /// address, if it is known.
     pub fn join(&self, node: agree::Node, address: SocketAddr) -> Option<SocketAddr> {
         let status = self.published.borrow().status.clone();
         if status.leader.as_ref() == Some(&status.node) {
@@ -205,21 +208,22 @@
         addresses.find(|(n, _)| **n == leader).map(|(_, a)| *a)
     }
 
-    /// Agrees on a change of the voters, here or by way of the leader.
+    /// Commits a membership change, through the leader if that is another voter.
     pub async fn members(&self, request: agree::MembersRequest) -> Passed<()> {
         match self.members_here(request.clone()).await {
-            Passed::NotLeader => self.links.pass_members(self.leader(), request).await,
+            Passed::NotLeader => self.links.forward_members(self.leader(), request).await,
             passed => passed,
         }
     }
 
-    /// Agrees on a change of the voters if this voter leads.
+    /// Commits a membership change if this voter leads.
     pub async fn members_here(&self, request: agree::MembersRequest) -> Passed<()> {
         match self
             .ask(|ticket| agree::Input::Members(ticket, request))
             .await
         {
-            // A membership entry has no answer of its own.
+            // A committed membership change is reported as a refusal without a reason, since its
+            // entry has no answer.
             agree::Outcome::Refused(why) if why.is_empty() => Passed::Answer(()),
             agree::Outcome::Applied(_) => Passed::Answer(()),
             agree::Outcome::NotLeader(_) => Passed::NotLeader,
@@ -228,10 +232,12 @@
         }
     }
 
+    /// Returns the node that this voter considers the leader.
     pub(super) fn leader(&self) -> Option<agree::Node> {
         self.published.borrow().status.leader.clone()
     }
 
+    /// Queues an input with a new ticket, and waits for its outcome.
     async fn ask(&self, input: impl FnOnce(agree::Ticket) -> agree::Input<Ledger>) -> Outcome {
         let ticket = agree::Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = oneshot::channel();
@@ -244,7 +250,7 @@
             lock(&self.waiters).remove(&ticket);
             return agree::Outcome::Refused("the voter is overloaded; try again".into());
         }
-        let outcome = tokio::time::timeout(control::PROPOSAL, receiver).await;
+        let outcome = tokio::time::timeout(control::PROPOSAL_TIMEOUT, receiver).await;
         lock(&self.waiters).remove(&ticket);
         match outcome {
             Ok(Ok(outcome)) => outcome,
@@ -252,19 +258,19 @@
         }
     }
 
-    /// Hands the lead on and stops the thread.
+    /// Transfers the leadership, if this voter leads, and stops the thread.
     pub async fn leave(&mut self) {
         let (sender, receiver) = oneshot::channel();
         if self.commands.try_send(Command::Stop(sender)).is_ok() {
-            let _ = tokio::time::timeout(control::PROPOSAL, receiver).await;
+            let _ = tokio::time::timeout(control::PROPOSAL_TIMEOUT, receiver).await;
         }
-        // The last messages are with the links; let them go out.
+        // The links still hold the last messages; this gives them time to send them.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// Starts a voter's thread, from its journal and the last entry that it knows to be
-/// committed. The receiver tells why it failed, if it does.
+/// Starts a voter's thread from its journal and the last entry that was known to be committed
+/// before the start. The receiver yields the reason if the thread fails.
 pub(super) fn start(
     settings: &control::Settings,
     node: agree::Node,
@@ -312,7 +318,7 @@
         publish,
         waiters,
         links,
-        led: false,
+        was_leader: false,
     };
     std::thread::spawn(move || {
         if let Err(error) = thread.run(&receiver) {
@@ -322,17 +328,18 @@
     (handle, failed)
 }
 
-/// Opens a journal again after its disk failed.
+/// Opens the journal again after its disk failed.
 fn reopen(path: &Path) -> Result<Keeper, journal::Error> {
     let folder = folder::Folder::open(path)?;
     let opened = journal::Journal::open(folder)?;
     Ok(journal::Keeper::new(opened.journal, opened.kept))
 }
 
+/// The state of the thread.
 struct Thread {
     voter: agree::Voter<Ledger>,
     settings: control::Settings,
-    /// The journal; none while the disk can't be used.
+    /// The journal, or `None` while its disk can't be used.
     keeper: Option<Keeper>,
     feed: Arc<feed::Feed>,
     clock: clock::System,
@@ -340,21 +347,22 @@
     publish: watch::Sender<Published>,
     waiters: Waiters,
     links: link::Links,
-    led: bool,
+    /// Whether this voter led after the previous step.
+    was_leader: bool,
 }
 
 impl Thread {
     fn run(mut self, commands: &mpsc::Receiver<Command>) -> Result<(), journal::Error> {
         self.publish_feed();
-        let mut ticked = Duration::ZERO;
+        let mut ticked_at = Duration::ZERO;
         loop {
             let mut output = agree::Output::default();
             let mut stop = None;
-            let first = commands.recv_timeout(TICK);
+            let first = commands.recv_timeout(TICK_PERIOD);
             if matches!(first, Err(mpsc::RecvTimeoutError::Disconnected)) {
                 return Ok(());
             }
-            for command in first.into_iter().chain(commands.try_iter()).take(BATCH) {
+            for command in first.into_iter().chain(commands.try_iter()).take(MAX_BATCH) {
                 match command {
                     Command::Input(input) => {
                         output.merge(self.voter.step(input, self.clock.now()));
@@ -365,9 +373,9 @@
             if stop.is_some() {
                 output.merge(self.voter.step(agree::Input::Leave, self.clock.now()));
             }
-            if self.clock.now() >= ticked + TICK {
-                ticked = self.clock.now();
-                output.merge(self.voter.step(agree::Input::Tick, ticked));
+            if self.clock.now() >= ticked_at + TICK_PERIOD {
+                ticked_at = self.clock.now();
+                output.merge(self.voter.step(agree::Input::Tick, ticked_at));
             }
             if let Err(error) = self.carry_out(output) {
                 event!(self.log, StoreFailed, "why" => %error);
@@ -382,8 +390,8 @@
         }
     }
 
-    /// After a failed write: takes no part until the disk can be used again, then goes
-    /// on from what it holds, as after a start. False if the process stops meanwhile.
+    /// Recovers from a failed write: the voter does not take part until its disk can be used
+    /// again, then restarts from what is stored there. Returns false if the process stops first.
     fn recover(&mut self, commands: &mpsc::Receiver<Command>) -> bool {
         self.keeper = None;
         lock(&self.waiters).clear();
@@ -393,7 +401,7 @@
             published.current = false;
         });
         loop {
-            let until = self.clock.now() + AGAIN;
+            let until = self.clock.now() + REOPEN_PERIOD;
             loop {
                 let left = until.saturating_sub(self.clock.now());
                 match commands.recv_timeout(left) {
@@ -401,7 +409,8 @@
                         let _ = sender.send(());
                         return false;
                     }
-                    // A message is lost by this, as in a network; who asked gets no answer.
+                    // Messages may be lost, and the caller of a proposal is told that its outcome
+                    // is unknown.
                     Ok(Command::Input(input)) => self.drop_input(&input),
                     Err(mpsc::RecvTimeoutError::Timeout) => break,
                     Err(mpsc::RecvTimeoutError::Disconnected) => return false,
@@ -414,12 +423,14 @@
         }
     }
 
+    /// Drops an input; the waiter of a proposal sees its channel close.
     fn drop_input(&self, input: &agree::Input<Ledger>) {
         if let agree::Input::Propose(ticket, _) | agree::Input::Members(ticket, _) = input {
             lock(&self.waiters).remove(ticket);
         }
     }
 
+    /// Replaces the voter by one that starts from the stored state.
     fn restart(&mut self, keeper: Keeper) {
         let node = self.voter.node().clone();
         let kept = keeper.kept().clone();
@@ -429,7 +440,8 @@
         self.keeper = Some(keeper);
     }
 
-    /// Does what steps want done, in the order that makes it safe.
+    /// Carries out the effects of steps: first the durable writes, then the messages and answers
+    /// that depend on them.
     fn carry_out(&mut self, output: agree::Output<Ledger>) -> Result<(), journal::Error> {
         if let Some(keeper) = &mut self.keeper {
             if keeper.keep(output.writes)? {
@@ -447,14 +459,15 @@
         Ok(())
     }
 
+    /// Publishes the voter's state, and logs changes of the leadership and the membership.
     fn publish(&mut self) {
         self.publish_feed();
         let status = self.voter.status();
         let lease = self.voter.lease();
         let current = self.voter.is_current(self.clock.now());
-        if self.led != self.voter.is_leader() {
-            self.led = self.voter.is_leader();
-            if self.led {
+        if self.was_leader != self.voter.is_leader() {
+            self.was_leader = self.voter.is_leader();
+            if self.was_leader {
                 event!(self.log, BecameLeader, "term" => %status.term);
             } else {
                 event!(self.log, LostLead, "term" => %status.term);
@@ -463,7 +476,7 @@
         let voter = &self.voter;
         let log = &self.log;
         self.publish.send_if_modified(|published| {
-            let moved = published.status.committed != status.committed;
+            let has_new_commits = published.status.committed != status.committed;
             let changed = published.status != status
                 || published.lease != lease
                 || published.current != current;
@@ -471,7 +484,7 @@
                 event!(log, VoterChanged, "voters" => status.members.voters().count(),
                     "learners" => status.members.learners().count());
             }
-            if moved {
+            if has_new_commits {
                 published.ledger = Arc::new(voter.state().clone());
             }
             published.status = status;
@@ -481,18 +494,18 @@
         });
     }
 
-    /// Brings the feed up to what was agreed. After a start that is what is known to have been
-    /// committed before: boxes that have nothing serve by it until a leader is elected, and
-    /// the others have it or a later one already.
+    /// Publishes committed configurations in the feed. Right after a start this is the last one
+    /// that is known to have been committed before: boxes without any configuration use it until
+    /// a leader is elected, and all others already have it or a later one.
     fn publish_feed(&self) {
         let ledger = self.voter.state();
-        let have = self.feed.current().revision;
-        let has_recalled = have.0 == 0;
-        if !(self.voter.is_caught_up() || has_recalled) || ledger.revision() <= have {
+        let published = self.feed.current().revision;
+        let is_feed_empty = published.0 == 0;
+        if !(self.voter.is_caught_up() || is_feed_empty) || ledger.revision() <= published {
             return;
         }
-        match ledger.since(have) {
-            Some(newer) if have.0 > 0 => {
+        match ledger.since(published) {
+            Some(newer) if published.0 > 0 => {
                 for step in newer {
                     self.feed.publish_step(step);
                 }
