--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -1,8 +1,8 @@
-//! The publishing API: routings as whole documents, and endpoints' announcements.
+//! The publishing API, which takes routings as whole documents, and the endpoints' heartbeats.
 //!
-//! Which paths and bodies it speaks is a [`Dialect`]; what they lead to is the same for
-//! all. An answer is never held: where no leader is reached in time, the caller is told
-//! to ask again. A routing that was taken is acknowledged or left unclear, never refused.
+//! A [`Dialect`] defines its paths and bodies; what a call does is the same for all of them. If no
+//! leader answers in time, the caller is told to retry rather than kept waiting. A routing that was
+//! accepted is acknowledged or its outcome reported as unclear; it is never reported as refused.
 
 use std::{
     convert::Infallible,
@@ -39,40 +39,40 @@
 };
 
 /// The largest body, in bytes.
-const MAX_BODY: usize = 32 * 1024 * 1024;
-/// The largest heartbeat, in bytes: one has some hundred, and some thousand where it names many
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
+/// The largest heartbeat, in bytes. A heartbeat has some hundred, or some thousand if it names many
 /// models.
-const MAX_HEARTBEAT: usize = 64 * 1024;
-/// How long a head may take, and a connection may be at rest.
-const REST: Duration = Duration::from_secs(30);
-/// How long a body may take.
-const ARRIVAL: Duration = Duration::from_secs(10);
-/// How long an answer may take: callers go elsewhere after a second.
-const ANSWER: Duration = Duration::from_millis(850);
-
-/// What a call asks for.
+const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
+/// How long a connection may be idle, and a request's head may take to arrive.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a request's body may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a call may take to answer; callers try another voter after a second.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(850);
+
+/// A call to the API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Asked {
-    /// To publish a routing.
+    /// Publishes a routing.
     Publish,
-    /// To read the routing in force.
+    /// Reads the current routing.
     Read,
-    /// To take an endpoint's heartbeat.
+    /// Delivers an endpoint's heartbeat.
     Announce(name::Endpoint),
-    /// To forget an endpoint.
+    /// Announces that an endpoint has shut down.
     Leave(name::Endpoint),
-    /// To cordon or uncordon a zone.
+    /// Cordons or uncordons a zone.
     Cordon(cordon::Mark),
-    /// Something at a path of this API that can't be meant so, and why.
+    /// A path of this API with an invalid argument, with the reason.
     Mistaken(String),
-    /// What the path does not take.
+    /// A method that the path does not support.
     WrongMethod,
-    /// Nothing that this API knows.
+    /// An unknown path, or a method that is reported in the same way.
     Unknown,
 }
 
 impl Asked {
-    /// What a call to a zone's path asks for: POST cordons it, DELETE takes that back.
+    /// Returns the call to a zone's path: POST cordons the zone, DELETE uncordons it.
     pub fn of_zone(method: &Method, zone: &str) -> Self {
         let act = match *method {
             Method::POST => cordon::Act::Cordon,
@@ -86,27 +86,27 @@
     }
 }
 
-/// The paths and bodies that operators and endpoints speak.
+/// The HTTP paths and bodies that operators and endpoints use.
 pub trait Dialect: Clone + std::fmt::Debug + Send + Sync + 'static {
-    /// What a call asks for.
+    /// Returns the call that a method and path make.
     fn asked(method: &Method, path: &str) -> Asked;
 
-    /// The routing that a body holds.
+    /// Parses the body of a routing.
     ///
     /// # Errors
     ///
-    /// Fails with what is wrong if the body can't be read in full.
+    /// Fails with the reason if any part of the body can't be parsed.
     fn routing(body: &[u8]) -> Result<route::Routing, String>;
 
-    /// The record that an endpoint's heartbeat holds.
+    /// Parses the body of an endpoint's heartbeat.
     ///
     /// # Errors
     ///
-    /// Fails with what is wrong if the body can't be read.
+    /// Fails with the reason if the body can't be parsed.
     fn record(name: name::Endpoint, body: &[u8]) -> Result<registry::Record, registry::Refusal>;
 }
 
-/// The product's own paths and bodies.
+/// The default dialect.
 #[derive(Clone, Debug)]
 pub struct Native;
 
@@ -144,7 +144,7 @@
     }
 
     fn record(name: name::Endpoint, body: &[u8]) -> Result<registry::Record, registry::Refusal> {
-        let record: registry::Record = serde_json::from_slice(body).map_err(unread)?;
+        let record: registry::Record = serde_json::from_slice(body).map_err(invalid_record)?;
         if record.name != name {
             let why = format!("it names {}, and the path {name}", record.name);
             return Err(registry::Refusal::new(registry::Reason::OutOfRange, why));
@@ -153,7 +153,8 @@
     }
 }
 
-fn unread(error: serde_json::Error) -> registry::Refusal {
+/// Converts a parse error of a heartbeat.
+fn invalid_record(error: serde_json::Error) -> registry::Refusal {
     let reason = match error.classify() {
         Category::Data => registry::Reason::Mistyped,
         Category::Io | Category::Syntax | Category::Eof => registry::Reason::Unreadable,
@@ -161,14 +162,14 @@
     registry::Refusal::new(reason, error.to_string())
 }
 
-/// What the API works on.
+/// The state that the API works on.
 #[derive(Clone, Debug)]
 pub(super) struct Api {
     pub(super) handle: Handle,
     pub(super) endpoints: Endpoints,
     pub(super) metrics: Metrics,
     pub(super) refusals: Arc<Mutex<refusal::Lines>>,
-    /// The availability zones that are known beforehand.
+    /// The configured availability zones.
     pub(super) zones: region::Map,
     pub(super) clock: clock::System,
     pub(super) log: slog::Logger,
@@ -176,7 +177,7 @@
 
 type Reply = Response<Full<Bytes>>;
 
-/// Serves the API.
+/// Starts to serve the API.
 pub(super) async fn serve<D: Dialect>(address: SocketAddr, api: Api) -> Result<(), Report<Error>> {
     let listener = TcpListener::bind(address)
         .await
@@ -186,7 +187,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => drop(tokio::spawn(connection::<D>(stream, api.clone()))),
-                // Out of file descriptors, say: others may go on meanwhile.
+                // For example out of file descriptors; waits until some may be free again.
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
@@ -194,9 +195,10 @@
     Ok(())
 }
 
+/// Serves one connection.
 async fn connection<D: Dialect>(stream: TcpStream, api: Api) {
     let _ = stream.set_nodelay(true);
-    // Without it an operator or endpoint that fell silent holds its connection for long.
+    // Otherwise the connection of an operator or endpoint that fell silent stays open for long.
     let _ = socket::CALLER.end(&stream);
     let service = service_fn(move |request| {
         let api = api.clone();
@@ -204,9 +206,9 @@
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(REST)
+        .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // A caller's broken connection is its own affair.
+    // Errors of a caller's connection need no handling here.
     let _ = served.await;
 }
 
@@ -230,20 +232,21 @@
         }
     }
 
+    /// Handles an endpoint's heartbeat.
     async fn announce<D: Dialect>(
         &self,
         name: name::Endpoint,
         request: Request<Incoming>,
     ) -> Reply {
-        let record = match read(request, MAX_HEARTBEAT).await {
+        let record = match read_body(request, MAX_HEARTBEAT_BYTES).await {
             Ok(body) => D::record(name.clone(), &body),
-            Err(Unread::TooLarge) => Err(registry::Refusal::new(
+            Err(BodyError::TooLarge) => Err(registry::Refusal::new(
                 registry::Reason::TooLong,
-                format!("it has over {MAX_HEARTBEAT} bytes"),
+                format!("it has over {MAX_HEARTBEAT_BYTES} bytes"),
             )),
-            Err(unread) => return unread.reply(),
+            Err(error) => return error.reply(),
         };
-        match record.and_then(|record| self.usable(record)) {
+        match record.and_then(|record| self.check_record(record)) {
             Ok(record) => {
                 self.endpoints.announce(record);
                 reply(StatusCode::OK, "{}")
@@ -252,12 +255,16 @@
         }
     }
 
-    /// Checks that a record is one of an endpoint that may be used.
-    fn usable(&self, record: registry::Record) -> Result<registry::Record, registry::Refusal> {
+    /// Checks that a record is valid and that its endpoint belongs to a configured service.
+    fn check_record(
+        &self,
+        record: registry::Record,
+    ) -> Result<registry::Record, registry::Refusal> {
         record.check()?;
         let published = self.handle.published();
         let document = published.ledger.document();
-        // One that is known here says that it leaves, say, after its service was taken away.
+        // A known endpoint may still send heartbeats after its service was removed, for example to
+        // announce that it is leaving.
         let is_known = self.endpoints.serves(&record.name, &record.service);
         let has_service = document.services.contains_key(&record.service);
         if document.routing.is_some() && !has_service && !is_known {
@@ -267,7 +274,7 @@
         Ok(record)
     }
 
-    /// Refuses a heartbeat. What is known of its endpoint and of all others stays.
+    /// Refuses a heartbeat; the registry is left unchanged.
     fn refuse_record(&self, name: &name::Endpoint, refusal: &registry::Refusal) -> Reply {
         self.metrics.note_refused(refusal.reason);
         let told = lock(&self.refusals).note(refusal.reason, self.clock.now());
@@ -283,9 +290,10 @@
         failure(status, &refusal.to_string())
     }
 
+    /// Handles a routing, and records the outcome and duration in the metrics.
     async fn publish<D: Dialect>(&self, request: Request<Incoming>) -> Reply {
         let arrived = self.clock.now();
-        let reply = self.decide::<D>(request).await;
+        let reply = self.publish_body::<D>(request).await;
         let took = self.clock.now().saturating_sub(arrived).as_secs_f64();
         let outcome = match reply.status() {
             StatusCode::OK => "accepted",
@@ -296,10 +304,11 @@
         reply
     }
 
-    async fn decide<D: Dialect>(&self, request: Request<Incoming>) -> Reply {
-        let body = match read(request, MAX_BODY).await {
+    /// Reads, checks and commits a routing.
+    async fn publish_body<D: Dialect>(&self, request: Request<Incoming>) -> Reply {
+        let body = match read_body(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(unread) => return unread.reply(),
+            Err(error) => return error.reply(),
         };
         let routing = match D::routing(&body) {
             Ok(routing) => routing,
@@ -320,11 +329,12 @@
             operator: publisher(),
             at_unix_ms: unix_ms(),
         };
-        let passed = in_time(self.handle.publish(publication)).await;
-        self.published(version, passed)
+        let passed = with_timeout(self.handle.publish(publication)).await;
+        self.publish_reply(version, passed)
     }
 
-    fn published(&self, version: u64, passed: Passed<change::Answer>) -> Reply {
+    /// Logs the outcome of a routing, and returns the reply.
+    fn publish_reply(&self, version: u64, passed: Passed<change::Answer>) -> Reply {
         match passed {
             Passed::Answer(change::Answer::Accepted { revision }) => {
                 event!(self.log, VersionPublished, "version" => version, "revision" => %revision);
@@ -340,11 +350,13 @@
         }
     }
 
+    /// Logs that a routing is refused, and returns the reply.
     fn refuse(&self, version: Option<u64>, why: &str) -> Reply {
         event!(self.log, VersionRefused, "version" => version, "why" => why);
         failure(StatusCode::BAD_REQUEST, why)
     }
 
+    /// Handles an order to cordon or uncordon a zone.
     async fn cordon(&self, mark: cordon::Mark, request: Request<Incoming>) -> Reply {
         let arrived = self.clock.now();
         if let Some(why) = control::cordon::check_zone(&mark.zone, &self.zones) {
@@ -360,12 +372,13 @@
             why: String::new(),
             at_unix_ms: unix_ms(),
         };
-        let passed = in_time(self.handle.cordon(order)).await;
+        let passed = with_timeout(self.handle.cordon(order)).await;
         let took = self.clock.now().saturating_sub(arrived);
-        self.cordoned(&mark, passed, took)
+        self.cordon_reply(&mark, passed, took)
     }
 
-    fn cordoned(
+    /// Records the outcome of an order, and returns the reply.
+    fn cordon_reply(
         &self,
         mark: &cordon::Mark,
         passed: Passed<change::Answer>,
@@ -391,43 +404,46 @@
         }
     }
 
+    /// Records that an order is refused, and returns the reply.
     fn refuse_cordon(&self, mark: &cordon::Mark, why: &str) -> Reply {
         self.metrics.note_cordon("refused", Duration::ZERO);
         event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act, "why" => why);
         failure(StatusCode::BAD_REQUEST, why)
     }
 
+    /// Returns the text of the current routing.
     async fn read(&self) -> Reply {
-        match in_time(self.handle.read()).await {
+        match with_timeout(self.handle.read()).await {
             Passed::Answer(Some(source)) => reply(StatusCode::OK, source.as_bytes().to_vec()),
             _ => unclear(),
         }
     }
 }
 
-/// Who is named in the audit trail for what comes over this API.
+/// Returns the operator's name that the audit trail shows for calls to this API.
 fn publisher() -> name::Operator {
     "publisher".parse().expect("the name is valid")
 }
 
-async fn in_time<T>(asked: impl Future<Output = Passed<T>>) -> Passed<T> {
-    let answered = tokio::time::timeout(ANSWER, asked).await;
+/// Waits for an outcome for at most `ANSWER_TIMEOUT`; after that it is unknown.
+async fn with_timeout<T>(outcome: impl Future<Output = Passed<T>>) -> Passed<T> {
+    let answered = tokio::time::timeout(ANSWER_TIMEOUT, outcome).await;
     answered.unwrap_or(Passed::Unknown)
 }
 
-/// Why a body was not read.
-enum Unread {
+/// Why a body could not be read.
+enum BodyError {
     TooLarge,
-    BrokeOff,
-    Late,
+    Aborted,
+    TimedOut,
 }
 
-impl Unread {
+impl BodyError {
     fn reply(self) -> Reply {
         match self {
             Self::TooLarge => failure(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-            Self::BrokeOff => failure(StatusCode::BAD_REQUEST, "the body broke off"),
-            Self::Late => failure(
+            Self::Aborted => failure(StatusCode::BAD_REQUEST, "the body broke off"),
+            Self::TimedOut => failure(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body did not arrive in time",
             ),
@@ -435,18 +451,19 @@
     }
 }
 
-/// Reads a body of at most so many bytes.
-async fn read(request: Request<Incoming>, most: usize) -> Result<Bytes, Unread> {
-    let whole = Limited::new(request.into_body(), most).collect();
-    match tokio::time::timeout(ARRIVAL, whole).await {
+/// Reads a body of at most `max_bytes`.
+async fn read_body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, BodyError> {
+    let whole = Limited::new(request.into_body(), max_bytes).collect();
+    match tokio::time::timeout(BODY_TIMEOUT, whole).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Unread::TooLarge),
-        Ok(Err(_)) => Err(Unread::BrokeOff),
-        Err(_) => Err(Unread::Late),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Ok(Err(_)) => Err(BodyError::Aborted),
+        Err(_) => Err(BodyError::TimedOut),
     }
 }
 
-/// Whether a call has a body with anything in it; what is announced is not waited for.
+/// Returns whether a call has a body that is not empty. If its headers announce one, this does not
+/// wait for it.
 async fn has_body(request: Request<Incoming>) -> bool {
     let mut body = request.into_body();
     if body.is_end_stream() {
@@ -455,11 +472,12 @@
     if body.size_hint().lower() > 0 {
         return true;
     }
-    // Of unknown length: its first piece tells.
-    let first = tokio::time::timeout(ANSWER, body.frame()).await;
+    // The length is unknown, so this waits for the first frame.
+    let first = tokio::time::timeout(ANSWER_TIMEOUT, body.frame()).await;
     !matches!(first, Ok(None))
 }
 
+/// Returns a JSON reply.
 fn reply(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
@@ -468,11 +486,12 @@
     response
 }
 
+/// Returns a reply with an error message.
 fn failure(status: StatusCode, why: &str) -> Reply {
     reply(status, serde_json::json!({ "error": why }).to_string())
 }
 
-/// The answer where no leader could decide in time.
+/// Returns the reply for a call whose outcome is not known in time.
 fn unclear() -> Reply {
     failure(
         StatusCode::SERVICE_UNAVAILABLE,
