--- a/src/scalewood/ops/control/admin.rs
+++ b/src/scalewood/ops/control/admin.rs
@@ -1,7 +1,7 @@
-//! The administration API: JSON over HTTP, by warp.
+//! The administration API: JSON over HTTP, served with warp.
 //!
-//! Every path but `/healthz` and `/metrics` needs an operator's bearer token. What is not known is
-//! told apart: `409` means not applied, `503` not run, `504` not known.
+//! Every path but `/healthz` and `/metrics` requires an operator's bearer token. The status tells
+//! what became of a change: `409` not applied, `503` not run, `504` outcome unknown.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -19,17 +19,17 @@
     },
 };
 
-/// The largest body, in bytes: a document of 27,000 teams fits.
-const MAX_BODY: u64 = 32 * 1024 * 1024;
+/// The largest request body, in bytes: a document with 27,000 teams fits.
+const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
 
-/// What the API works on.
+/// The state that the API's handlers use.
 #[derive(Clone, Debug)]
 pub(super) struct Admin {
     pub(super) handle: Handle,
     pub(super) server: server::Server,
     pub(super) endpoints: registry::Endpoints,
     pub(super) metrics: metric::Metrics,
-    /// The availability zones that are known beforehand.
+    /// The availability zones that the settings name.
     pub(super) zones: region::Map,
     pub(super) clock: clock::System,
     pub(super) log: slog::Logger,
@@ -37,13 +37,13 @@
 
 type Operators = Arc<BTreeMap<secret::Hash, name::Operator>>;
 
-/// A request without a token that is known.
+/// The rejection of a request without a valid token.
 #[derive(Debug)]
 struct Unauthorised;
 
 impl warp::reject::Reject for Unauthorised {}
 
-/// Serves the API.
+/// Starts serving the API in the background. Fails if the address can't be bound.
 pub(super) async fn serve(
     address: SocketAddr,
     operators: BTreeMap<name::Operator, secret::Hash>,
@@ -70,14 +70,14 @@
     admin: Admin,
 ) -> impl Filter<Extract = (impl Reply,), Error = std::convert::Infallible> + Clone {
     let log = admin.log.clone();
-    let with = warp::any().map(move || admin.clone());
-    let known = authorised(operators, log);
+    let with_admin = warp::any().map(move || admin.clone());
+    let operator = authorised(operators, log);
     let path = warp::path("admin").and(warp::path("v1"));
     let at = |name: &'static str| path.and(warp::path(name)).and(warp::path::end());
-    // The path goes before the method, so that an unknown path is told as such.
+    // The path is matched before the method, so that an unknown path gets 404 and not 405.
     let get = |name: &'static str| at(name).and(warp::get());
     let post = |name: &'static str| at(name).and(warp::post());
-    let body = warp::body::content_length_limit(MAX_BODY).and(warp::body::bytes());
+    let body = warp::body::content_length_limit(MAX_BODY_BYTES).and(warp::body::bytes());
     let health = warp::get()
         .and(warp::path("healthz"))
         .and(warp::path::end())
@@ -85,49 +85,49 @@
     let metrics = warp::get()
         .and(warp::path("metrics"))
         .and(warp::path::end())
-        .and(with.clone())
+        .and(with_admin.clone())
         .map(|a: Admin| a.metrics.render(&a.handle, &a.endpoints));
     let config = get("config")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .map(|_, a: Admin| a.config());
     let history = get("history")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .map(|_, a: Admin| a.history());
     let status = get("status")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .map(|_, a: Admin| a.status());
     let provider = get("provider")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .map(|_, a: Admin| a.provider());
     let cordons = get("cordons")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .map(|_, a: Admin| a.cordons());
     let cordon = post("cordons")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .and(body)
         .then(|operator, admin: Admin, bytes| async move { admin.cordon(operator, bytes).await });
     let held_back = get("held-back")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .map(|_, a: Admin| a.held_back());
     let pardon = post("held-back")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .and(body)
         .map(|operator, admin: Admin, bytes| admin.pardon(&operator, &bytes));
     let changes = post("changes")
-        .and(known.clone())
-        .and(with.clone())
+        .and(operator.clone())
+        .and(with_admin.clone())
         .and(body)
         .then(|operator, admin: Admin, bytes| async move { admin.change(operator, bytes).await });
     let voters =
-        post("voters").and(known).and(with).and(body).then(
+        post("voters").and(operator).and(with_admin).and(body).then(
             |operator, admin: Admin, bytes| async move { admin.voters(operator, bytes).await },
         );
     health
@@ -145,7 +145,7 @@
         .recover(|rejection| async move { Ok::<_, std::convert::Infallible>(refusal(&rejection)) })
 }
 
-/// Extracts the operator that a request's token belongs to.
+/// Extracts the operator to whom a request's token belongs.
 fn authorised(
     operators: Operators,
     log: slog::Logger,
@@ -162,22 +162,22 @@
     })
 }
 
-/// The answer to a request that no path took.
+/// Returns the answer to a request that no route accepted.
 fn refusal(rejection: &Rejection) -> warp::reply::Response {
     if rejection.find::<Unauthorised>().is_some() {
         let why = "the operator's token is missing or wrong; send `Authorization: Bearer TOKEN`";
         return failure(StatusCode::UNAUTHORIZED, why, verdict::Verdict::NotRun);
     }
     if rejection.find::<warp::reject::PayloadTooLarge>().is_some() {
-        let why = format!("the body is over {MAX_BODY} bytes; make the change in parts");
+        let why = format!("the body is over {MAX_BODY_BYTES} bytes; split the change into parts");
         return failure(StatusCode::PAYLOAD_TOO_LARGE, why, verdict::Verdict::NotRun);
     }
     if rejection.find::<warp::reject::LengthRequired>().is_some() {
-        let why = "the body's length is not given; send Content-Length";
+        let why = "the request has no body length; send Content-Length";
         return failure(StatusCode::LENGTH_REQUIRED, why, verdict::Verdict::NotRun);
     }
     if rejection.find::<warp::reject::MethodNotAllowed>().is_some() {
-        let why = "the path does not take this method; see docs/OPERATIONS.md";
+        let why = "this path does not support the method; see docs/OPERATIONS.md";
         return failure(
             StatusCode::METHOD_NOT_ALLOWED,
             why,
@@ -281,11 +281,10 @@
     }
 }
 
-/// The answer of a voter that may lie behind what is in force.
+/// Returns the answer of a voter whose configuration may be out of date.
 pub(super) fn behind() -> warp::reply::Response {
-    let why =
-        "this voter does not lead, so it may lie behind what is in force; ask the leader, or \
-               again in a second if there is none";
+    let why = "this voter is not the leader, so its state may be out of date; ask the leader, or \
+               try again in a second if there is none";
     failure(
         StatusCode::SERVICE_UNAVAILABLE,
         why,
@@ -294,7 +293,7 @@
 }
 
 pub(super) fn malformed(error: &serde_json::Error) -> warp::reply::Response {
-    let why = format!("the body is not what this path takes: {error}; see docs/OPERATIONS.md");
+    let why = format!("the body is not valid for this path: {error}; see docs/OPERATIONS.md");
     failure(StatusCode::BAD_REQUEST, why, verdict::Verdict::NotRun)
 }
 
@@ -308,7 +307,7 @@
             warp::reply::with_status(body, status).into_response()
         }
         Passed::NotLeader => {
-            let why = "no voter leads that can be reached from here; try again in a second";
+            let why = "no leader can be reached from this voter; try again in a second";
             failure(
                 StatusCode::SERVICE_UNAVAILABLE,
                 why,
@@ -317,7 +316,7 @@
         }
         Passed::Unknown => {
             let why = "it is not known whether the change was accepted; send it again under the \
-                       same id to learn it";
+                       same id to find out";
             failure(
                 StatusCode::GATEWAY_TIMEOUT,
                 why,
--- a/src/scalewood/ops/control/collect.rs
+++ b/src/scalewood/ops/control/collect.rs
@@ -1,5 +1,5 @@
-//! What the holder of the provider's tasks brings together from all voters: what their boxes
-//! have counted, and which endpoints have announced themselves.
+//! Collects, at the holder of the provider's tasks, the state of all voters: the usage that their
+//! boxes have counted, and the endpoints that are registered with them.
 
 use std::{
     collections::BTreeMap,
@@ -23,31 +23,31 @@
     wire::registry::{Gathered, RegistryClient as _, Stamps},
 };
 
-/// How often the other voters are asked. It is the time that a notice of an endpoint's end may
-/// be older by, and what a box and its voter lose together of their usage.
+/// How often the other voters are queried. A notice of an endpoint's end may be late by this time,
+/// and this much usage is lost if a box and its voter fail together.
 pub(super) const PERIOD: Duration = Duration::from_millis(250);
-/// How long a voter may take to answer.
-const ANSWER: Duration = Duration::from_millis(400);
-/// How long an endpoint may be unheard of before it counts no more, in heartbeats.
-const FORGET: u32 = 3;
-/// How late it may come beside that.
-const LATE: Duration = Duration::from_millis(400);
-
-/// All endpoints, as all voters know them together.
+/// The timeout of a query, including the connection.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// The heartbeat periods without news of an endpoint after which it is removed.
+const EXPIRY_HEARTBEATS: u32 = 3;
+/// The time added to those periods for heartbeats that arrive late.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(400);
+
+/// All endpoints, merged from the registries of all voters.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Gathering {
     registry: Arc<Mutex<registry::Registry>>,
-    /// When at least half of the other voters had answered last.
-    complete: Arc<Mutex<Option<Duration>>>,
-    /// The other voters, also those that were removed of late.
+    /// When at least half of the other voters last answered.
+    complete_at: Arc<Mutex<Option<Duration>>>,
+    /// The other voters, including those removed recently.
     voters: Arc<Mutex<usage::Voters>>,
 }
 
 impl Gathering {
-    /// All endpoints, if a majority of the voters was heard of late.
+    /// Returns all endpoints, if a majority of the voters has answered recently.
     pub(super) fn endpoints(&self, now: Duration) -> Option<Vec<registry::Record>> {
-        let complete = *lock(&self.complete);
-        complete.filter(|at| *at + 4 * PERIOD >= now)?;
+        let complete_at = *lock(&self.complete_at);
+        complete_at.filter(|at| *at + 4 * PERIOD >= now)?;
         let registry = lock(&self.registry);
         let displaced = registry.displaced();
         let mut records = registry.told_since(0, now);
@@ -55,12 +55,12 @@
         Some(records)
     }
 
-    /// The other voters, and when each was heard.
+    /// Returns the other voters and when each last answered.
     pub(super) fn voters(&self) -> &Mutex<usage::Voters> {
         &self.voters
     }
 
-    /// Brings together, for as long as this voter holds.
+    /// Collects for ever while this voter leads; discards everything when it does not.
     pub(super) async fn run(
         self,
         hold: provider::Hold,
@@ -68,38 +68,38 @@
         endpoints: Endpoints,
         clock: clock::System,
     ) {
-        let mut others = Others::default();
+        let mut peers = Peers::default();
         let mut own = Stamps::default();
         loop {
             tokio::time::sleep(PERIOD).await;
             if !hold.leads() {
-                others = Others::default();
+                peers = Peers::default();
                 own = Stamps::default();
                 *lock(&self.registry) = registry::Registry::new(endpoints.timing());
-                *lock(&self.complete) = None;
+                *lock(&self.complete_at) = None;
                 *lock(&self.voters) = usage::Voters::default();
                 continue;
             }
             let gathered = endpoints.gather(own);
             own = gathered.stamps;
-            self.take(gathered, &endpoints, clock.now(), true);
-            let answers = others.ask_all(&handle).await;
+            self.merge(gathered, &endpoints, clock.now(), true);
+            let answers = peers.ask_all(&handle).await;
             let asked = answers.len();
             let now = clock.now();
-            let heard = self.note_heard(&answers, now);
+            let heard = self.record_answers(&answers, now);
             for gathered in answers.into_iter().filter_map(|(_, gathered)| gathered) {
-                self.take(gathered, &endpoints, now, false);
+                self.merge(gathered, &endpoints, now, false);
             }
-            let forget = FORGET * endpoints.timing().heartbeat + LATE;
-            lock(&self.registry).expire(now.saturating_sub(forget));
+            let expiry = EXPIRY_HEARTBEATS * endpoints.timing().heartbeat + EXPIRY_MARGIN;
+            lock(&self.registry).expire(now.saturating_sub(expiry));
             if heard * 2 >= asked {
-                *lock(&self.complete) = Some(now);
+                *lock(&self.complete_at) = Some(now);
             }
         }
     }
 
-    /// Notes which voters have answered; returns how many.
-    fn note_heard(&self, answers: &[Answered], now: Duration) -> usize {
+    /// Records which voters have answered and returns how many.
+    fn record_answers(&self, answers: &[Answered], now: Duration) -> usize {
         let round = answers
             .iter()
             .map(|(name, gathered)| (name, gathered.is_some()));
@@ -107,7 +107,7 @@
         round.filter(|(_, has_answered)| *has_answered).count()
     }
 
-    fn take(&self, gathered: Gathered, endpoints: &Endpoints, now: Duration, own: bool) {
+    fn merge(&self, gathered: Gathered, endpoints: &Endpoints, now: Duration, own: bool) {
         if !own {
             let mut book = lock(endpoints.book());
             gathered.usage.into_iter().for_each(|page| book.take(page));
@@ -126,54 +126,54 @@
     }
 }
 
-/// A voter, and what it has answered, if it has.
+/// A voter and its answer, if it gave one.
 type Answered = (name::Box, Option<Gathered>);
 
-/// The other voters, with the stamps of what each has told.
+/// The other voters, each with the stamps up to which it has sent its changes.
 #[derive(Default)]
-struct Others {
-    known: BTreeMap<agree::Node, Other>,
+struct Peers {
+    known: BTreeMap<agree::Node, Peer>,
 }
 
-struct Other {
+struct Peer {
     address: SocketAddr,
     client: Option<Arc<WsClient>>,
     stamps: Stamps,
 }
 
-impl Others {
-    /// Asks all other voters at once.
+impl Peers {
+    /// Queries all other voters concurrently.
     async fn ask_all(&mut self, handle: &Handle) -> Vec<Answered> {
         let status = handle.published().status;
         let members: BTreeMap<_, _> = status.members.addresses().collect();
         self.known
-            .retain(|node, other| members.get(node) == Some(&&other.address));
+            .retain(|node, peer| members.get(node) == Some(&&peer.address));
         for (node, address) in members {
             if *node == status.node || self.known.contains_key(node) {
                 continue;
             }
-            let other = Other {
+            let peer = Peer {
                 address: *address,
                 client: None,
                 stamps: Stamps::default(),
             };
-            self.known.insert(node.clone(), other);
+            self.known.insert(node.clone(), peer);
         }
-        let asked = self.known.iter_mut().map(|(node, other)| async {
-            let gathered = other.ask().await;
+        let asked = self.known.iter_mut().map(|(node, peer)| async {
+            let gathered = peer.ask().await;
             (node.name.clone(), gathered)
         });
         futures_util::future::join_all(asked).await
     }
 }
 
-impl Other {
+impl Peer {
     async fn ask(&mut self) -> Option<Gathered> {
-        let asked = tokio::time::timeout(ANSWER, self.gather()).await;
+        let asked = tokio::time::timeout(ANSWER_TIMEOUT, self.gather()).await;
         let gathered = asked.ok().flatten();
         match &gathered {
             Some(gathered) => self.stamps = gathered.stamps,
-            // A voter that has started again counts its stamps from the beginning.
+            // A restarted voter counts its stamps from the beginning again.
             None => (self.client, self.stamps) = (None, Stamps::default()),
         }
         gathered
--- a/src/scalewood/ops/control/guarded.rs
+++ b/src/scalewood/ops/control/guarded.rs
@@ -1,10 +1,10 @@
-//! Calls that only the holder of a lease may make, to receivers that look at nothing.
+//! Calls that only the holder of a lease may make, to receivers that check no fencing token.
 //!
-//! The connection is opened first; then the lease is checked once more, right before the call
-//! is written. What was written may still wait in this machine's buffers: behind a cut it
-//! would arrive seconds later, when another one holds. So a call is watched while its answer
-//! is awaited, and its connection is reset once the lease is lost. A process that was frozen
-//! finds its lease run out at the next check.
+//! The connection is opened first; then the lease is checked again, right before the request is
+//! written. Written data may still wait in this machine's send buffers: during a network partition
+//! it would arrive seconds later, when another process holds the lease. So the lease is checked
+//! while the answer is awaited, and the connection is reset once the lease is lost. A process that
+//! was frozen finds its lease expired at the next check.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -17,26 +17,26 @@
 
 use crate::{core::rest, ops};
 
-/// How long a connection may take.
-const CONNECT: Duration = Duration::from_millis(500);
-/// How long a lease has to last for a call to be written under it: several times the way to
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The remaining lease time that a call needs to be written: several times the network latency to
 /// the receiver.
 pub(super) const WRITTEN: Duration = Duration::from_millis(200);
-/// How often the lease is checked while an answer is awaited.
-const CHECK: Duration = Duration::from_millis(50);
-/// The most bytes of an answer that are read: what matters is the status.
-const MAX_ANSWER: usize = 4096;
+/// How often the lease is checked while an answer is awaited, and the time it must still last then.
+const LEASE_CHECK_PERIOD: Duration = Duration::from_millis(50);
+/// The most bytes of an answer's body that are read; only the status and the headers matter.
+const MAX_ANSWER_BYTES: usize = 4096;
 
-/// Why a call has no answer.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Failure {
-    /// Nothing was written: the receiver can't be reached.
+    /// Nothing was written: the receiver could not be reached.
     Unreachable,
-    /// Nothing was written: the lease does not last.
+    /// Nothing was written: the lease expires too soon or is lost.
     NoLease,
-    /// The lease was lost, or the time ran out, before the answer came.
+    /// The lease was lost or the call timed out before the answer arrived.
     Cut,
-    /// The connection broke before the answer came.
+    /// The connection broke before the answer arrived.
     Broken,
 }
 
@@ -51,16 +51,16 @@
     }
 }
 
-/// What a call was answered.
+/// The answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub(super) status: StatusCode,
-    /// For how long the receiver wants no more, if it turned the call away.
+    /// How long the receiver wants no more calls, if it refused this one.
     pub(super) rest: rest::Asked,
 }
 
-/// A connection over which only the holder of a lease writes. Dropping it resets it.
+/// A connection that only the holder of a lease writes to. Dropping it resets the connection.
 #[derive(Debug)]
 pub(super) struct Connection {
     address: SocketAddr,
@@ -75,12 +75,12 @@
 }
 
 impl Connection {
-    /// Connects to a receiver.
+    /// Opens a connection to a receiver.
     pub(super) async fn open(address: SocketAddr) -> Result<Self, Failure> {
-        let opened = tokio::time::timeout(CONNECT, connect(address)).await;
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, connect(address)).await;
         let (sender, connection) = opened.ok().flatten().ok_or(Failure::Unreachable)?;
         let task = tokio::spawn(async move {
-            // The connection's end shows at the call.
+            // A broken connection shows as the failure of the call.
             let _ = connection.await;
         });
         Ok(Self {
@@ -90,18 +90,18 @@
         })
     }
 
-    /// Whether another call can be made over it.
+    /// Returns whether the connection can be used for another call.
     pub(super) fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Makes a call while the lease lasts; `holds` tells whether it does for so long. The time of
-    /// day here is what a date in the answer is compared with where it names none of its own.
+    /// Makes a call while the lease lasts; `holds` returns whether it is held for a given time from
+    /// now. `unix_ms` is what a date in `Retry-After` is compared with if the answer has no date.
     pub(super) async fn call(
         &mut self,
         mut request: Request<Full<Bytes>>,
         holds: impl Fn(Duration) -> bool,
-        within: Duration,
+        timeout: Duration,
         unix_ms: u64,
     ) -> Result<Answer, Failure> {
         let host = header::HeaderValue::from_str(&self.address.to_string());
@@ -115,52 +115,52 @@
         let answered = async {
             let response = sent.await.map_err(|_| Failure::Broken)?;
             let status = response.status();
-            // Its only caller is this voter.
+            // The holder is the receiver's only caller, so a 429 applies to all calls.
             let rest = if ops::rest::is_meant(status, true) {
                 ops::rest::asked(response.headers(), unix_ms)
             } else {
                 rest::Asked::Nothing
             };
-            // Read to its end, the connection can be used again; else it is closed.
-            let _ = Limited::new(response.into_body(), MAX_ANSWER)
+            // Once the body is read whole the connection can be reused; else it is closed.
+            let _ = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
                 .collect()
                 .await;
             Ok(Answer { status, rest })
         };
-        let ended = tokio::time::timeout(within, while_held(answered, holds)).await;
+        let ended = tokio::time::timeout(timeout, while_held(answered, holds)).await;
         let answer = ended.ok().flatten().unwrap_or(Err(Failure::Cut));
         if answer.is_err() {
-            // What is left in the buffers must not arrive.
+            // Resets the connection: data still in the send buffer must not arrive.
             self.task.abort();
         }
         answer
     }
 }
 
-/// Awaits something while a lease lasts; nothing if it is lost before.
+/// Awaits a future while the lease lasts; returns `None` if the lease is lost first.
 async fn while_held<T>(
     awaited: impl Future<Output = T>,
     holds: impl Fn(Duration) -> bool,
 ) -> Option<T> {
     let mut awaited = std::pin::pin!(awaited);
     loop {
-        match tokio::time::timeout(CHECK, awaited.as_mut()).await {
+        match tokio::time::timeout(LEASE_CHECK_PERIOD, awaited.as_mut()).await {
             Ok(got) => return Some(got),
-            Err(_) if holds(CHECK) => {}
+            Err(_) if holds(LEASE_CHECK_PERIOD) => {}
             Err(_) => return None,
         }
     }
 }
 
-type Opened = (
+type Handshake = (
     http1::SendRequest<Full<Bytes>>,
     http1::Connection<TokioIo<TcpStream>, Full<Bytes>>,
 );
 
-async fn connect(address: SocketAddr) -> Option<Opened> {
+async fn connect(address: SocketAddr) -> Option<Handshake> {
     let stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
-    // Closing drops what was not sent, and resets.
+    // With zero linger, closing discards unsent data and resets the connection.
     SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
         .ok()?;
--- a/src/scalewood/ops/control/metric.rs
+++ b/src/scalewood/ops/control/metric.rs
@@ -13,7 +13,7 @@
     ops::control::{registry::Endpoints, Handle},
 };
 
-/// How a publication ended.
+/// The outcome of a publication or of an order to cordon or uncordon a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OutcomeLabel {
     outcome: &'static str,
@@ -25,18 +25,18 @@
     reason: &'static str,
 }
 
-/// Bounds of the time that a publication takes, in seconds.
-const SECONDS: [f64; 8] = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0];
+/// Histogram bounds for publications and cordon orders, in seconds.
+const DURATION_BUCKETS_SECONDS: [f64; 8] = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0];
 
 /// A voter's metrics.
 #[derive(Clone, Debug)]
 pub(super) struct Metrics {
     registry: Arc<Registry>,
-    published: Family<OutcomeLabel, Counter>,
-    took: Histogram,
+    publications: Family<OutcomeLabel, Counter>,
+    publication_seconds: Histogram,
     refused: Family<ReasonLabel, Counter>,
     cordons: Family<OutcomeLabel, Counter>,
-    cordons_took: Histogram,
+    cordon_seconds: Histogram,
     cordoned: Gauge,
     leads: Gauge,
     votes: Gauge,
@@ -51,13 +51,13 @@
 impl Metrics {
     pub(super) fn new() -> Self {
         let mut registry = Registry::with_prefix("scalewood");
-        let published = Family::<OutcomeLabel, Counter>::default();
-        let took = Histogram::new(SECONDS);
-        registry.register("publications", "Routings, by outcome", published.clone());
+        let publications = Family::<OutcomeLabel, Counter>::default();
+        let publication_seconds = Histogram::new(DURATION_BUCKETS_SECONDS);
+        registry.register("publications", "Routings, by outcome", publications.clone());
         registry.register(
             "publication_seconds",
             "From a routing's arrival to its answer",
-            took.clone(),
+            publication_seconds.clone(),
         );
         let refused = Family::<ReasonLabel, Counter>::default();
         registry.register(
@@ -66,7 +66,7 @@
             refused.clone(),
         );
         let cordons = Family::<OutcomeLabel, Counter>::default();
-        let cordons_took = Histogram::new(SECONDS);
+        let cordon_seconds = Histogram::new(DURATION_BUCKETS_SECONDS);
         registry.register(
             "cordon_orders",
             "Orders to cordon or uncordon a zone, by outcome",
@@ -75,7 +75,7 @@
         registry.register(
             "cordon_seconds",
             "From such an order's arrival to its answer",
-            cordons_took.clone(),
+            cordon_seconds.clone(),
         );
         let mut gauge = |name: &'static str, help: &'static str| {
             let gauge = Gauge::default();
@@ -93,23 +93,23 @@
             followers: gauge("followers", "Boxes that follow the registry here"),
             cordoned: gauge("cordoned_zones", "Zones whose endpoints get no new work"),
             registry: Arc::new(registry),
-            published,
-            took,
+            publications,
+            publication_seconds,
             refused,
             cordons,
-            cordons_took,
+            cordon_seconds,
         }
     }
 
-    /// Counts a publication.
+    /// Records a publication and its duration.
     pub(super) fn note_published(&self, outcome: &'static str, seconds: f64) {
-        self.published
+        self.publications
             .get_or_create(&OutcomeLabel { outcome })
             .inc();
-        self.took.observe(seconds);
+        self.publication_seconds.observe(seconds);
     }
 
-    /// Counts a heartbeat that was refused.
+    /// Records a refused heartbeat.
     pub(super) fn note_refused(&self, reason: endpoint::Reason) {
         let label = ReasonLabel {
             reason: reason.as_str(),
@@ -117,24 +117,25 @@
         self.refused.get_or_create(&label).inc();
     }
 
-    /// Counts an order to cordon or uncordon a zone.
+    /// Records an order to cordon or uncordon a zone and its duration.
     pub(super) fn note_cordon(&self, outcome: &'static str, took: Duration) {
         self.cordons.get_or_create(&OutcomeLabel { outcome }).inc();
-        self.cordons_took.observe(took.as_secs_f64());
+        self.cordon_seconds.observe(took.as_secs_f64());
     }
 
-    /// The metrics as text, as they are now.
+    /// Updates the gauges and returns all metrics as text.
     pub(super) fn render(&self, handle: &Handle, endpoints: &Endpoints) -> String {
         let published = handle.published();
         let status = &published.status;
-        let number = |number: u64| i64::try_from(number).unwrap_or(i64::MAX);
+        let gauge_value = |number: u64| i64::try_from(number).unwrap_or(i64::MAX);
         let leads = status.leader.as_ref() == Some(&status.node);
         self.leads.set(i64::from(leads));
         self.votes
             .set(i64::from(status.members.is_voter(&status.node)));
-        self.term.set(number(status.term.0));
-        self.revision.set(number(published.ledger.revision().0));
-        self.version.set(number(published.ledger.version()));
+        self.term.set(gauge_value(status.term.0));
+        self.revision
+            .set(gauge_value(published.ledger.revision().0));
+        self.version.set(gauge_value(published.ledger.version()));
         let cordoned = published.ledger.document().cordoned.len();
         self.cordoned
             .set(i64::try_from(cordoned).unwrap_or(i64::MAX));
@@ -144,7 +145,7 @@
         self.endpoints.set(i64::try_from(known).unwrap_or(i64::MAX));
         self.followers.set(i64::from(followers));
         let mut out = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = text::encode(&mut out, &self.registry);
         out
     }
--- a/src/scalewood/ops/control/provider/client.rs
+++ b/src/scalewood/ops/control/provider/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the provider, one at a time, over one connection that is kept.
+//! Calls to the provider, one at a time, over one persistent connection.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,16 +15,16 @@
     util::clock::{self, Clock as _},
 };
 
-/// How long a call may wait for its answer: the provider may be slow.
-const ANSWER: Duration = Duration::from_secs(2);
-/// The wait after a call that failed, which doubles up to the longest one.
-const AGAIN: Duration = Duration::from_millis(250);
-const LONGEST_AGAIN: Duration = Duration::from_secs(1);
-/// The longest that the provider is left alone by its own word: what is due to it, reports of usage
-/// and orders, is late after some minutes.
-const LONGEST_REST: Duration = Duration::from_secs(60);
-/// How long a call is held back that goes beyond the rate.
-const BUSY: Duration = Duration::from_millis(100);
+/// The timeout for the answer to a call: the provider may be slow.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The wait after a failed call. It doubles with each further failure, up to `MAX_RETRY_WAIT`.
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(250);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
+/// The longest `Retry-After` that is obeyed: usage reports and orders are overdue after some
+/// minutes.
+const MAX_REST: Duration = Duration::from_secs(60);
+/// How long a caller waits whose call the rate limit or a rest does not allow.
+const RATE_LIMIT_WAIT: Duration = Duration::from_millis(100);
 
 /// Calls the provider, one call at a time.
 #[derive(Debug)]
@@ -35,9 +35,9 @@
     rate: unit::Rate,
     bucket: limit::Bucket,
     connection: Option<guarded::Connection>,
-    again: Duration,
-    /// Until when the provider wants no calls.
-    rests_until: Duration,
+    retry_wait: Duration,
+    /// The time until which the provider wants no calls.
+    rest_until: Duration,
     clock: clock::System,
     log: slog::Logger,
 }
@@ -55,20 +55,20 @@
             rate: settings.rate,
             bucket: limit::Bucket::full(settings.rate, clock.now()),
             connection: None,
-            again: AGAIN,
-            rests_until: Duration::ZERO,
+            retry_wait: MIN_RETRY_WAIT,
+            rest_until: Duration::ZERO,
             clock,
             log: hold.log.clone(),
             hold,
         }
     }
 
-    /// Whether this voter leads, so that it may be about to act.
+    /// Returns whether this voter leads, so that it may become the holder soon.
     pub(in crate::ops::control) fn leads(&self) -> bool {
         self.hold.leads()
     }
 
-    /// The right under which a call may be made now.
+    /// Returns the authority to make a call now, if this voter has it.
     pub(in crate::ops::control) fn authority(&self) -> Option<Authority> {
         let token = self.hold.token()?;
         Some(Authority {
@@ -77,25 +77,25 @@
         })
     }
 
-    /// Makes a call, and waits a while if it failed; `what` names it in the log.
+    /// Makes a call, and waits before returning if it failed. `what` names the call in the log.
     pub(in crate::ops::control) async fn call(
         &mut self,
         authority: &Authority,
         request: Request<Full<Bytes>>,
-        said: fn(StatusCode) -> Said,
+        classify: fn(StatusCode) -> Said,
         what: &str,
     ) -> Said {
-        let rests = self.clock.now() < self.rests_until;
-        if rests || self.bucket.take(1.0, self.rate, self.clock.now()).is_err() {
-            tokio::time::sleep(BUSY).await;
+        let is_resting = self.clock.now() < self.rest_until;
+        if is_resting || self.bucket.take(1.0, self.rate, self.clock.now()).is_err() {
+            tokio::time::sleep(RATE_LIMIT_WAIT).await;
             return Said::Busy;
         }
         let asked = self.clock.now();
         let answer = self.send(authority, request).await;
         let (outcome, why) = match answer {
             Ok(answer) => {
-                self.hear(answer.rest);
-                (said(answer.status), answer.status.as_str().to_owned())
+                self.note_rest(answer.rest);
+                (classify(answer.status), answer.status.as_str().to_owned())
             }
             Err(failure) => (Said::Failed, failure.as_str().to_owned()),
         };
@@ -103,23 +103,24 @@
         event!(self.log, ProviderCalled, "what" => what, "token" => authority.token.0,
             "outcome" => ?outcome, "why" => why, "took_ms" => took.as_millis());
         match outcome {
-            Said::Taken | Said::NoneLeft => self.again = AGAIN,
-            Said::Busy | Said::Outdated | Said::Failed => self.pause().await,
+            Said::Taken | Said::NoneLeft => self.retry_wait = MIN_RETRY_WAIT,
+            Said::Busy | Said::Outdated | Said::Failed => self.back_off().await,
         }
         outcome
     }
 
-    /// Notes for how long the provider wants no calls.
-    fn hear(&mut self, asked: rest::Asked) {
+    /// Records the time for which the provider wants no calls.
+    fn note_rest(&mut self, asked: rest::Asked) {
         if let rest::Asked::For(length) = asked {
-            self.rests_until = self.clock.now() + length.min(LONGEST_REST);
+            self.rest_until = self.clock.now() + length.min(MAX_REST);
         }
     }
 
-    /// Waits before the next call, longer each time; others that failed with it wait otherwise.
-    async fn pause(&mut self) {
-        let wait = self.again.mul_f64(rand::rng().random_range(0.5..1.0));
-        self.again = (self.again * 2).min(LONGEST_AGAIN);
+    /// Waits before the next call, longer after each failure. The wait is random, so that callers
+    /// that failed at the same moment do not retry at the same moment.
+    async fn back_off(&mut self) {
+        let wait = self.retry_wait.mul_f64(rand::rng().random_range(0.5..1.0));
+        self.retry_wait = (self.retry_wait * 2).min(MAX_RETRY_WAIT);
         tokio::time::sleep(wait).await;
     }
 
@@ -133,9 +134,11 @@
             Some(connection) => connection,
             None => guarded::Connection::open(self.address).await?,
         };
-        let holds = |long| self.hold.lasts(authority.token, long);
+        let holds = |duration| self.hold.lasts(authority.token, duration);
         let unix_ms = self.clock.unix_ms();
-        let answer = connection.call(request, holds, ANSWER, unix_ms).await?;
+        let answer = connection
+            .call(request, holds, ANSWER_TIMEOUT, unix_ms)
+            .await?;
         self.connection = Some(connection);
         Ok(answer)
     }
--- a/src/scalewood/ops/control/provider/hold.rs
+++ b/src/scalewood/ops/control/provider/hold.rs
@@ -1,4 +1,4 @@
-//! Whether this voter holds what only one process may do.
+//! Tracks whether this voter is the holder: the one process that may perform the provider's tasks.
 
 use std::{
     sync::{Arc, Mutex},
@@ -16,10 +16,10 @@
     wire::control::Passed,
 };
 
-/// How often it is looked whether this voter holds.
+/// How often the holder's state is updated.
 const PERIOD: Duration = Duration::from_millis(100);
 
-/// Whether this voter holds, kept up to date by `keep`.
+/// This voter's state as a holder or candidate, updated by `keep`.
 #[derive(Clone, Debug)]
 pub(in crate::ops::control) struct Hold {
     handle: Handle,
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Takes over when this voter comes to lead, for ever.
+    /// Becomes the holder whenever this voter is elected leader. Runs for ever.
     pub(in crate::ops::control) async fn keep(self) {
-        let mut acts = None;
+        let mut acting_token = None;
         loop {
             tokio::time::sleep(PERIOD).await;
             let step = self.step();
@@ -53,10 +53,10 @@
                 tenure::Step::Act(token) => Some(token),
                 tenure::Step::Wait | tenure::Step::Take => None,
             };
-            if acts != token {
+            if acting_token != token {
                 event!(self.log, HolderChanged, "acts" => token.is_some(),
                     "token" => token.map(|token| token.0));
-                acts = token;
+                acting_token = token;
             }
             if step == tenure::Step::Take {
                 let node = self.handle.published().status.node;
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Returns what this voter may do at the moment.
     fn step(&self) -> tenure::Step {
         let published = self.handle.published();
         let now = self.clock.now();
@@ -74,13 +75,13 @@
         lock(&self.tenure).step(&published.status.node, leads, holder, now)
     }
 
-    /// Whether this voter leads under its lease.
+    /// Returns whether this voter is the leader with a valid lease.
     pub(in crate::ops::control) fn leads(&self) -> bool {
         let lease = self.handle.published().lease;
         lease.is_some_and(|until| until > self.clock.now())
     }
 
-    /// The token under which this voter may act now.
+    /// Returns the fencing token under which this voter may act now, if it may.
     pub(in crate::ops::control) fn token(&self) -> Option<tenure::Token> {
         match self.step() {
             tenure::Step::Act(token) => Some(token),
@@ -88,10 +89,10 @@
         }
     }
 
-    /// Whether it may act under a token for some time to come.
-    pub(super) fn lasts(&self, token: tenure::Token, long: Duration) -> bool {
+    /// Returns whether this voter may act under a token now and its lease lasts for `duration` more.
+    pub(super) fn lasts(&self, token: tenure::Token, duration: Duration) -> bool {
         let published = self.handle.published();
-        let until = self.clock.now() + long;
+        let until = self.clock.now() + duration;
         published.lease.is_some_and(|lease| lease > until) && self.token() == Some(token)
     }
 }
--- a/src/scalewood/ops/control/provider/mod.rs
+++ b/src/scalewood/ops/control/provider/mod.rs
@@ -1,7 +1,8 @@
-//! The provider: who runs the machines, takes reports of usage and adds endpoints on demand.
+//! The provider: the operator of the machines, which receives usage reports and adds endpoints on
+//! demand.
 //!
-//! Which paths, headers and bodies it speaks is a [`Dialect`]. Its calls belong to one holder
-//! at a time (`core::tenure`), and go out over one connection that is kept.
+//! A [`Dialect`] defines the paths, headers and bodies of its API. Only one holder at a time may
+//! call it (`core::tenure`), over one persistent connection.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr};
 
@@ -22,54 +23,54 @@
 pub(super) use hold::Hold;
 pub use settings::{Settings, Task};
 
-/// Under which right a call is made.
+/// The authority under which a call is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Authority {
-    /// The process that holds.
+    /// The name of the calling process, which is the holder.
     pub caller: String,
-    /// Its token.
+    /// Its fencing token.
     pub token: tenure::Token,
 }
 
-/// What the provider said to a call.
+/// The outcome of a call to the provider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// It took it.
+    /// The provider accepted the call.
     Taken,
-    /// It has taken too many calls: the same one may be made later.
+    /// The rate limit is used up, here or at the provider: the same call may be made later.
     Busy,
-    /// It has heard a later holder.
+    /// The provider has received a call with a later holder's token.
     Outdated,
-    /// What was asked for is not to be had now.
+    /// The provider has no such endpoints available now.
     NoneLeft,
-    /// Anything else: the same call may be made later.
+    /// Any other failure: the same call may be made later.
     Failed,
 }
 
-/// The paths, headers and bodies that a provider speaks.
+/// The paths, headers and bodies of a provider's API.
 pub trait Dialect: Clone + fmt::Debug + Send + Sync + 'static {
-    /// The report of a window's usage.
+    /// Returns the request that reports a window's usage.
     fn usage(
         authority: &Authority,
         window: usage::Window,
         counts: &usage::Counts,
     ) -> Request<Full<Bytes>>;
 
-    /// What the answer to a report says.
+    /// Classifies the answer to a report.
     fn reported(status: StatusCode) -> Said;
 
-    /// An order of a service's endpoints.
+    /// Returns the request that orders endpoints of a service.
     fn scale(
         authority: &Authority,
         service: &name::Service,
         order: &scaling::Order,
     ) -> Request<Full<Bytes>>;
 
-    /// What the answer to an order says.
+    /// Classifies the answer to an order.
     fn scaled(status: StatusCode) -> Said;
 }
 
-/// The product's own paths, headers and bodies.
+/// The paths, headers and bodies of Scalewood's native dialect.
 impl Dialect for crate::ops::control::publish::Native {
     fn usage(
         authority: &Authority,
@@ -106,7 +107,8 @@
     }
 }
 
-/// A call with a JSON body, with the holder and its token in the headers named.
+/// Returns a `POST` request with a JSON body, with the caller and its fencing token in the named
+/// headers.
 pub fn post(
     path: &'static str,
     authority: &Authority,
@@ -120,15 +122,15 @@
     let json = header::HeaderValue::from_static("application/json");
     headers.insert(header::CONTENT_TYPE, json);
     headers.insert(token, header::HeaderValue::from(authority.token.0));
-    // A name that is no header text would leave the call without a holder, and be refused.
+    // A name that is not valid in a header is left out; the provider then refuses the call.
     if let Ok(name) = header::HeaderValue::from_str(&authority.caller) {
         headers.insert(holder, name);
     }
     request
 }
 
-/// Where the provider is and which tasks can be done for it; says which can't. A task that is not
-/// known here, of a later version, say, is passed over.
+/// Returns the provider's address and the tasks that can be done for it, and logs those that can't.
+/// A task that is unknown here, such as one of a later version, is skipped.
 pub(super) fn tasks(
     settings: &Settings,
     log: &slog::Logger,
--- a/src/scalewood/ops/control/provider/settings.rs
+++ b/src/scalewood/ops/control/provider/settings.rs
@@ -1,4 +1,4 @@
-//! What is done for a provider, as settings name it.
+//! The settings of the tasks that are done for a provider.
 
 use std::{fmt, net::SocketAddr, str::FromStr, time::Duration};
 
@@ -7,12 +7,12 @@
     util::settings,
 };
 
-/// What is done for a provider.
+/// A task that is done for a provider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Task {
-    /// The usage of teams is reported.
+    /// Reporting the usage of teams.
     Usage,
-    /// The number of endpoints follows the demand.
+    /// Scaling the number of endpoints with demand.
     Scaling,
 }
 
@@ -23,7 +23,9 @@
         match text {
             "usage" => Ok(Task::Usage),
             "scaling" => Ok(Task::Scaling),
-            other => Err(format!("`{other}` is no task: `usage` and `scaling` are")),
+            other => Err(format!(
+                "`{other}` is not a task; the tasks are `usage` and `scaling`"
+            )),
         }
     }
 }
@@ -37,25 +39,25 @@
     }
 }
 
-/// Settings of what is done for a provider.
+/// The settings of the tasks that are done for a provider.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where it takes calls; empty if there is none. What does not parse puts the tasks off, and
-    /// not the voter: without voters nothing is routed.
+    /// The address of the provider's API; empty if there is no provider. An invalid value disables
+    /// the tasks but not the voter: without voters nothing is routed.
     pub address: String,
-    /// The name under which this process calls it.
+    /// The name by which this process identifies itself to the provider.
     pub caller: String,
-    /// What is done for it, with commas between.
+    /// The tasks, separated by commas.
     pub tasks: String,
-    /// Calls a second that it takes of all processes together.
+    /// The calls per second that the provider accepts from all processes together.
     pub rate: unit::Rate,
-    /// The length of the windows of usage.
+    /// The length of a usage window.
     pub window: Duration,
-    /// How long after a window's end its report is due.
+    /// The time after a window's end by which its report is due.
     pub due: Duration,
-    /// The time in which no two holders may call it by turns.
+    /// The time within which no other holder's calls may lie between two calls of one holder.
     pub rest: Duration,
-    /// How the number of endpoints follows the demand.
+    /// How the number of endpoints is scaled with demand.
     pub scaling: scaling::Settings,
 }
 
@@ -105,13 +107,17 @@
             spare_zones: reader.number("spare_zones", default.spare_zones),
             interruptible: reader.flag("interruptible", default.interruptible),
         };
-        let parts = [
+        let ratios = [
             ("utilisation", settings.utilisation),
             ("strained", settings.strained),
         ];
-        for (key, part) in parts {
-            if !(0.01..=1.0).contains(&part) {
-                reader.problem(key, "it is no part of the slots", "0.5");
+        for (key, ratio) in ratios {
+            if !(0.01..=1.0).contains(&ratio) {
+                reader.problem(
+                    key,
+                    "it is not a fraction of the slots from 0.01 to 1",
+                    "0.5",
+                );
             }
         }
         settings
@@ -119,21 +125,21 @@
 }
 
 impl Settings {
-    /// Why a task that is asked for can't be done, if it can't.
+    /// Returns why a requested task can't be done, if it can't.
     pub fn hindrance(&self, task: Task) -> Option<&'static str> {
         if self.address.parse::<SocketAddr>().is_err() {
-            return Some("the address of the provider is missing or no IP:PORT");
+            return Some("the provider's address is missing or is not IP:PORT");
         }
         if self.caller.is_empty() {
-            return Some("no name to call it by is set");
+            return Some("no caller name is set");
         }
         if self.rate.get() <= 0.0 {
-            return Some("the rate of calls is 0");
+            return Some("the call rate is 0");
         }
         let needs_window = task == Task::Usage;
-        (needs_window && self.window.is_zero()).then_some("the window of usage has no length")
+        (needs_window && self.window.is_zero()).then_some("the usage window's length is 0")
     }
 }
 
-/// Calls a second where the settings name no rate.
+/// The default of `rate`, in calls per second.
 const DEFAULT_RATE: f64 = 10.0;
--- a/src/scalewood/ops/control/scaling.rs
+++ b/src/scalewood/ops/control/scaling.rs
@@ -1,4 +1,4 @@
-//! Has the provider add and take away endpoints as the demand asks.
+//! Orders the provider to add and remove endpoints as demand changes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,10 +16,10 @@
     wire::control::Passed,
 };
 
-/// How often the numbers are looked at.
+/// How often the demand is evaluated.
 const PERIOD: Duration = Duration::from_millis(250);
 
-/// Orders endpoints of all services that the provider offers them for.
+/// Orders endpoints for all services for which the provider offers them.
 pub(super) struct Orderer {
     pub(super) handle: Handle,
     pub(super) endpoints: Endpoints,
@@ -30,7 +30,7 @@
 }
 
 impl Orderer {
-    /// Orders for ever, for as long as this voter holds.
+    /// Scales for ever. Orders are sent only while this voter is the holder.
     pub(super) async fn run<D: provider::Dialect>(self, mut client: provider::Client) {
         let mut scalers = BTreeMap::new();
         let mut unusable = BTreeSet::new();
@@ -47,27 +47,29 @@
             for (service, offer) in self.offers() {
                 if !offer.is_usable() {
                     if unusable.insert(service.clone()) {
-                        let why = "its fewest are more than its most, or it names no zone";
+                        let why = "the offer's minimum exceeds its maximum, or it names no zone";
                         event!(self.log, TaskOff, "task" => "scaling", "service" => %service, "why" => why);
                     }
                     continue;
                 }
                 unusable.remove(&service);
-                let seen = self.seen(&service, &records);
+                let seen = self.observe(&service, &records);
                 let now = self.clock.now();
                 let scaler = scalers.entry(service.clone());
                 let scaler =
                     scaler.or_insert_with(|| scaling::Scaler::new(self.settings.clone(), now));
                 let orders = scaler.step(&offer, &seen, now);
-                // Until it may act it watches, to know at once what is needed then.
+                // A leader that may not act yet keeps observing, so that it knows the demand once it
+                // may, but sends no orders.
                 for order in orders.into_iter().filter(|_| may_act) {
-                    self.give::<D>(&mut client, &service, scaler, &order).await;
+                    self.send_order::<D>(&mut client, &service, scaler, &order)
+                        .await;
                 }
             }
         }
     }
 
-    /// The services whose endpoints can be ordered.
+    /// Returns the services for which the provider offers endpoints.
     fn offers(&self) -> Vec<(name::Service, scaling::Offer)> {
         let published = self.handle.published();
         let Some(routing) = published.ledger.document().routing.clone() else {
@@ -81,7 +83,8 @@
         offers.collect()
     }
 
-    fn seen(&self, service: &name::Service, records: &[registry::Record]) -> scaling::Seen {
+    /// Counts a service's endpoints by zone, and its slots in use.
+    fn observe(&self, service: &name::Service, records: &[registry::Record]) -> scaling::Seen {
         let published = self.handle.published();
         let mut seen = scaling::Seen {
             cordoned: published.ledger.document().cordoned.clone(),
@@ -107,8 +110,8 @@
         seen
     }
 
-    /// Has the voters note an order, and gives it.
-    async fn give<D: provider::Dialect>(
+    /// Commits an order to the voters' log, then sends it to the provider.
+    async fn send_order<D: provider::Dialect>(
         &self,
         client: &mut provider::Client,
         service: &name::Service,
@@ -123,7 +126,7 @@
             "kind" => %order.kind, "count" => order.count, "peak" => basis.peak,
             "needed" => basis.needed, "interruptible" => basis.interruptible,
             "ordinary" => basis.ordinary);
-        let noted = ledger::Command::Scale(ledger::Scale {
+        let command = ledger::Command::Scale(ledger::Scale {
             service: service.clone(),
             order: order.clone(),
             why: format!(
@@ -132,13 +135,13 @@
             ),
             at_unix_ms: unix_ms(),
         });
-        if !matches!(self.handle.propose(noted).await, Passed::Answer(_)) {
+        if !matches!(self.handle.propose(command).await, Passed::Answer(_)) {
             return;
         }
         let request = D::scale(&authority, service, order);
         let what = format!("{} {} {}", order.zone, order.kind, order.count);
-        let said = client.call(&authority, request, D::scaled, &what).await;
-        let answer = match said {
+        let outcome = client.call(&authority, request, D::scaled, &what).await;
+        let answer = match outcome {
             provider::Said::Taken => scaling::Answer::Taken,
             provider::Said::NoneLeft => scaling::Answer::NoneLeft,
             _ => scaling::Answer::Unclear,
