--- a/src/scalewood/ops/breach.rs
+++ b/src/scalewood/ops/breach.rs
@@ -1,24 +1,24 @@
-//! Tells of broken invariants in the log.
+//! Logs breaches of invariants.
 //!
-//! A breach is counted where it is found, deep in `core`, which has no log; this turns
-//! the counts into events.
+//! `core` detects and counts breaches but has no logger; this module turns the counts into log
+//! events.
 
 use std::time::Duration;
 
 use crate::{core::invariant, event};
 
-/// How often the counts are looked at.
+/// How often the counts are checked.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Logs each rule whose count has risen, for ever.
+/// Logs each rule whose count has risen. Runs for ever.
 pub async fn watch(log: slog::Logger) {
-    let mut known = vec![0; invariant::Rule::ALL.len()];
+    let mut logged = vec![0; invariant::Rule::ALL.len()];
     loop {
-        for (rule, known) in invariant::Rule::ALL.iter().zip(&mut known) {
+        for (rule, logged) in invariant::Rule::ALL.iter().zip(&mut logged) {
             let count = invariant::breaches(*rule);
-            if count > *known {
+            if count > *logged {
                 event!(log, Invariant, "rule" => rule.as_str(), "count" => count);
-                *known = count;
+                *logged = count;
             }
         }
         tokio::time::sleep(PERIOD).await;
--- a/src/scalewood/ops/explain.rs
+++ b/src/scalewood/ops/explain.rs
@@ -1,55 +1,55 @@
-//! What logs tell of one request, in plain words.
+//! Explains from the logs what happened to one request.
 //!
-//! Each process logs a line for each decision that touches a request. [`explain`] takes
-//! the lines of several processes as they stand in their logs, keeps those about one
-//! request and says what each of them decided.
+//! Each process logs a line for each decision about a request. [`explain`] takes the log lines of
+//! several processes, keeps those about one request and describes each decision in plain words.
 
 use serde_json::{Map, Value};
 
 use crate::util::event::Event;
 
-/// A line about the request.
+/// The explanation of one log line about the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// When it was logged, by the process's wall clock.
+    /// When the line was logged, by the process's wall clock.
     pub time: String,
-    /// The program that logged it.
+    /// The program that logged the line.
     pub program: String,
-    /// What it says.
+    /// The explanation.
     pub text: String,
 }
 
-/// Fields that every line has, or that stand elsewhere in its explanation.
+/// Fields that every line has, or that the explanation shows elsewhere.
 const COMMON: [&str; 6] = ["msg", "level", "ts", "program", "event", "id"];
 
-/// The lines about a request, the earliest first.
+/// Returns explanations of the lines about a request, the earliest first.
 ///
-/// `id` is the caller's own id or the one that the system gave, or the fingerprint of a request
-/// under which endpoints ended: it tells of all its arrivals. Text before a line's
-/// object is passed over, and so are lines that are none of this system's.
+/// `id` is the caller's own id, the id that the system assigned, or the fingerprint of a request
+/// during which endpoints crashed, which finds every submission of that request. Text before a
+/// line's JSON object is skipped, and so are lines of other systems.
 pub fn explain<'a>(id: &str, logs: impl Iterator<Item = &'a str>) -> Vec<Line> {
-    let mut lines: Vec<_> = logs.filter_map(|line| read(id, line)).collect();
+    let mut lines: Vec<_> = logs.filter_map(|line| explain_line(id, line)).collect();
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     lines
 }
 
-fn read(id: &str, line: &str) -> Option<Line> {
+/// Explains a log line if it is about the request.
+fn explain_line(id: &str, line: &str) -> Option<Line> {
     let object = &line[line.find('{')?..];
     let fields: Map<String, Value> = serde_json::from_str(object).ok()?;
     let is_id = |name: &str| fields.get(name).and_then(Value::as_str) == Some(id);
     if !["id", "request", "fingerprint"].into_iter().any(is_id) {
         return None;
     }
-    let field = |name: &str| word(&fields, name);
+    let field = |name: &str| field_text(&fields, name);
     Some(Line {
         time: field("ts"),
         program: field("program"),
-        text: say(&fields),
+        text: describe(&fields),
     })
 }
 
-/// A field as one word; a dash if there is none.
-fn word(fields: &Map<String, Value>, name: &str) -> String {
+/// Returns a field as text, or a dash if it is missing or null.
+fn field_text(fields: &Map<String, Value>, name: &str) -> String {
     match fields.get(name) {
         None | Some(Value::Null) => "-".into(),
         Some(Value::String(text)) => text.clone(),
@@ -57,8 +57,8 @@
     }
 }
 
-/// Why a request found no room, if that was so.
-fn cause(fields: &Map<String, Value>) -> String {
+/// Returns why a request was refused for lack of capacity, if it was.
+fn capacity_cause(fields: &Map<String, Value>) -> String {
     let text = |name: &str| fields.get(name).and_then(Value::as_str);
     match (text("cause"), text("held_back_by")) {
         (None, _) => String::new(),
@@ -67,9 +67,9 @@
     }
 }
 
-/// What a line says in plain words.
-fn say(fields: &Map<String, Value>) -> String {
-    let field = |name: &str| word(fields, name);
+/// Describes a line in plain words.
+fn describe(fields: &Map<String, Value>) -> String {
+    let field = |name: &str| field_text(fields, name);
     let number = fields.get("event").and_then(Value::as_u64);
     let is = |event: Event| number == Some(event.number().into());
     if is(Event::RequestRetried) {
@@ -109,7 +109,7 @@
             field("revision"),
             field("retry_ms"),
             field("returned"),
-            cause(fields)
+            capacity_cause(fields)
         );
     }
     let other = fields
--- a/src/scalewood/ops/mod.rs
+++ b/src/scalewood/ops/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers: what is done with the facts on the board.
+//! Controllers: the tasks and services of each process, which act on the state in `board`.
 
 pub mod breach;
 pub mod control;
--- a/src/scalewood/ops/operate.rs
+++ b/src/scalewood/ops/operate.rs
@@ -1,4 +1,4 @@
-//! Speaking to the administration API, as `scalewood` does for operators.
+//! The client of the administration API that the `scalewood` command uses.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -17,10 +17,10 @@
     },
 };
 
-/// How long a call may take.
-const CALL: Duration = Duration::from_secs(8);
-/// How long a connection may take.
-const CONNECT: Duration = Duration::from_secs(1);
+/// The timeout of a call, without the connection.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,9 +29,9 @@
     Unreachable,
     /// The request was refused.
     Refused,
-    /// Whether the change was accepted is not known.
+    /// It is unknown whether the change was accepted.
     Unknown,
-    /// The answer could not be understood.
+    /// The answer could not be parsed, or the request could not be encoded.
     Garbled,
 }
 
@@ -43,14 +43,14 @@
             Error::Unknown => {
                 "it is not known whether the change was accepted; send it again under the same id"
             }
-            Error::Garbled => "the answer could not be understood; are both sides of one version?",
+            Error::Garbled => "the answer could not be parsed; do both sides run the same version?",
         })
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Speaks to the voters, one after another until one answers.
+/// A client of the administration API. It tries the voters in turn until one can be reached.
 #[derive(Clone)]
 pub struct Client {
     voters: Vec<SocketAddr>,
@@ -69,12 +69,12 @@
 }
 
 impl Client {
-    /// A client with an operator's token.
+    /// Creates a client that uses an operator's token.
     pub fn new(voters: Vec<SocketAddr>, token: String) -> Self {
         Self { voters, token }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     ///
     /// # Errors
     ///
@@ -83,7 +83,7 @@
         self.get("config").await
     }
 
-    /// The audit trail.
+    /// Returns the audit trail.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
         self.get("history").await
     }
 
-    /// How the system stands.
+    /// Returns the status of the voters.
     ///
     /// # Errors
     ///
@@ -101,7 +101,7 @@
         self.get("status").await
     }
 
-    /// What is done for the provider.
+    /// Returns the holder of the provider's tasks, the usage windows and the ordered endpoints.
     ///
     /// # Errors
     ///
@@ -110,21 +110,21 @@
         self.get("provider").await
     }
 
-    /// Asks for a change.
+    /// Submits a change.
     ///
     /// # Errors
     ///
-    /// Fails if the change was not decided; a change that was not applied is an
-    /// answer.
+    /// Fails if no voter answers, the request is refused, or it is unknown whether the change was
+    /// accepted. A change that was not applied is an answer, not an error.
     pub async fn change(&self, change: &change::Change) -> Result<change::Answer, Report<Error>> {
         let answer = self.call(Method::POST, "changes", Some(change)).await?;
         match answer.status {
             StatusCode::OK | StatusCode::CONFLICT => parse(&answer),
-            _ => Err(failed(&answer)),
+            _ => Err(failure_report(&answer)),
         }
     }
 
-    /// The zones that are cordoned.
+    /// Returns the cordoned zones.
     ///
     /// # Errors
     ///
@@ -133,7 +133,7 @@
         self.get("cordons").await
     }
 
-    /// The requests that are held back.
+    /// Returns the requests that are held back.
     ///
     /// # Errors
     ///
@@ -142,33 +142,34 @@
         self.get("held-back").await
     }
 
-    /// Takes a request back into service.
+    /// Releases a request that is held back.
     ///
     /// # Errors
     ///
-    /// Fails if no voter answers, the token is refused, or nothing is known of the request.
+    /// Fails if no voter answers, the token is refused, or the request is unknown.
     pub async fn pardon(&self, pardon: &Pardon) -> Result<(), Report<Error>> {
         let answer = self.call(Method::POST, "held-back", Some(pardon)).await?;
         if answer.status == StatusCode::OK {
             return Ok(());
         }
-        Err(failed(&answer))
+        Err(failure_report(&answer))
     }
 
     /// Cordons or uncordons a zone.
     ///
     /// # Errors
     ///
-    /// Fails if the order was not decided; one that was not applied is an answer.
+    /// Fails if no voter answers, the request is refused, or it is unknown whether the order was
+    /// accepted. An order that was not applied is an answer, not an error.
     pub async fn cordon(&self, order: &Cordon) -> Result<change::Answer, Report<Error>> {
         let answer = self.call(Method::POST, "cordons", Some(order)).await?;
         match answer.status {
             StatusCode::OK | StatusCode::CONFLICT => parse(&answer),
-            _ => Err(failed(&answer)),
+            _ => Err(failure_report(&answer)),
         }
     }
 
-    /// Asks for a change of the voters.
+    /// Submits a membership change of the voters.
     ///
     /// # Errors
     ///
@@ -178,10 +179,10 @@
         if answer.status == StatusCode::OK {
             return Ok(());
         }
-        Err(failed(&answer))
+        Err(failure_report(&answer))
     }
 
-    /// Reads something from the first voter that has it as it is in force.
+    /// Reads from the first voter whose state is up to date.
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Report<Error>> {
         let mut behind = None;
         for voter in &self.voters {
@@ -192,17 +193,17 @@
             match one.call::<()>(Method::GET, path, None).await {
                 Ok(answer) if answer.status == StatusCode::OK => return parse(&answer),
                 Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
-                    behind = Some(failed(&answer));
+                    behind = Some(failure_report(&answer));
                 }
-                Ok(answer) => return Err(failed(&answer)),
+                Ok(answer) => return Err(failure_report(&answer)),
                 Err(report) => drop(behind.get_or_insert(report)),
             }
         }
         Err(behind.unwrap_or_else(|| Report::new(Error::Unreachable)))
     }
 
-    /// Calls the first voter that can be reached. Once a voter was reached, no other
-    /// is asked: the call may have had its effect.
+    /// Calls the first voter that can be reached. Once a connection was opened, no other voter is
+    /// tried, since the call may have taken effect.
     async fn call<T: Serialize>(
         &self,
         method: Method,
@@ -214,16 +215,16 @@
             None => Vec::new(),
         };
         for voter in &self.voters {
-            let opened = tokio::time::timeout(CONNECT, TcpStream::connect(voter)).await;
+            let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(voter)).await;
             let Ok(Ok(stream)) = opened else { continue };
-            let answer = self.ask(stream, *voter, method.clone(), path, body.clone());
-            let answer = tokio::time::timeout(CALL, answer).await;
+            let answer = self.send(stream, *voter, method.clone(), path, body.clone());
+            let answer = tokio::time::timeout(CALL_TIMEOUT, answer).await;
             return answer.unwrap_or_else(|_| Err(Report::new(Error::Unknown)));
         }
         Err(Report::new(Error::Unreachable))
     }
 
-    async fn ask(
+    async fn send(
         &self,
         stream: TcpStream,
         voter: SocketAddr,
@@ -236,7 +237,7 @@
             .await
             .change_context_lazy(unknown)?;
         tokio::spawn(async move {
-            // The connection's end shows at the request.
+            // A broken connection shows as the failure of the request.
             let _ = connection.await;
         });
         let request = Request::builder()
@@ -265,21 +266,21 @@
     serde_json::from_slice(&answer.body).change_context(Error::Garbled)
 }
 
-fn failed(answer: &Answer) -> Report<Error> {
+fn failure_report(answer: &Answer) -> Report<Error> {
     let error = match answer.status {
         StatusCode::GATEWAY_TIMEOUT => Error::Unknown,
         _ => Error::Refused,
     };
-    let told: Option<Failure> = serde_json::from_slice(&answer.body).ok();
-    let why = told.map_or_else(
+    let failure: Option<Failure> = serde_json::from_slice(&answer.body).ok();
+    let why = failure.map_or_else(
         || format!("it answered {}", answer.status),
-        |told| told.error,
+        |failure| failure.error,
     );
     Report::new(error).attach(why)
 }
 
-/// The edits that make one document out of another: sets in the order of what needs
-/// what, then removals in the opposite order.
+/// Returns the edits that turn one document into another: first the sets, with each item after
+/// those that it refers to, then the removals in the opposite order.
 pub fn edits(from: &config::Document, to: &config::Document) -> Vec<change::Edit> {
     let mut edits = Vec::new();
     let mut removals = Vec::new();
@@ -309,14 +310,14 @@
     edits
 }
 
-/// A new random id.
+/// Returns a new random change id.
 pub fn new_id() -> change::Id {
     let id = format!("{:032x}", rand::random::<u128>());
-    // Hexadecimal digits are allowed in an id.
+    // Hexadecimal digits are valid in an id.
     id.parse().expect("a random id is valid")
 }
 
-/// A change under a new random id.
+/// Creates a change with a new random id.
 pub fn new_change(base: unit::Revision, why: String, edits: Vec<change::Edit>) -> change::Change {
     change::Change {
         id: new_id(),
--- a/src/scalewood/ops/reload.rs
+++ b/src/scalewood/ops/reload.rs
@@ -1,7 +1,7 @@
-//! Settings that are read again: on SIGHUP, and when the file has changed.
+//! Reloads settings on SIGHUP and when the settings file has changed.
 //!
-//! Only what can change in a running process takes effect; here that is where the
-//! voters are reached. All else is told in the log and holds from the next start on.
+//! Only the voters' addresses take effect in a running process. A change of any other setting is
+//! only logged and takes effect at the next start.
 
 use std::{
     net::SocketAddr,
@@ -16,16 +16,16 @@
     util::{settings, signal},
 };
 
-/// How often the file is looked at.
-const LOOK: Duration = Duration::from_secs(5);
+/// How often the file's modification time is checked.
+const CHECK_PERIOD: Duration = Duration::from_secs(5);
 
 /// Settings that name voters.
 pub trait Voters: settings::Settings + std::fmt::Debug + Send + 'static {
-    /// Where the voters are reached.
+    /// Returns the addresses of the voters.
     fn voters(&self) -> &[SocketAddr];
 }
 
-/// Reads settings again for ever; gives out where the voters are reached.
+/// Reloads settings for ever in the background; the receiver gets the voters' addresses.
 pub fn watch<S: Voters>(
     first: S,
     path: Option<PathBuf>,
@@ -33,32 +33,32 @@
 ) -> watch::Receiver<Vec<SocketAddr>> {
     let (sender, receiver) = watch::channel(first.voters().to_vec());
     tokio::spawn(async move {
-        let Ok(mut hangups) = signal::reloads() else {
+        let Ok(mut reloads) = signal::reloads() else {
             return;
         };
         let mut current = format!("{first:?}");
-        let mut seen = path.as_deref().and_then(modified);
+        let mut last_modified = path.as_deref().and_then(modified);
         loop {
-            let asked = tokio::select! {
-                _ = hangups.recv() => true,
-                () = tokio::time::sleep(LOOK) => false,
+            let is_requested = tokio::select! {
+                _ = reloads.recv() => true,
+                () = tokio::time::sleep(CHECK_PERIOD) => false,
             };
             let Some(path) = path.as_deref() else {
                 continue;
             };
             let now = modified(path);
-            if !asked && now == seen {
+            if !is_requested && now == last_modified {
                 continue;
             }
-            seen = now;
+            last_modified = now;
             match settings::load::<S>(path) {
                 Ok(settings) => {
                     let text = format!("{settings:?}");
-                    event!(log, SettingsReloaded, "asked" => asked, "changed" => text != current);
+                    event!(log, SettingsReloaded, "asked" => is_requested, "changed" => text != current);
                     current = text;
                     sender.send_replace(settings.voters().to_vec());
                 }
-                // What holds goes on to hold.
+                // The current settings stay in force.
                 Err(error) => event!(log, SettingsRefused, "why" => %error),
             }
         }
--- a/src/scalewood/ops/rest.rs
+++ b/src/scalewood/ops/rest.rs
@@ -1,28 +1,29 @@
-//! What an answer's head asks for in time: how long its sender wants nothing more.
+//! Reads `Retry-After` from answers: how long the sender wants no more requests.
 
 use hyper::{header, HeaderMap, StatusCode};
 
 use crate::core::rest;
 
-/// The rest that an answer asks for; a date in it is compared with the answer's own, or else with
-/// the time of day here.
+/// Returns the rest that an answer asks for. A date in `Retry-After` is compared with the answer's
+/// `Date`, or with `unix_ms`, the time of day here, if it has none.
 pub(in crate::ops) fn asked(headers: &HeaderMap, unix_ms: u64) -> rest::Asked {
     let values = headers.get_all(header::RETRY_AFTER).into_iter();
-    // What is no text is no time either.
+    // A value that is not text is passed on as one that can't be parsed as a time.
     let values = values.map(|value| value.to_str().unwrap_or("?"));
     let date = headers.get(header::DATE);
     let date = date.and_then(|date| date.to_str().ok());
     rest::read(values, date, unix_ms)
 }
 
-/// Whether an answer of this status speaks of all that its receiver may send. 503 does; 429 speaks
-/// of one caller, unless it `turned_away` what was sent before that was looked at.
+/// Returns whether `Retry-After` in an answer with this status applies to every request from its
+/// receiver. With 503 it does. With 429 it applies to one caller, unless the request was
+/// `turned_away` before its contents were examined.
 pub(in crate::ops) fn is_meant(status: StatusCode, turned_away: bool) -> bool {
     let is_busy = status == StatusCode::SERVICE_UNAVAILABLE;
     is_busy || (turned_away && status == StatusCode::TOO_MANY_REQUESTS)
 }
 
-/// What it says of that, for the log.
+/// Returns the values of `Retry-After` as text for the log.
 pub(in crate::ops) fn text(headers: &HeaderMap) -> String {
     let values = headers.get_all(header::RETRY_AFTER).into_iter();
     let values = values.map(|value| String::from_utf8_lossy(value.as_bytes()));
--- a/src/scalewood/ops/rpc.rs
+++ b/src/scalewood/ops/rpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC servers and clients as the system's processes use them.
+//! JSON-RPC servers and clients for the connections between processes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,24 +12,24 @@
 
 use crate::util::socket;
 
-/// The largest message, in bytes: a claim read-back at a busy box.
-const MAX_MESSAGE: u32 = 16 * 1024 * 1024;
+/// The largest message, in bytes. The largest in use is a claim read-back from a busy box.
+const MAX_MESSAGE_BYTES: u32 = 16 * 1024 * 1024;
 /// The most connections of a server.
 const MAX_CONNECTIONS: u32 = 2048;
 /// The most subscriptions of one connection.
 const MAX_SUBSCRIPTIONS: u32 = 16;
-/// The most messages that wait for a slow peer. What a follower has to hear beside them is put
-/// together once it takes more, so the memory for it does not grow.
-const MAX_UNSENT: u32 = 8;
-/// How long a connection may take.
-const CONNECT: Duration = Duration::from_secs(1);
-/// How long one may take at first: a box without power says nothing, and the packet that
-/// opens a connection is sent again only after a second.
-const FIRST_CONNECT: Duration = Duration::from_millis(250);
-/// How long a call may take.
-const CALL: Duration = Duration::from_secs(5);
+/// The most messages that wait for a slow peer. Updates for a follower beyond these are combined
+/// once it accepts more, so that its memory use is bounded.
+const MAX_UNSENT_MESSAGES: u32 = 8;
+/// The longest timeout for opening a connection.
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The timeout of the first attempt. A box without power does not answer at all, and TCP sends a
+/// lost SYN again only after a second.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// The timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A server or client that can't be set up.
+/// A server or client could not be set up.
 #[derive(Debug)]
 pub struct Error;
 
@@ -51,11 +51,11 @@
     methods: impl Into<Methods>,
 ) -> Result<ServerHandle, Report<Error>> {
     let config = ServerConfig::builder()
-        .max_request_body_size(MAX_MESSAGE)
-        .max_response_body_size(MAX_MESSAGE)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
         .max_connections(MAX_CONNECTIONS)
         .max_subscriptions_per_connection(MAX_SUBSCRIPTIONS)
-        .set_message_buffer_capacity(MAX_UNSENT)
+        .set_message_buffer_capacity(MAX_UNSENT_MESSAGES)
         .set_tcp_no_delay(true)
         .ws_only()
         .build();
@@ -63,7 +63,8 @@
         .await
         .change_context(Error)
         .attach_with(|| format!("{address} can't be listened on; is it in use?"))?;
-    // Accepted connections inherit it: a peer that fell silent would be told for ever.
+    // Accepted connections inherit the options. Without them, messages to a silent peer would be
+    // sent for ever.
     socket::PROCESS.end(&listener).change_context(Error)?;
     let listener = listener.into_std().change_context(Error)?;
     let server = ServerBuilder::with_config(config)
@@ -76,31 +77,31 @@
 ///
 /// # Errors
 ///
-/// Fails if nobody answers there.
+/// Fails if the process does not answer.
 pub async fn connect(address: SocketAddr) -> Result<Arc<WsClient>, Report<Error>> {
-    connect_within(address, CONNECT).await
+    connect_within(address, MAX_CONNECT_TIMEOUT).await
 }
 
-/// How long to wait for a connection after some that failed: longer each time, so that a
-/// box that is far or slow is reached too.
+/// Returns the timeout for opening a connection after a number of failures: longer each time, so
+/// that a distant or slow box is reached too.
 pub fn patience(failures: u32) -> Duration {
-    FIRST_CONNECT
+    MIN_CONNECT_TIMEOUT
         .saturating_mul(1 << failures.min(8))
-        .min(CONNECT)
+        .min(MAX_CONNECT_TIMEOUT)
 }
 
-/// Connects to a process that may be down.
+/// Connects to a process that may be down, with a timeout.
 ///
 /// # Errors
 ///
-/// Fails if nobody answers there in time.
+/// Fails if the process does not answer in time.
 pub async fn connect_within(
     address: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Arc<WsClient>, Report<Error>> {
-    let connected = tokio::time::timeout(within, open(address)).await;
-    let silent = || Report::new(Error).attach(format!("{address} does not answer"));
-    connected.unwrap_or_else(|_| Err(silent()))
+    let connected = tokio::time::timeout(timeout, open(address)).await;
+    let no_answer = || Report::new(Error).attach(format!("{address} does not answer"));
+    connected.unwrap_or_else(|_| Err(no_answer()))
 }
 
 async fn open(address: SocketAddr) -> Result<Arc<WsClient>, Report<Error>> {
@@ -110,9 +111,9 @@
     stream.set_nodelay(true).change_context(Error)?;
     socket::PROCESS.end(&stream).change_context(Error)?;
     let client = WsClientBuilder::default()
-        .request_timeout(CALL)
-        .max_request_size(MAX_MESSAGE)
-        .max_response_size(MAX_MESSAGE)
+        .request_timeout(CALL_TIMEOUT)
+        .max_request_size(MAX_MESSAGE_BYTES)
+        .max_response_size(MAX_MESSAGE_BYTES)
         .build_with_stream(format!("ws://{address}"), stream)
         .await
         .change_context(Error)
--- a/src/scalewood/ops/source.rs
+++ b/src/scalewood/ops/source.rs
@@ -1,10 +1,9 @@
-//! Giving out the configuration, and following it.
+//! Serving the configuration to followers, and following it.
 //!
-//! Voters give out what was agreed; entry boxes give on what they follow. A box
-//! follows one source and goes to the next when it falls silent. It takes only what
-//! is newer than what it has, so its revision only rises, whichever source it
-//! follows; in a zone that is cut off, the boxes take the highest revision that one
-//! of them has.
+//! Voters serve the committed configuration; entry boxes serve what they have followed. A box
+//! follows one source and switches to the next when it falls silent. It accepts only newer
+//! revisions than its own, so its revision only rises, whichever source it follows. In a zone
+//! that is partitioned off, the boxes converge on the highest revision that one of them has.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,27 +21,28 @@
     wire::source::{Piece, SourceClient as _, SourceServer, Update, PIECE},
 };
 
-/// How often a source says that it is alive.
-const ALIVE: Duration = Duration::from_secs(1);
-/// How long a source may be silent.
-const SILENCE: Duration = Duration::from_secs(3);
-/// The wait before the next source is tried: short at first.
-const NEXT: Duration = Duration::from_millis(200);
-const SOON: Duration = Duration::from_millis(50);
-/// How long a box that has just started waits for its first configuration to come by another
-/// way: some times what a voter on the same network takes.
-const FIRST: Duration = Duration::from_millis(400);
-/// Sources that fail one after another before they are tried less often.
-const SOON_TRIES: u32 = 12;
+/// How often a source sends a keep-alive.
+const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
+/// The time without an update after which a source is given up.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The wait before the next source is tried after many failures.
+const MAX_RETRY_WAIT: Duration = Duration::from_millis(200);
+/// The wait before the next source is tried at first.
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(50);
+/// How long a box that has just started waits for a first configuration from elsewhere before it
+/// follows a source: several times as long as a voter on the same network takes to send one.
+const FIRST_CONFIG_WAIT: Duration = Duration::from_millis(400);
+/// Consecutive failures after which sources are tried less often.
+const FAST_RETRIES: u32 = 12;
 
-/// Gives out a feed.
+/// Serves a feed to followers.
 #[derive(Clone, Debug)]
 pub struct Server {
     feed: Arc<feed::Feed>,
 }
 
 impl Server {
-    /// Gives out a feed.
+    /// Creates a server of a feed.
     pub fn new(feed: Arc<feed::Feed>) -> Self {
         Self { feed }
     }
@@ -57,13 +57,13 @@
         from: unit::Revision,
     ) -> SubscriptionResult {
         let sink = pending.accept().await?;
-        give(&sink, self.feed.clone(), from).await;
+        serve(&sink, self.feed.clone(), from).await;
         Ok(())
     }
 }
 
-/// Sends a subscriber all that is newer than what it has, until it goes.
-async fn give(sink: &SubscriptionSink, feed: Arc<feed::Feed>, from: unit::Revision) {
+/// Sends a subscriber all newer revisions than its own until it disconnects.
+async fn serve(sink: &SubscriptionSink, feed: Arc<feed::Feed>, from: unit::Revision) {
     let mut watch = feed.watch();
     let mut sent = from;
     loop {
@@ -76,18 +76,19 @@
         sent = sent.max(state.revision);
         tokio::select! {
             changed = watch.changed() => if changed.is_err() { return },
-            () = tokio::time::sleep(ALIVE) => {}
+            () = tokio::time::sleep(KEEPALIVE_PERIOD) => {}
             () = sink.closed() => return,
         }
     }
 }
 
+/// Sends an update; returns `None` if that failed.
 async fn send(sink: &SubscriptionSink, update: &Update) -> Option<()> {
     let raw = serde_json::value::to_raw_value(update).ok()?;
     sink.send(SubscriptionMessage::from(raw)).await.ok()
 }
 
-/// What a subscriber at a revision has to be told.
+/// Returns the updates that bring a subscriber from a revision to the current one.
 fn updates(state: &feed::State, from: unit::Revision) -> Vec<Update> {
     if state.revision <= from {
         return vec![Update::Alive(state.revision)];
@@ -99,7 +100,7 @@
     pieces(state)
 }
 
-/// A whole document, cut into pieces.
+/// Returns the whole document, split into pieces.
 fn pieces(state: &feed::State) -> Vec<Update> {
     let Some(text) = state.text() else {
         return Vec::new();
@@ -119,59 +120,59 @@
     pieces
 }
 
-/// Follows the configuration into a feed, from the first source that has it.
+/// Follows the configuration from one source at a time and publishes it to a feed.
 ///
-/// It rests while the box hears of the configuration from voters: each change would come
-/// twice, and on a link of 10 Mbit/s one that adds 1,400 routes (0.4 MB) takes 0.3 s, in which
-/// nothing else gets through. Without a voter it is what keeps boxes of a zone together.
+/// It pauses while voters send the configuration to this box themselves: else each change would
+/// arrive twice, and one that adds 1,400 routes (0.4 MB) blocks a link of 10 Mbit/s for 0.3 s.
+/// Without a voter, this is what keeps the boxes of a zone on the same revision.
 #[derive(Debug)]
 pub struct Follower {
-    /// The box that follows.
+    /// This box.
     pub own: name::Box,
-    /// Where the voters are reached, the preferred one first.
+    /// The voters' addresses, the preferred one first.
     pub voters: Vec<SocketAddr>,
-    /// Where the configuration goes.
+    /// The feed to which the configuration is published.
     pub feed: Arc<feed::Feed>,
-    /// How many voters tell this box of the configuration.
+    /// How many voters send the configuration to this box.
     pub voters_heard: watch::Receiver<u32>,
     /// The log.
     pub log: slog::Logger,
 }
 
 impl Follower {
-    /// Waits for a moment until the box has a configuration by another way: a voter of its own
-    /// zone gives a whole one out at less cost than the voters named here, which would each
-    /// have to give it to a part of all boxes, and hold as many copies.
+    /// Waits briefly for the box to get a first configuration from elsewhere. A voter of its own zone
+    /// sends a whole document at less cost than the voters named here, each of which would have to
+    /// send it to a share of all boxes and hold as many copies.
     async fn wait_for_first(&self) {
         let mut watch = self.feed.watch();
         let has_any = watch.wait_for(|state| state.revision > unit::Revision(0));
-        // Without any it begins here.
-        let _ = tokio::time::timeout(FIRST, has_any).await;
+        // After a timeout the box follows a source.
+        let _ = tokio::time::timeout(FIRST_CONFIG_WAIT, has_any).await;
     }
 
-    /// Waits until so many voters are heard that a condition holds.
+    /// Waits until a condition holds for the number of voters that send the configuration.
     async fn wait_for_voters(&self, holds: impl Fn(u32) -> bool) {
         let mut heard = self.voters_heard.clone();
         if heard.wait_for(|heard| holds(*heard)).await.is_err() {
-            // The box stops, and this with it.
+            // The sender is gone because the box is stopping.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Follows for ever.
+    /// Follows sources for ever.
     pub async fn run(self) {
         self.wait_for_first().await;
-        // Boxes begin with different voters, so that none has to give to all at once.
+        // Boxes start with different voters, so that no voter has to serve all boxes at once.
         let mut turn = rendezvous::hash(&[self.own.as_str()]) as usize % self.voters.len().max(1);
         let mut failures = 0;
         loop {
             self.wait_for_voters(|heard| heard == 0).await;
             let sources = self.sources();
             let source = sources[turn % sources.len()];
-            let within = rpc::patience(failures / 6);
+            let timeout = rpc::patience(failures / 6);
             failures += 1;
             let followed = tokio::select! {
-                followed = self.follow(source, within) => followed,
+                followed = self.follow(source, timeout) => followed,
                 () = self.wait_for_voters(|heard| heard > 0) => None,
             };
             if let Some(reached) = followed {
@@ -179,12 +180,16 @@
                 event!(self.log, SourceLost, "source" => %source, "revision" => %reached);
             }
             turn += 1;
-            let wait = if failures < SOON_TRIES { SOON } else { NEXT };
+            let wait = if failures < FAST_RETRIES {
+                MIN_RETRY_WAIT
+            } else {
+                MAX_RETRY_WAIT
+            };
             tokio::time::sleep(wait).await;
         }
     }
 
-    /// The voters, then the peers of this box's zone, then all others.
+    /// Returns the voters, then the other boxes of this box's zone, then those of other zones.
     fn sources(&self) -> Vec<SocketAddr> {
         let state = self.feed.current();
         let own_zone = state
@@ -203,36 +208,39 @@
         self.voters.iter().copied().chain(peers).collect()
     }
 
-    /// Follows one source until it falls silent; nothing if it was never reached.
-    async fn follow(&self, source: SocketAddr, within: Duration) -> Option<unit::Revision> {
-        let client = rpc::connect_within(source, within).await.ok()?;
+    /// Follows one source until it falls silent, then returns the revision reached. Returns `None` if
+    /// the source could not be followed.
+    async fn follow(&self, source: SocketAddr, timeout: Duration) -> Option<unit::Revision> {
+        let client = rpc::connect_within(source, timeout).await.ok()?;
         let from = self.feed.current().revision;
         let mut updates = client.follow(self.own.clone(), from).await.ok()?;
         event!(self.log, SourceFound, "source" => %source, "revision" => %from);
-        self.take_all(&mut updates).await;
+        self.apply_all(&mut updates).await;
         Some(self.feed.current().revision)
     }
 
-    async fn take_all(&self, updates: &mut Subscription<Update>) {
+    /// Applies updates until the source falls silent or is not worth following.
+    async fn apply_all(&self, updates: &mut Subscription<Update>) {
         let mut text = String::new();
         loop {
-            let next = tokio::time::timeout(SILENCE, updates.next()).await;
+            let next = tokio::time::timeout(SILENCE_TIMEOUT, updates.next()).await;
             let Ok(Some(Ok(update))) = next else { return };
-            if !self.take(update, &mut text) {
+            if !self.apply(update, &mut text) {
                 return;
             }
         }
     }
 
-    /// Takes one update; false if the source is not worth following on.
-    fn take(&self, update: Update, text: &mut String) -> bool {
+    /// Applies one update; returns false if the source is behind, skipped a revision or sent an
+    /// invalid document.
+    fn apply(&self, update: Update, text: &mut String) -> bool {
         let before = self.feed.current().revision;
         match update {
             Update::Alive(revision) => return revision >= before,
             Update::Step(step) => {
                 let revision = step.revision;
                 if !self.feed.publish_step(step) {
-                    // Another source may have brought it meanwhile.
+                    // The same revision may have arrived from elsewhere in the meantime.
                     return revision <= before;
                 }
             }
