--- a/src/scalewood/board/entry.rs
+++ b/src/scalewood/board/entry.rs
@@ -1,4 +1,4 @@
-//! The facts of an entry box.
+//! The shared state of an entry box.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -26,18 +26,18 @@
     wire::peer::Load,
 };
 
-/// What this box is, from its settings.
+/// The identity of this box and the settings that describe it.
 #[derive(Clone, Debug)]
 pub struct Own {
-    /// Its name.
+    /// The box's name.
     pub name: name::Box,
-    /// Its availability zone.
+    /// The box's availability zone.
     pub zone: name::Zone,
-    /// The availability zones that are known beforehand, with their regions.
+    /// The availability zones that the settings name, with their regions.
     pub regions: region::Map,
-    /// How far requests to endpoints that warm up may go beyond what these bear.
+    /// By how much requests to warming endpoints may exceed what these can handle.
     pub leeway: warm_up::Leeway,
-    /// Which start of the box this is.
+    /// The number of this start of the box.
     pub incarnation: unit::Incarnation,
 }
 
@@ -46,30 +46,30 @@
 pub struct Ticket {
     /// The service.
     pub service: name::Service,
-    /// The zone whose dispatcher is asked.
+    /// The zone whose dispatcher is asked for a slot.
     pub zone: name::Zone,
     /// The dispatcher that was asked last.
     pub dispatcher: Option<name::Box>,
-    /// What was asked for; its age counts from `asked_at`.
+    /// The request for a slot. Its age is as of `asked_at`.
     pub ask: dispatch::Ask,
-    /// What says where it may be served.
+    /// What determines the zones in which it may be served.
     pub source: residency::Source,
-    /// When it was asked for.
+    /// When the request for a slot was made.
     pub asked_at: Duration,
-    /// The endpoint that it runs at, and since when.
+    /// The endpoint at which it runs, and since when.
     pub held: Option<(name::Endpoint, Duration)>,
     /// Tokens that this attempt has delivered.
     pub tokens: unit::Tokens,
-    /// Where orders go.
+    /// The queue for the dispatcher's orders to this request.
     pub orders: mpsc::UnboundedSender<dispatch::Order>,
 }
 
 impl Ticket {
-    /// Brings it up to where a configuration allows it to be served, if it waits; what its
-    /// dispatcher has to be told, if that changed.
+    /// Applies a configuration's rules on where this request may be served, if it is waiting. Returns
+    /// the reports for its dispatcher if that changed.
     ///
-    /// The dispatcher forgets the attempt, also if it has just granted it, and is asked under
-    /// the next number: no grant by the configuration before is used.
+    /// The reports end the attempt, even if a grant for it is on its way, and ask again under the
+    /// next attempt number, so that no grant under the previous configuration is used.
     pub fn renew_residency(
         &mut self,
         document: &config::Document,
@@ -85,10 +85,10 @@
         Some([end, self.tell_anew(now)])
     }
 
-    /// What a dispatcher that knows nothing of it has to be told.
+    /// Returns the report that informs a dispatcher that does not know this request.
     ///
-    /// A request that waits is asked for under the next number: a grant for the last one
-    /// may be on its way, and the dispatcher will give another.
+    /// A waiting request gets the next attempt number: a grant for the previous one may be on its
+    /// way, and the new dispatcher will issue another.
     pub fn tell_anew(&mut self, now: Duration) -> dispatch::Report {
         if self.held.is_none() {
             self.ask.attempt = self.ask.attempt.next();
@@ -107,22 +107,22 @@
     }
 }
 
-/// The buckets of a team in use.
+/// The token buckets of a team's limits.
 #[derive(Debug)]
 pub struct Buckets {
-    /// Requests.
+    /// The bucket for requests.
     pub requests: Option<limit::Bucket>,
-    /// Model tokens.
+    /// The bucket for model tokens.
     pub tokens: Option<limit::Bucket>,
 }
 
-/// A report for another box's dispatcher.
+/// A report to another box's dispatcher, and the dispatcher's service.
 pub type Told = (name::Service, dispatch::Report);
 
-/// The facts of an entry box.
+/// The shared state of an entry box.
 #[derive(Debug)]
 pub struct Board<C> {
-    /// What this box is.
+    /// This box's identity.
     pub own: Own,
     /// The clock.
     pub clock: C,
@@ -130,88 +130,90 @@
     pub log: slog::Logger,
     /// The metrics.
     pub metrics: metric::Metrics,
-    /// The configuration as it is followed.
+    /// The configuration as this box receives it and serves it to others.
     pub feed: Arc<feed::Feed>,
-    /// The configuration as requests need it.
+    /// The configuration as request handling uses it.
     pub view: ArcSwap<view::View>,
     /// Open requests.
     pub tickets: Sharded<attempt::Request, Ticket>,
-    /// Dispatchers that this box holds.
+    /// The dispatchers that run on this box.
     pub dispatchers: Sharded<name::Service, dispatch::Dispatcher>,
-    /// Limits of the teams in use.
+    /// The buckets of the teams that are in use.
     pub limits: Sharded<name::Team, Buckets>,
-    /// Retry budgets.
+    /// The retry budgets.
     pub budgets: Sharded<name::Service, retry::Budget>,
     /// The zone's membership.
     pub members: Mutex<member::Members>,
-    /// The boxes of the zone that are alive, this one included.
+    /// The live boxes of the zone, including this one.
     pub alive: ArcSwap<Vec<name::Box>>,
-    /// Claims that this box holds.
+    /// The claims that this box holds.
     pub claims: Mutex<claim::Holder>,
-    /// Loads of dispatchers, with the time at which they were measured.
+    /// The loads of dispatchers, with the time of their measurement.
     pub loads: Mutex<BTreeMap<(name::Service, name::Zone), (Load, Duration)>>,
-    /// Queues towards other boxes' dispatchers.
+    /// The queues of reports to other boxes' dispatchers.
     pub links: Mutex<HashMap<name::Box, mpsc::UnboundedSender<Told>>>,
-    /// Subscribers to the orders of the dispatchers here.
+    /// The boxes that are subscribed to the orders of this box's dispatchers.
     pub subscribers: Mutex<HashMap<name::Box, mpsc::UnboundedSender<dispatch::Order>>>,
-    /// Dispatchers of other boxes that have gone with what they were told.
+    /// The dispatchers of other boxes that were lost, with the reports they had received.
     pub gone: Mutex<BTreeSet<(name::Box, name::Service)>>,
-    /// Endpoints that announced themselves.
+    /// The endpoints that registered themselves.
     pub registry: Mutex<registry::Registry>,
-    /// When zones were uncordoned.
+    /// When each zone was uncordoned.
     pub uncordoned: Mutex<warm_up::Uncordoned>,
-    /// The warm-ups that are believed in, and until when.
+    /// The endpoints that are assumed to be warming up, and until when.
     pub warming: Mutex<BTreeMap<name::Endpoint, Duration>>,
-    /// How fast endpoints go, as this box measures it.
+    /// The speeds of endpoints as this box measures them.
     pub paces: Mutex<pace::Meters>,
-    /// The endpoints that rest from this box.
+    /// The endpoints that want no requests from this box for a time.
     pub rests: Mutex<rest::Book>,
-    /// The limits that endpoints set to requests from all boxes together.
+    /// The limits that endpoints set on the requests from all boxes together.
     pub throttles: Mutex<throttle::Book>,
-    /// The requests under which endpoints have ended.
+    /// The requests during which endpoints have crashed.
     pub crashes: Mutex<crash::Book>,
-    /// Whether a voter has told which requests are held back since this process started.
+    /// Whether a voter has sent the list of held-back requests since this process started.
     pub held_back_known: AtomicBool,
-    /// Wakes requests that wait when others than before are held back.
+    /// Wakes waiting requests when the set of held-back requests changes.
     pub held_back: watch::Sender<usize>,
-    /// When the last exchange with a voter that was answered had begun.
+    /// The start of the last exchange with a voter that was answered.
     pub exchanged: watch::Sender<Duration>,
-    /// Has the next exchange with a voter begin at once.
+    /// Makes the next exchange with a voter begin at once.
     pub exchange_now: Notify,
-    /// The requests that endpoints have begun for this box, by team and window.
+    /// The number of requests that endpoints have begun for this box, by team and window.
     pub usage: Mutex<usage::Tally>,
-    /// The time of day that the voters agree on.
+    /// This box's estimate of the time of day that the voters agree on.
     pub wall: Mutex<wall::Follower>,
-    /// Tells this start of the process from others of the same box.
+    /// A random number that distinguishes this start of the process from others of the same box.
     pub start: u64,
-    /// How many voters' registries are followed.
+    /// The number of voters whose registries this box follows.
     pub links_up: watch::Sender<u32>,
-    /// Since when at least one voter's registry is followed, if any is.
+    /// Since when this box has followed at least one voter's registry, if it does.
     pub linked_since: Mutex<Option<Duration>>,
-    /// How many boxes use the same endpoints, this one included; 0 if that is not known.
+    /// The number of boxes that use the same endpoints, including this one; 0 if unknown.
     pub sharers: AtomicU32,
-    /// Which configuration the voters that are followed tell of, and who was asked for it.
+    /// The configuration revisions that followed voters announce, and which voter was asked for one.
     pub catchup: Mutex<catchup::Catchup>,
-    /// Wakes the fetcher when a voter tells of a newer configuration.
+    /// Wakes the fetcher when a voter announces a newer configuration.
     pub told: Notify,
-    /// Whether this box is about to stop.
+    /// Whether this box is draining before it stops.
     pub draining: AtomicBool,
-    /// Whether callers' connections can be taken.
+    /// Whether this box can accept connections from callers.
     pub accepts: AtomicBool,
-    /// Whether this box takes new work.
+    /// Whether this box accepts new requests.
     pub ready: AtomicBool,
-    pulse: AtomicU64,
-    stale_until: AtomicU64,
+    /// When `beat` was last called, in milliseconds of the board's clock.
+    last_beat_ms: AtomicU64,
+    /// Until when messages may be out of date, in milliseconds of the board's clock.
+    stale_until_ms: AtomicU64,
     freezes: AtomicU64,
 }
 
-/// A gap in the pulse after which the process counts as having been frozen.
-const FREEZE: Duration = Duration::from_millis(1000);
-/// How long after a freeze grants are not trusted.
-const DISTRUST: Duration = Duration::from_millis(500);
+/// The time without a call to `beat` after which the process counts as having been frozen.
+const MIN_FREEZE: Duration = Duration::from_millis(1000);
+/// How long after a freeze messages such as grants are treated as possibly out of date.
+const STALE_AFTER_FREEZE: Duration = Duration::from_millis(500);
 
 impl<C: Clock> Board<C> {
-    /// A board with nothing on it.
+    /// Creates the state of a box that has just started.
     pub fn new(
         own: Own,
         clock: C,
@@ -268,38 +270,38 @@
             draining: AtomicBool::new(false),
             accepts: AtomicBool::new(true),
             ready: AtomicBool::new(false),
-            pulse: AtomicU64::new(millis(now)),
-            stale_until: AtomicU64::new(0),
+            last_beat_ms: AtomicU64::new(millis(now)),
+            stale_until_ms: AtomicU64::new(0),
             freezes: AtomicU64::new(0),
         }
     }
 
-    /// Notes that the process runs; a long gap means that it was frozen.
+    /// Records that the process is running; a long gap between calls means that it was frozen.
     pub fn beat(&self) {
         let now = self.clock.now();
-        let last = self.pulse.swap(millis(now), Ordering::Relaxed);
-        if millis(now).saturating_sub(last) > millis(FREEZE) {
+        let last = self.last_beat_ms.swap(millis(now), Ordering::Relaxed);
+        if millis(now).saturating_sub(last) > millis(MIN_FREEZE) {
             self.freezes.fetch_add(1, Ordering::Relaxed);
-            self.stale_until
-                .store(millis(now + DISTRUST), Ordering::Relaxed);
+            self.stale_until_ms
+                .store(millis(now + STALE_AFTER_FREEZE), Ordering::Relaxed);
         }
     }
 
-    /// How often the process was frozen for long.
+    /// Returns how many times the process was frozen.
     pub fn freezes(&self) -> u64 {
         self.freezes.load(Ordering::Relaxed)
     }
 
-    /// Whether a message that is read now may be long out of date, because the process
-    /// was frozen while it waited to be read.
+    /// Returns whether a message that is read now may be out of date, because the process was frozen
+    /// while it waited to be read.
     pub fn may_be_stale(&self) -> bool {
         let now = millis(self.clock.now());
-        let gap = now.saturating_sub(self.pulse.load(Ordering::Relaxed));
-        gap > millis(FREEZE) || now < self.stale_until.load(Ordering::Relaxed)
+        let gap = now.saturating_sub(self.last_beat_ms.load(Ordering::Relaxed));
+        gap > millis(MIN_FREEZE) || now < self.stale_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Whether an endpoint's zone is cordoned by the newest configuration here, which the
-    /// dispatchers may not have yet.
+    /// Returns whether an endpoint's zone is cordoned in the newest configuration of this box, which
+    /// the dispatchers may not have received yet.
     pub fn is_cordoned(&self, endpoint: &name::Endpoint) -> bool {
         let document = self.feed.current().document.clone();
         if document.cordoned.is_empty() {
@@ -313,14 +315,14 @@
         registered.is_some_and(|record| document.cordoned.contains(&record.zone))
     }
 
-    /// How much longer an endpoint rests from this box, if it does.
+    /// Returns how much longer an endpoint wants no requests from this box, if it asked for that.
     pub fn rest_left(&self, endpoint: &name::Endpoint) -> Option<Duration> {
         let start = self.start_of(endpoint);
         lock(&self.rests).left(endpoint, start, self.clock.now())
     }
 
-    /// Brings what is told of a rest up to the start of its endpoint that is known now; whether that
-    /// rests.
+    /// Updates a rest to the known start of its endpoint and the time that is left; returns whether
+    /// the rest still applies.
     pub fn renew_rest(&self, told: &mut rest::Told) -> bool {
         let Some(left) = self.rest_left(&told.endpoint) else {
             return false;
@@ -330,39 +332,39 @@
         true
     }
 
-    /// The limit that an endpoint sets to requests from all boxes together, if it has one.
+    /// Returns the limit that an endpoint sets on the requests from all boxes together, if any.
     pub fn limit_of(&self, endpoint: &name::Endpoint) -> Option<throttle::Limit> {
         let start = self.start_of(endpoint);
         lock(&self.throttles).limit(endpoint, start)
     }
 
-    /// Which start of an endpoint is known; none where endpoints tell none.
+    /// Returns the known start of an endpoint, or `None` if the endpoint reports none.
     pub fn start_of(&self, endpoint: &name::Endpoint) -> registry::Start {
         lock(&self.registry)
             .get(endpoint)
             .and_then(|record| record.incarnation)
     }
 
-    /// Whether an endpoint that announced itself is known here to leave.
+    /// Returns whether a registered endpoint is known here to be leaving.
     pub fn is_leaving(&self, endpoint: &name::Endpoint) -> bool {
         let registry = lock(&self.registry);
         let known = registry.get(endpoint);
         known.is_some_and(|record| record.state == registry::State::Leaving)
     }
 
-    /// Counts a request that an endpoint has begun.
+    /// Counts a request that an endpoint has begun in a team's usage.
     pub fn count_usage(&self, team: &name::Team) {
         let now = self.clock.now();
         let unix_ms = lock(&self.wall).unix_ms(self.clock.unix_ms(), now);
         lock(&self.usage).count(team, unix_ms);
     }
 
-    /// Whether this box is about to stop.
+    /// Returns whether this box is draining before it stops.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// The link queue towards a box, if a link is kept.
+    /// Returns the queue of reports to another box, if there is a link to it.
     pub fn link(&self, to: &name::Box) -> Option<mpsc::UnboundedSender<Told>> {
         lock(&self.links).get(to).cloned()
     }
--- a/src/scalewood/board/feed.rs
+++ b/src/scalewood/board/feed.rs
@@ -1,7 +1,7 @@
-//! The configuration as it is followed and given on.
+//! The configuration as a process receives it and serves it to others.
 //!
-//! Voters write what was agreed, entry boxes what they have followed; in both,
-//! subscribers are served from here, by differences where these are remembered.
+//! Voters publish the committed configuration here, entry boxes the one that they follow. Both serve
+//! subscribers from here, with steps between revisions if they are still kept.
 
 use std::{
     collections::VecDeque,
@@ -12,36 +12,36 @@
 
 use crate::core::{change, config, invariant, unit};
 
-/// How many steps are remembered.
-const RECENT: usize = 256;
-/// How many items all remembered steps may touch together, so that a few large ones take no
-/// more memory than a document does.
-const RECENT_ITEMS: usize = 20_000;
+/// The most steps that are kept.
+const MAX_STEPS: usize = 256;
+/// The most items that all kept steps may change in total, so that a few large steps take no more
+/// memory than a document does.
+const MAX_STEP_ITEMS: usize = 20_000;
 
-/// A configuration and the steps that led to it.
+/// A configuration and the latest steps that led to it.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// The revision; 0 is the empty configuration, which is in force nowhere.
+    /// The revision; 0 is the empty configuration of a process that has received none yet.
     pub revision: unit::Revision,
     /// The document.
     pub document: Arc<config::Document>,
     recent: VecDeque<Arc<change::Step>>,
-    /// The document's text, once it was asked for.
+    /// The document as JSON, set at the first request for it.
     text: OnceLock<Option<Arc<str>>>,
 }
 
 impl State {
-    /// The document as JSON. It is made once for all that follow: after a loss of power
+    /// Returns the document as JSON. It is encoded once for all subscribers: after a power failure
     /// hundreds of boxes ask for it at the same moment.
     pub fn text(&self) -> Option<Arc<str>> {
         let text = self.text.get_or_init(|| {
-            // A document of plain data always has a text.
+            // Encoding can't fail: a document is plain data.
             serde_json::to_string(&self.document).ok().map(Arc::from)
         });
         text.clone()
     }
 
-    /// The steps that lead here from a revision, if they are all remembered.
+    /// Returns the steps from a revision to this one, if all of them are kept.
     pub fn since(&self, from: unit::Revision) -> Option<Vec<Arc<change::Step>>> {
         let newer = self.recent.iter().skip_while(|step| step.base < from);
         let newer: Vec<_> = newer.cloned().collect();
@@ -49,13 +49,13 @@
         (first.unwrap_or(self.revision) == from).then_some(newer)
     }
 
-    /// The state after a step.
+    /// Returns the state after a step.
     fn after(&self, step: change::Step, document: Arc<config::Document>) -> Self {
         let revision = step.revision;
         let mut recent = self.recent.clone();
         recent.push_back(Arc::new(step));
         let mut items: usize = recent.iter().map(|step| step.len()).sum();
-        while recent.len() > RECENT || items > RECENT_ITEMS {
+        while recent.len() > MAX_STEPS || items > MAX_STEP_ITEMS {
             let Some(oldest) = recent.pop_front() else {
                 break;
             };
@@ -70,7 +70,7 @@
     }
 }
 
-/// The configuration, with a way to wait for a newer one.
+/// The current configuration, with notification of newer ones.
 #[derive(Debug)]
 pub struct Feed {
     sender: watch::Sender<Arc<State>>,
@@ -85,17 +85,17 @@
 }
 
 impl Feed {
-    /// The configuration as it is now.
+    /// Returns the current configuration.
     pub fn current(&self) -> Arc<State> {
         self.sender.borrow().clone()
     }
 
-    /// Waits for changes.
+    /// Returns a receiver that is notified of newer configurations.
     pub fn watch(&self) -> watch::Receiver<Arc<State>> {
         self.sender.subscribe()
     }
 
-    /// Publishes a whole document, if it is newer.
+    /// Publishes a whole document; returns false if it is not newer than the current one.
     pub fn publish_whole(&self, revision: unit::Revision, document: Arc<config::Document>) -> bool {
         self.publish(|old| {
             if revision <= old.revision {
@@ -114,7 +114,8 @@
         })
     }
 
-    /// Publishes the step to a later revision; false if it does not start here.
+    /// Publishes a step to a later revision; returns false if it does not start at the current
+    /// revision.
     pub fn publish_step(&self, step: change::Step) -> bool {
         self.publish(|old| {
             if step.base != old.revision || step.revision <= old.revision {
@@ -126,6 +127,8 @@
         })
     }
 
+    /// Replaces the current state with the newer one that `make` returns, if any; returns whether it
+    /// did.
     fn publish(&self, make: impl FnOnce(&State) -> Option<State>) -> bool {
         self.sender.send_if_modified(|current| {
             let Some(newer) = make(current) else {
--- a/src/scalewood/board/mod.rs
+++ b/src/scalewood/board/mod.rs
@@ -1,8 +1,7 @@
-//! The blackboard: the facts of one process that its controllers read and write.
+//! The blackboard: the shared state of one process, which its controllers read and write.
 //!
-//! No controller calls another. Each reads facts here, decides through `core`, and
-//! writes facts here; state that many requests touch stands in shards, each under
-//! its own lock.
+//! Controllers do not call each other. Each reads state here, decides with the functions of `core`,
+//! and writes state here. State that many requests use is sharded, each shard under its own lock.
 
 pub mod feed;
 
--- a/src/scalewood/board/view.rs
+++ b/src/scalewood/board/view.rs
@@ -1,4 +1,4 @@
-//! The configuration as requests need it: looked up, compiled, indexed.
+//! The configuration in the form that request handling needs: indexed, with compiled policies.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,7 +7,7 @@
 
 use crate::core::{claim, config, dispatch, name, policy, region, registry, route, secret, unit};
 
-/// A revision of the configuration with its indexes.
+/// A revision of the configuration, with indexes.
 #[derive(Debug, Default)]
 pub struct View {
     /// The revision.
@@ -17,12 +17,12 @@
     teams: HashMap<secret::Hash, name::Team>,
     models: HashMap<String, name::Service>,
     programs: HashMap<name::Service, policy::Program>,
-    /// The routes, indexed.
+    /// The indexed routes.
     pub table: route::Table,
 }
 
 impl View {
-    /// Indexes a revision.
+    /// Builds the indexes of a revision.
     pub fn new(revision: unit::Revision, document: Arc<config::Document>) -> Self {
         let teams = document
             .teams
@@ -52,28 +52,28 @@
         }
     }
 
-    /// Whether nobody has configured yet what is served; zones may be cordoned before that.
+    /// Returns whether nothing is configured yet. Zones may be cordoned before that.
     pub fn is_unconfigured(&self) -> bool {
         self.revision == unit::Revision(0) || self.document.is_empty()
     }
 
-    /// The team that a token belongs to.
+    /// Returns the team to which a token belongs.
     pub fn team(&self, token: &str) -> Option<(&name::Team, &config::Team)> {
         let name = self.teams.get(&secret::Hash::of(token))?;
         self.document.teams.get_key_value(name)
     }
 
-    /// The service that serves a model.
+    /// Returns the service that serves a model.
     pub fn service_of(&self, model: &str) -> Option<&name::Service> {
         self.models.get(model)
     }
 
-    /// The policy program of a service.
+    /// Returns the policy program of a service.
     pub fn program(&self, service: &name::Service) -> Option<&policy::Program> {
         self.programs.get(service)
     }
 
-    /// The endpoints of a service in a zone.
+    /// Returns the configured endpoints of a service in a zone.
     pub fn endpoints<'a>(
         &'a self,
         service: &'a name::Service,
@@ -83,8 +83,8 @@
         endpoints.filter(move |(_, e)| e.service == *service && e.zone == *zone)
     }
 
-    /// What a dispatcher of a service in a zone is configured with: its configured
-    /// endpoints there, and the registered ones of all zones.
+    /// Returns the input that configures the dispatcher of a service in a zone: the configured
+    /// endpoints in that zone, the registered ones of all zones, and the classes.
     pub fn dispatch_input(
         &self,
         service: &name::Service,
@@ -97,7 +97,9 @@
             .filter(|(record, _)| record.service == *service);
         let memory = self.memory(service);
         let displaced = registry.displaced();
-        let registered = in_turns(registered.collect()).into_iter().enumerate();
+        let registered = interleave_zones(registered.collect())
+            .into_iter()
+            .enumerate();
         let registered = registered.map(|(place, (record, slow))| dispatch::Spec {
             place,
             slow,
@@ -120,13 +122,13 @@
         let specs = specs.chain(registered);
         let classes = self.document.classes_of(service);
         let classes: BTreeMap<_, _> = classes
-            .map(|(key, class)| (key.class.clone(), self.ranked(class)))
+            .map(|(key, class)| (key.class.clone(), self.with_rank(class)))
             .collect();
         dispatch::Input::Configure(specs.collect(), classes)
     }
 
-    /// What a dispatcher of a service in a zone has to know of registered endpoints that changed, or
-    /// went, after a stamp of the registry.
+    /// Returns the input that tells the dispatcher of a service in a zone which registered endpoints
+    /// changed or were removed after a stamp of the registry.
     pub fn changed_input(
         &self,
         service: &name::Service,
@@ -152,12 +154,14 @@
         dispatch::Input::Changed(specs, gone.cloned().collect())
     }
 
+    /// Returns the KV cache capacity of a service's endpoints, in tokens, if configured.
     fn memory(&self, service: &name::Service) -> Option<unit::Tokens> {
         let routing = self.document.routing.as_deref()?;
         routing.services.get(service)?.memory
     }
 
-    /// A registered endpoint as a dispatcher of a zone sees it by itself.
+    /// Returns the specification of a registered endpoint for a dispatcher of a zone, without what
+    /// depends on other endpoints.
     fn spec(
         &self,
         record: &registry::Record,
@@ -181,9 +185,9 @@
         }
     }
 
-    /// A class as dispatchers compare it with requests. These come with a rank where there are
-    /// routes, so the class gets its least urgent one.
-    fn ranked(&self, class: &config::Class) -> config::Class {
+    /// Returns a class with a tier that dispatchers can compare with requests. If there are routes,
+    /// requests carry a rank in place of a tier, so the class gets its least urgent rank.
+    fn with_rank(&self, class: &config::Class) -> config::Class {
         let tier = match self.document.routing {
             Some(_) => self.table.least_rank(class.tier),
             None => class.tier,
@@ -194,7 +198,7 @@
         }
     }
 
-    /// What is said of sending new work to the endpoints of a zone.
+    /// Returns the restrictions on sending new requests to the endpoints of a zone.
     fn standing(&self, zone: &name::Zone, regions: &region::Map) -> dispatch::Standing {
         dispatch::Standing {
             cordoned: self.document.cordoned.contains(zone),
@@ -203,7 +207,7 @@
         }
     }
 
-    /// The configured boxes with their zones.
+    /// Returns the configured boxes with their zones.
     pub fn box_zones(&self) -> BTreeMap<name::Box, name::Zone> {
         let boxes = self.document.boxes.iter();
         boxes
@@ -211,7 +215,7 @@
             .collect()
     }
 
-    /// The boxes of a zone.
+    /// Returns the configured boxes of a zone.
     pub fn boxes_of<'a>(&'a self, zone: &'a name::Zone) -> impl Iterator<Item = &'a name::Box> {
         let boxes = self.document.boxes.iter();
         boxes
@@ -219,26 +223,26 @@
             .map(|(name, _)| name)
     }
 
-    /// The holders of a key.
+    /// Returns the boxes that hold the claims of a key.
     pub fn holders(&self, key: claim::Key) -> Vec<name::Box> {
         claim::holders(key, &self.box_zones())
     }
 }
 
-/// Endpoints in an order that is the same for all boxes: the first of each zone, then the
-/// second, and so on. Beside each stands whether it is slow.
-fn in_turns(mut graded: Vec<(&registry::Record, bool)>) -> Vec<(&registry::Record, bool)> {
+/// Sorts endpoints into an order that is the same at all boxes and alternates between zones: the
+/// first endpoint of each zone, then the second, and so on. The flag is whether it is slow.
+fn interleave_zones(mut graded: Vec<(&registry::Record, bool)>) -> Vec<(&registry::Record, bool)> {
     graded.sort_by_key(|(record, _)| (&record.zone, &record.name));
-    let mut turns: BTreeMap<&name::Zone, usize> = BTreeMap::new();
+    let mut counts: BTreeMap<&name::Zone, usize> = BTreeMap::new();
     let mut placed: Vec<_> = graded
         .into_iter()
         .map(|(record, slow)| {
-            let turn = turns.entry(&record.zone).or_default();
-            *turn += 1;
-            (*turn, record, slow)
+            let position = counts.entry(&record.zone).or_default();
+            *position += 1;
+            (*position, record, slow)
         })
         .collect();
-    placed.sort_by_key(|(turn, record, _)| (*turn, &record.zone));
+    placed.sort_by_key(|(position, record, _)| (*position, &record.zone));
     let placed = placed.into_iter();
     placed.map(|(_, record, slow)| (record, slow)).collect()
 }
