--- a/src/scalewood/lib.rs
+++ b/src/scalewood/lib.rs
@@ -1,15 +1,15 @@
 //! scalewood routes language-model traffic, and plain services beside it, by
 //! service level and priority.
 //!
-//! The library is layered so that every decision can be run without a network:
+//! The library is layered so that every decision can be tested without a network:
 //!
-//! - [`core`] holds what things are and how decisions are made. It does no I/O
-//!   and has no clock; every call is given the time.
-//! - [`board`] holds the facts of one process, in shards under their own locks.
-//! - [`ops`] holds the controllers, which read the board, decide through
-//!   `core`, act, and write the board.
-//! - [`wire`] holds the messages between processes and the HTTP edges.
-//! - [`store`] holds what is kept on disk.
+//! - [`core`] holds the data types and the decision logic. It does no I/O and reads no clock;
+//!   callers pass the time.
+//! - [`board`] holds the shared state of a process, in shards with a lock each.
+//! - [`ops`] holds the controllers, which read the board, decide by `core`, act, and update the
+//!   board.
+//! - [`wire`] holds the messages between processes and the bodies of the administration API.
+//! - [`store`] holds the voters' storage on disk.
 //! - [`util`] holds the clock, settings, log events and metrics.
 
 pub mod board;
--- a/src/scalewood/store/folder.rs
+++ b/src/scalewood/store/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder on a real disk.
+//! The data folder in the file system.
 
 use std::{
     collections::HashMap,
@@ -9,21 +9,22 @@
 
 use crate::store::media;
 
-/// A folder on disk.
+/// A folder on disk, locked for this process.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
+    /// The files that are open for appending, by name.
     open: HashMap<String, File>,
-    /// Held while the folder is open, so that no second process uses it.
+    /// The lock file; it stays locked while the folder is open, so that no second process uses it.
     _lock: File,
 }
 
 impl Folder {
-    /// Opens a folder for this process alone; makes it if there is none.
+    /// Opens a folder for exclusive use and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails if the folder can't be made or another process uses it.
+    /// Fails if the folder can't be created or another process uses it.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         let lock = File::create(path.join("lock"))?;
@@ -40,6 +41,7 @@
         })
     }
 
+    /// Returns a file that is open for appending; creates it if it does not exist.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open.contains_key(name) {
             let path = self.path.join(name);
@@ -52,7 +54,7 @@
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Makes the folder's entries last.
+    /// Syncs the folder itself, so that created and renamed files survive a loss of power.
     fn sync_folder(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
--- a/src/scalewood/store/hints.rs
+++ b/src/scalewood/store/hints.rs
@@ -1,8 +1,9 @@
-//! What a voter knows beside its journal, kept over a restart.
+//! Hints: soft state of a voter that is kept over a restart, outside its journal.
 //!
-//! After a loss of all power it lets voters and boxes go on from what was in force and who
-//! served, rather than wait for a leader and for every endpoint's next heartbeat. Hints are worth having and never needed: a file that is missing, torn or can't be read
-//! is as good as none. They stand beside the journal in the voter's folder.
+//! After a loss of power on all machines, voters and boxes continue from the last configuration
+//! and the last known endpoints instead of waiting for a leader and for each endpoint's next
+//! heartbeat. Hints are optional: a file that is missing, torn or unreadable is treated as absent.
+//! The file lies beside the journal in the voter's data folder.
 
 use std::{
     fs::{self, File},
@@ -14,43 +15,43 @@
 
 use crate::core::{agree, crash, pace, registry};
 
-/// The file's name.
-const NAME: &str = "hints.json";
+/// The name of the file in the data folder.
+const FILE_NAME: &str = "hints.json";
 
-/// What is kept.
+/// The content of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Hints {
-    /// How fast endpoints go.
+    /// The paces of endpoints.
     pub paces: Vec<pace::Paced>,
-    /// The endpoints that were heard of a moment before, and take work.
+    /// The endpoints that took work and whose last heartbeat was recent.
     pub endpoints: Vec<registry::Record>,
-    /// The requests that were held back. Three endpoints more would end under each after a loss
-    /// of all power.
+    /// The requests that were held back. Without this, each of them would crash three more
+    /// endpoints after a loss of power on all machines.
     pub held_back: Vec<crash::Row>,
-    /// The last entry of the journal that was known to be committed.
+    /// The index of the last entry of the journal that was known to be committed.
     pub committed: agree::Index,
 }
 
-/// Where hints are kept.
+/// The file that holds a voter's hints.
 #[derive(Clone, Debug)]
 pub struct Place {
     path: PathBuf,
 }
 
 impl Place {
-    /// The place in a voter's folder.
+    /// Returns the hints file of a voter's data folder.
     pub fn new(folder: &Path) -> Self {
         Self {
-            path: folder.join(NAME),
+            path: folder.join(FILE_NAME),
         }
     }
 
-    /// The hints that were kept last; none if there are none.
+    /// Reads the hints that were saved last; empty hints if there is no file.
     ///
     /// # Errors
     ///
-    /// Fails if there is a file that can't be read.
+    /// Fails if the file exists and can't be read.
     pub fn load(&self) -> io::Result<Hints> {
         match fs::read(&self.path) {
             Ok(bytes) => Ok(serde_json::from_slice(&bytes)?),
@@ -59,11 +60,11 @@
         }
     }
 
-    /// Keeps hints in place of those before.
+    /// Replaces the saved hints.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be written; the one before may then stand.
+    /// Fails if the file can't be written; the previous one may then remain.
     pub fn save(&self, hints: &Hints) -> io::Result<()> {
         let fresh = self.path.with_extension("new");
         let mut file = File::create(&fresh)?;
--- a/src/scalewood/store/identity.rs
+++ b/src/scalewood/store/identity.rs
@@ -1,8 +1,8 @@
 //! The identity of a data folder.
 //!
-//! A voter is its box and this identity. It is made once, by `scalewood-control
-//! init` or `join`; a voter never makes one by itself, so that an empty or foreign
-//! folder can't vote in place of the one that was lost.
+//! A voter is identified by its box and this identity, which `scalewood-control init` or `join`
+//! creates once. A voter never creates one by itself, so that a box with an empty folder or that
+//! of another box can't vote in place of the voter whose folder was lost.
 
 use std::{fmt, io};
 
@@ -13,28 +13,28 @@
     store::media,
 };
 
-/// The file that holds it.
-const FILE: &str = "identity.json";
+/// The name of the file in the data folder.
+const FILE_NAME: &str = "identity.json";
 
-/// What the file holds.
+/// The content of the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Record {
     node: agree::Node,
 }
 
-/// Why a folder can't be used as a voter's.
+/// Why a folder can't be used as a voter's data folder.
 #[derive(Debug)]
 pub enum Error {
-    /// It could not be read or written.
+    /// The folder could not be read or written.
     Io(io::Error),
-    /// It holds no identity.
+    /// The folder has no identity.
     Empty,
-    /// It was initialised before.
+    /// The folder was initialised before, for this node.
     Used(agree::Node),
-    /// It belongs to another box.
+    /// The folder belongs to the given node and not to the given box, which is this one.
     Foreign(agree::Node, name::Box),
-    /// Its identity can't be read.
+    /// The file can't be parsed.
     Damaged(String),
 }
 
@@ -72,13 +72,13 @@
     }
 }
 
-/// Reads a folder's identity, which must be that of a box.
+/// Reads a folder's identity and checks that it belongs to the box `own`.
 ///
 /// # Errors
 ///
-/// Fails if there is none, or it is another box's.
+/// Fails if there is no identity, or if it belongs to another box.
 pub fn read<M: media::Media>(media: &M, own: &name::Box) -> Result<agree::Node, Error> {
-    let bytes = media.read(FILE)?.ok_or(Error::Empty)?;
+    let bytes = media.read(FILE_NAME)?.ok_or(Error::Empty)?;
     let record: Record =
         serde_json::from_slice(&bytes).map_err(|error| Error::Damaged(error.to_string()))?;
     if record.node.name != *own {
@@ -93,7 +93,7 @@
 ///
 /// Fails if the folder was initialised before.
 pub fn check_unused<M: media::Media>(media: &M) -> Result<(), Error> {
-    let Some(bytes) = media.read(FILE)? else {
+    let Some(bytes) = media.read(FILE_NAME)? else {
         return Ok(());
     };
     let record: Result<Record, _> = serde_json::from_slice(&bytes);
@@ -103,7 +103,7 @@
     })
 }
 
-/// Gives an empty folder an identity, which no other folder may have had.
+/// Writes an identity into an empty folder. No other folder may ever have had this identity.
 ///
 /// # Errors
 ///
@@ -120,6 +120,6 @@
     };
     let record = Record { node: node.clone() };
     let bytes = serde_json::to_vec(&record).map_err(|error| Error::Damaged(error.to_string()))?;
-    media.replace(FILE, &bytes)?;
+    media.replace(FILE_NAME, &bytes)?;
     Ok(node)
 }
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -1,15 +1,14 @@
 //! The journal: a voter's writes as checksummed records in one file.
 //!
-//! A record is its length, the CRC-32 of its text, the CRC-32 of these two, and the text,
-//! as JSON. All writes of a step are one record with one sync, so after a loss of power
-//! only the last record can be torn: it was never acknowledged, and is dropped. A bad
-//! record that others follow is damage, and an error: the voter must not go on without
-//! what it promised. The head has a sum of its own, or a damaged length would make the
-//! records that follow look like the torn end.
+//! A record consists of its length, the CRC-32 of its text, the CRC-32 of these two fields, and
+//! the text as JSON. All writes of a step form one record that is synced once, so after a loss of
+//! power only the last record can be torn. It was never acknowledged and is dropped. A bad record
+//! that is followed by others is damage and reported as an error: the voter must not continue
+//! without writes that it has acknowledged. The header has its own checksum, since a damaged length would
+//! make the records that follow look like a torn end.
 //!
-//! A log of records was weighed against an embedded store, without a measurement: the log
-//! takes one sync for each step and no memory beside the state itself, and all that is
-//! needed of a store here is to append and to start anew from a snapshot.
+//! A log is used instead of an embedded store: it needs one sync for each step and no memory beyond
+//! the state itself, and the only operations needed are appending and restarting from a snapshot.
 
 use std::{fmt, io};
 
@@ -20,32 +19,32 @@
     store::media,
 };
 
-/// The file that holds the records.
-const FILE: &str = "journal";
-/// Bytes before a record's text: its length, its CRC-32 and the CRC-32 of both.
-const HEADER: usize = 12;
-/// Bytes of the header that its sum covers.
-const SUMMED: usize = 8;
+/// The name of the file in the data folder.
+const FILE_NAME: &str = "journal";
+/// The size of a record's header: the length of the text, its CRC-32 and the CRC-32 of both.
+const HEADER_BYTES: usize = 12;
+/// The number of bytes of the header that its own checksum covers.
+const CHECKSUMMED_BYTES: usize = 8;
 
 /// Why a journal can't be used.
 #[derive(Debug)]
 pub enum Error {
-    /// It could not be read or written.
+    /// The file could not be read or written.
     Io(io::Error),
-    /// There is none, though the folder has an identity.
+    /// There is no journal, though the folder has an identity.
     Missing,
-    /// A record that was acknowledged is damaged; the offset is in bytes.
+    /// A record that was acknowledged is damaged, at this offset in bytes.
     Damaged(usize),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        const INSTEAD: &str = "move the data folder away, run `scalewood-control join`, add the \
+        const REPLACE_NODE: &str = "move the data folder away, run `scalewood-control join`, add the \
                                new identity with `scalewood voter add` and remove the old one";
         match self {
             Error::Io(error) => write!(f, "the journal can't be used: {error}; mend the disk"),
-            Error::Missing => write!(f, "the journal is gone from the data folder; {INSTEAD}"),
-            Error::Damaged(at) => write!(f, "the journal is damaged at byte {at}; {INSTEAD}"),
+            Error::Missing => write!(f, "the journal is gone from the data folder; {REPLACE_NODE}"),
+            Error::Damaged(at) => write!(f, "the journal is damaged at byte {at}; {REPLACE_NODE}"),
         }
     }
 }
@@ -58,14 +57,14 @@
     }
 }
 
-/// What opening a journal found.
+/// The result of opening a journal.
 #[derive(Debug)]
 pub struct Opened<M, S: State> {
     /// The journal.
     pub journal: Journal<M>,
-    /// What it holds.
+    /// The state that its records add up to.
     pub kept: Kept<S>,
-    /// Bytes of an unfinished record that were dropped.
+    /// The size in bytes of the torn last record, which was dropped.
     pub dropped: usize,
 }
 
@@ -75,6 +74,7 @@
     media: M,
     /// The file's length in bytes.
     length: usize,
+    /// The number of syncs since the journal was opened.
     syncs: u64,
 }
 
@@ -84,14 +84,14 @@
 struct Record<S: State>(Vec<Write<S>>);
 
 impl<M: media::Media> Journal<M> {
-    /// Makes the journal of a folder that is about to get its identity.
+    /// Creates the journal of a folder that is about to get its identity.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be written.
+    /// Fails if the file can't be written.
     pub fn create<S: State>(mut media: M, kept: Kept<S>) -> Result<Self, Error> {
-        let bytes = whole(&kept)?;
-        media.replace(FILE, &bytes)?;
+        let bytes = encode_state(&kept)?;
+        media.replace(FILE_NAME, &bytes)?;
         Ok(Self {
             media,
             length: bytes.len(),
@@ -99,18 +99,18 @@
         })
     }
 
-    /// The media that it stands on.
+    /// Returns the media that the journal is stored on.
     pub fn into_media(self) -> M {
         self.media
     }
 
-    /// Opens a journal and reads what it holds.
+    /// Opens a journal, replays its records and drops a torn last record.
     ///
     /// # Errors
     ///
-    /// Fails if it is missing or damaged.
+    /// Fails if the journal is missing or damaged.
     pub fn open<S: State>(mut media: M) -> Result<Opened<M, S>, Error> {
-        let bytes = media.read(FILE)?.ok_or(Error::Missing)?;
+        let bytes = media.read(FILE_NAME)?.ok_or(Error::Missing)?;
         let mut kept = Kept::default();
         let mut offset = 0;
         let mut records = 0;
@@ -127,7 +127,7 @@
         }
         let dropped = bytes.len() - offset;
         if dropped > 0 {
-            media.replace(FILE, &bytes[..offset])?;
+            media.replace(FILE_NAME, &bytes[..offset])?;
         }
         let journal = Self {
             media,
@@ -141,54 +141,54 @@
         })
     }
 
-    /// Makes the writes of a step last.
+    /// Appends the writes of a step as one record and syncs it.
     ///
     /// # Errors
     ///
-    /// Fails if they can't be written; the voter must stop then.
+    /// Fails if the record can't be written; the voter must then stop.
     pub fn write<S: State>(&mut self, writes: Vec<Write<S>>) -> Result<(), Error> {
         if writes.is_empty() {
             return Ok(());
         }
         let bytes = encode(&Record(writes))?;
-        self.media.append(FILE, &bytes)?;
-        self.media.sync(FILE)?;
+        self.media.append(FILE_NAME, &bytes)?;
+        self.media.sync(FILE_NAME)?;
         self.length += bytes.len();
         self.syncs += 1;
         Ok(())
     }
 
-    /// Writes the journal anew, with only what is still needed.
+    /// Replaces the journal by a single record of the current state.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be written; the old one then stands.
+    /// Fails if the file can't be written; the old journal then remains.
     pub fn compact<S: State>(&mut self, kept: &Kept<S>) -> Result<(), Error> {
-        let bytes = whole(kept)?;
-        self.media.replace(FILE, &bytes)?;
+        let bytes = encode_state(kept)?;
+        self.media.replace(FILE_NAME, &bytes)?;
         self.length = bytes.len();
         self.syncs += 1;
         Ok(())
     }
 
-    /// The journal's length in bytes.
+    /// Returns the journal's length in bytes.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether the journal holds nothing; it always holds its first record.
+    /// Returns whether the journal is empty, which it never is: it always has a first record.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// How often it was synced.
+    /// Returns the number of syncs since the journal was opened.
     pub fn syncs(&self) -> u64 {
         self.syncs
     }
 }
 
-/// A journal that holds just what is kept, as a single record.
-fn whole<S: State>(kept: &Kept<S>) -> Result<Vec<u8>, Error> {
+/// Encodes a state as a journal of a single record.
+fn encode_state<S: State>(kept: &Kept<S>) -> Result<Vec<u8>, Error> {
     let mut writes = vec![
         Write::Restart(kept.snapshot.clone()),
         Write::Vote(kept.term, kept.voted.clone()),
@@ -199,10 +199,11 @@
     encode(&Record(writes))
 }
 
+/// Encodes a record with its header.
 fn encode<S: State>(record: &Record<S>) -> Result<Vec<u8>, Error> {
     let text = serde_json::to_vec(record).map_err(io::Error::from)?;
     let length = u32::try_from(text.len()).map_err(io::Error::other)?;
-    let mut bytes = Vec::with_capacity(HEADER + text.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + text.len());
     bytes.extend(length.to_le_bytes());
     bytes.extend(crc32fast::hash(&text).to_le_bytes());
     bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
@@ -210,24 +211,25 @@
     Ok(bytes)
 }
 
-/// The record at an offset and where it ends, or nothing if it is the torn last one.
+/// Parses the record at an offset and returns it with the offset of its end, or `None` if it is a
+/// torn last record.
 fn parse<S: State>(bytes: &[u8], offset: usize) -> Result<Option<(Record<S>, usize)>, Error> {
     let rest = &bytes[offset..];
-    let Some((header, body)) = rest.split_at_checked(HEADER) else {
+    let Some((header, body)) = rest.split_at_checked(HEADER_BYTES) else {
         return Ok(None);
     };
     if rest.iter().all(|byte| *byte == 0) {
-        // The file grew, but its new part never reached the disk.
+        // The file was extended, but the appended bytes never reached the disk.
         return Ok(None);
     }
-    if crc32fast::hash(&header[..SUMMED]) != read_u32(&header[SUMMED..]) {
+    if crc32fast::hash(&header[..CHECKSUMMED_BYTES]) != read_u32(&header[CHECKSUMMED_BYTES..]) {
         return Err(Error::Damaged(offset));
     }
     let length = read_u32(&header[..4]) as usize;
     let Some(text) = body.get(..length) else {
         return Ok(None);
     };
-    if crc32fast::hash(text) != read_u32(&header[4..SUMMED]) {
+    if crc32fast::hash(text) != read_u32(&header[4..CHECKSUMMED_BYTES]) {
         let last = length == body.len();
         return if last {
             Ok(None)
@@ -236,9 +238,10 @@
         };
     }
     let record = serde_json::from_slice(text).map_err(|_| Error::Damaged(offset))?;
-    Ok(Some((record, offset + HEADER + length)))
+    Ok(Some((record, offset + HEADER_BYTES + length)))
 }
 
+/// Reads a little-endian number.
 fn read_u32(bytes: &[u8]) -> u32 {
     bytes
         .iter()
@@ -246,14 +249,15 @@
         .fold(0, |value, byte| value << 8 | u32::from(*byte))
 }
 
-/// Whether a step's writes are worth a compaction of the journal.
+/// Returns whether the journal should be compacted after a step's writes: when they contain a
+/// snapshot, since the entries before it are no longer needed.
 pub fn compacts<S: State>(writes: &[Write<S>]) -> bool {
     writes
         .iter()
         .any(|write| matches!(write, Write::Snapshot(_) | Write::Restart(_)))
 }
 
-/// A voter's journal with a copy of what it holds, which compaction writes anew.
+/// A voter's journal with a copy of the state that it holds, from which it is compacted.
 #[derive(Debug)]
 pub struct Keeper<M, S: State> {
     journal: Journal<M>,
@@ -261,26 +265,26 @@
 }
 
 impl<M: media::Media, S: State> Keeper<M, S> {
-    /// Keeps a voter's writes in a journal.
+    /// Returns a keeper of a journal, which holds the given state.
     pub fn new(journal: Journal<M>, kept: Kept<S>) -> Self {
         Self { journal, kept }
     }
 
-    /// What is kept.
+    /// Returns the state that the journal holds.
     pub fn kept(&self) -> &Kept<S> {
         &self.kept
     }
 
-    /// The journal.
+    /// Returns the journal.
     pub fn journal(&self) -> &Journal<M> {
         &self.journal
     }
 
-    /// Makes a step's writes last. Returns whether the journal was compacted.
+    /// Stores a step's writes durably. Returns whether the journal was compacted.
     ///
     /// # Errors
     ///
-    /// Fails if they can't be written; the voter must stop then.
+    /// Fails if they can't be written; the voter must then stop.
     pub fn keep(&mut self, writes: Vec<agree::Write<S>>) -> Result<bool, Error> {
         if !compacts(&writes) {
             for write in &writes {
--- a/src/scalewood/store/media.rs
+++ b/src/scalewood/store/media.rs
@@ -1,37 +1,38 @@
-//! Files as the store needs them, as an interface, so that tests can lose power.
+//! The interface to the files of a data folder, so that tests can simulate a loss of power.
 
 use std::io;
 
-/// Files in one folder.
+/// The files of one folder.
 ///
-/// What was appended lasts only once it is synced; a replacement is whole or not
-/// there at all, and lasts once the call returns.
+/// Appended bytes are durable only after a sync. A replacement is atomic, and durable once the
+/// call returns.
 pub trait Media: Send {
-    /// A file's bytes, or nothing if there is no such file.
+    /// Returns a file's bytes, or `None` if it does not exist.
     ///
     /// # Errors
     ///
     /// Fails if the file can't be read.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Appends to a file.
+    /// Appends to a file; creates it if it does not exist.
     ///
     /// # Errors
     ///
     /// Fails if the file can't be written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes all that was appended to a file last.
+    /// Makes all bytes that were appended to a file durable.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be synced; what was appended since is then unknown.
+    /// Fails if the file can't be synced; it is then unknown which bytes since the last sync are
+    /// durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Puts new bytes in place of a file, at once and lasting.
+    /// Replaces a file's content atomically and durably.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be written; the old one then stands.
+    /// Fails if the file can't be written; the old content then remains.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 }
--- a/src/scalewood/store/mod.rs
+++ b/src/scalewood/store/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept on disk: the data folder of a voter.
+//! Storage on disk: the data folder of a voter.
 
 pub mod folder;
 pub mod hints;
--- a/src/scalewood/wire/admin.rs
+++ b/src/scalewood/wire/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API's bodies: JSON over HTTP under `/admin/v1`.
+//! The bodies of the administration API, which is JSON over HTTP under `/admin/v1`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
     agree, audit, change, config, cordon, fingerprint, name, tenure, unit, usage, verdict,
 };
 
-/// The prefix of all paths.
+/// The prefix of all paths of the API.
 pub const PREFIX: &str = "/admin/v1";
 
 /// The configuration in force.
@@ -27,36 +27,36 @@
     pub records: Vec<audit::Record>,
 }
 
-/// How an entry box stands.
+/// The status of an entry box.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BoxStatus {
-    /// What it last said.
+    /// Its last report.
     pub beat: crate::wire::control::Beat,
-    /// How long ago it said so, in milliseconds.
+    /// The age of this report in milliseconds.
     pub age_ms: u64,
-    /// Whether it is at the revision in force.
+    /// Whether the revision in force is in force at the box too.
     pub current: bool,
 }
 
-/// How the system stands, as one voter sees it.
+/// The status of the system, as one voter sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The voter.
+    /// The voter's own status.
     pub voter: agree::Status,
     /// The revision in force.
     pub revision: unit::Revision,
-    /// The entry boxes that have reported here.
+    /// The entry boxes that have reported to this voter.
     pub boxes: Vec<BoxStatus>,
 }
 
-/// What is done for the provider, as the voters have agreed on it.
+/// The state of the tasks for the provider, as the voters have agreed on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Provider {
-    /// Who does it.
+    /// The process that carries out the tasks, if there is one.
     pub holder: Option<tenure::Holder>,
-    /// The windows of usage that are kept.
+    /// The usage windows that are retained.
     pub usage: BTreeMap<usage::Window, usage::Agreed>,
-    /// How many endpoints were ordered last, by service, zone and kind.
+    /// The number of endpoints in the last order, by service, zone and kind.
     pub ordered: BTreeMap<String, u32>,
 }
 
@@ -69,31 +69,31 @@
     pub cordoned: BTreeSet<name::Zone>,
 }
 
-/// What an operator sends to cordon or uncordon a zone.
+/// An operator's order to cordon or uncordon a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cordon {
-    /// The operator's own identity for the order.
+    /// The order's identity, which the operator chooses.
     pub id: change::Id,
     /// The zone.
     pub zone: name::Zone,
-    /// What is done to it.
+    /// Whether the zone is to be cordoned or uncordoned.
     pub act: cordon::Act,
-    /// Why; goes into the audit trail.
+    /// The reason, which is recorded in the audit trail.
     pub why: String,
 }
 
-/// The requests that are held back, as one voter knows them.
+/// The held-back requests that a voter knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldBack {
-    /// Each with the endpoints that ended under it.
+    /// The requests, each with the endpoints that ended under it.
     pub held_back: Vec<HeldBackRequest>,
 }
 
 /// A request that is held back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldBackRequest {
-    /// The request, by path, caller and body.
+    /// The request's fingerprint, computed from path, caller and body.
     pub fingerprint: fingerprint::Fingerprint,
     /// The endpoints that ended under it.
     pub ends: Vec<Ended>,
@@ -104,28 +104,28 @@
 pub struct Ended {
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it ended, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
-/// What an operator sends to take a request back into service.
+/// An operator's order to serve a held-back request again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pardon {
-    /// The request.
+    /// The request's fingerprint.
     pub fingerprint: fingerprint::Fingerprint,
-    /// Why; goes into the log.
+    /// The reason, which is logged.
     pub why: String,
 }
 
-/// What an operator sends to change the configuration.
+/// An operator's change of the configuration.
 pub type Change = change::Change;
 
-/// An error's body.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Failure {
     /// What failed, why, and what to do.
     pub error: String,
-    /// Whether the request may have run.
+    /// Whether the request may have been executed.
     pub verdict: verdict::Verdict,
 }
--- a/src/scalewood/wire/control.rs
+++ b/src/scalewood/wire/control.rs
@@ -1,4 +1,5 @@
-//! What voters take: each other's messages, and reports of the entry boxes.
+//! The calls that voters serve: messages between voters, reports of the entry boxes, and operators'
+//! requests that another voter forwards.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,15 +13,15 @@
 pub struct Envelope {
     /// The sender.
     pub from: agree::Node,
-    /// Where the sender takes answers.
+    /// The address at which the sender receives answers.
     pub address: SocketAddr,
-    /// The node that it is for; any other must not take it.
+    /// The node that the message is for; any other node must discard it.
     pub to: agree::Node,
     /// The message.
     pub message: agree::Message<ledger::Ledger>,
 }
 
-/// What an entry box says of itself.
+/// An entry box's report about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Beat {
     /// The box.
@@ -29,45 +30,45 @@
     pub zone: name::Zone,
     /// The revision in force there.
     pub revision: unit::Revision,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub ready: bool,
-    /// The services that it dispatches.
+    /// The services that it is the dispatcher of.
     pub dispatches: Vec<name::Service>,
-    /// The endpoints that rest from it, some of them if there are many, each with how much longer in
-    /// milliseconds.
+    /// The endpoints that have asked this box for a rest, each with the remaining rest in
+    /// milliseconds; a subset if there are many.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rests: Vec<(name::Endpoint, u64)>,
-    /// The endpoints that limit their requests, as far as it knows, some of them if there are many.
+    /// The rate limits of endpoints that the box knows; a subset if there are many.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<(name::Endpoint, throttle::Limit)>,
 }
 
-/// The answer to a proposal that was passed on to the leader.
+/// The answer to a proposal that was forwarded to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Passed<A> {
-    /// It was decided.
+    /// The proposal was decided, with this answer.
     Answer(A),
-    /// The voter does not lead.
+    /// The voter is not the leader.
     NotLeader,
-    /// It is not known whether it will be decided.
+    /// It is not known whether the proposal will be committed.
     Unknown,
-    /// It was refused.
+    /// The proposal was refused, with this reason.
     Refused(String),
 }
 
-/// The voters' side of control.
+/// The calls that voters serve.
 #[rpc(server, client, namespace = "control")]
 pub trait Control {
-    /// Takes messages of another voter.
+    /// Accepts messages of another voter.
     #[method(name = "messages")]
     async fn messages(&self, envelopes: Vec<Envelope>) -> RpcResult<()>;
 
-    /// Takes an entry box's report; returns the highest revision known here.
+    /// Records an entry box's report; returns the highest revision that this voter knows.
     #[method(name = "beat")]
     async fn beat(&self, beat: Beat) -> RpcResult<unit::Revision>;
 
-    /// Takes a change that an operator gave to another voter.
+    /// Proposes a change of the configuration that another voter forwards for an operator.
     #[method(name = "change")]
     async fn change(
         &self,
@@ -75,24 +76,23 @@
         operator: name::Operator,
     ) -> RpcResult<Passed<change::Answer>>;
 
-    /// Takes a routing that an operator gave to another voter.
+    /// Proposes a routing that another voter forwards for an operator.
     #[method(name = "publish")]
     async fn publish(&self, publication: ledger::Publication) -> RpcResult<Passed<change::Answer>>;
 
-    /// Takes an order to cordon or uncordon a zone that an operator gave to another voter.
+    /// Proposes an order to cordon or uncordon a zone that another voter forwards for an operator.
     #[method(name = "cordon")]
     async fn cordon(&self, order: cordon::Order) -> RpcResult<Passed<change::Answer>>;
 
-    /// Reads the text of the routing in force, from the leader only.
+    /// Returns the text of the routing in force; only the leader answers.
     #[method(name = "read")]
     async fn read(&self) -> RpcResult<Passed<Option<Arc<str>>>>;
 
-    /// Has a node made a member. Answers with the leader's address where another
-    /// voter leads.
+    /// Adds a node to the members. Returns the leader's address if another voter is the leader.
     #[method(name = "join")]
     async fn join(&self, node: agree::Node, address: SocketAddr) -> RpcResult<Option<SocketAddr>>;
 
-    /// Takes a change of the voters that an operator gave to another voter.
+    /// Proposes a membership change that another voter forwards for an operator.
     #[method(name = "members")]
     async fn members(&self, request: agree::MembersRequest) -> RpcResult<Passed<()>>;
 }
--- a/src/scalewood/wire/mod.rs
+++ b/src/scalewood/wire/mod.rs
@@ -1,8 +1,7 @@
 //! The messages between processes.
 //!
-//! Processes of the system talk JSON-RPC over WebSocket, by jsonrpsee; that is one
-//! connection for each pair, in order, with subscriptions. Towards callers,
-//! endpoints and operators it is HTTP.
+//! Processes of the system use JSON-RPC over WebSocket (jsonrpsee): one ordered connection for
+//! each pair of processes, with subscriptions. Callers, endpoints and operators use HTTP.
 
 pub mod admin;
 pub mod control;
--- a/src/scalewood/wire/peer.rs
+++ b/src/scalewood/wire/peer.rs
@@ -1,4 +1,4 @@
-//! What entry boxes take from each other.
+//! The calls that entry boxes serve to each other.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::core::{attempt, claim, dispatch, member, name, unit, verdict};
 
-/// A dispatcher's load, as its box tells it. Waits are whole milliseconds, to keep the
+/// A dispatcher's load, as its box reports it. Waits are in whole milliseconds to keep the
 /// messages short.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
@@ -18,16 +18,16 @@
     pub zone: name::Zone,
     /// The box that dispatches.
     pub dispatcher: name::Box,
-    /// Slots that may be used, slots that are held, requests that wait.
+    /// The numbers of usable slots, slots in use and waiting requests.
     pub counts: (u32, u32, u32),
     /// The predicted wait of a new request, by tier, in milliseconds.
     pub waits: Vec<(unit::Tier, u32)>,
-    /// How old the load is, in milliseconds.
+    /// The age of the load in milliseconds.
     pub age_ms: u32,
 }
 
 impl Load {
-    /// The load of a dispatcher that is busy as its summary says.
+    /// Returns the load that a dispatcher's summary states, with an age of zero.
     pub fn new(zone: name::Zone, dispatcher: name::Box, summary: &dispatch::Summary) -> Self {
         let millis = |wait: &Duration| u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
         let waiting = u32::try_from(summary.waiting).unwrap_or(u32::MAX);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// How busy the dispatcher is.
+    /// Returns the load as a dispatcher's summary.
     pub fn summary(&self) -> dispatch::Summary {
         let (slots, running, waiting) = self.counts;
         let waits = self
@@ -60,18 +60,18 @@
     }
 }
 
-/// A probe, and the answer to one.
+/// A probe or the answer to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Probe {
     /// The sender's zone.
     pub zone: name::Zone,
-    /// Membership news; used within a zone only.
+    /// Membership updates; used only between boxes of one zone.
     pub members: member::Message,
-    /// Loads of dispatchers, by service; a bounded number of them.
+    /// The loads of a bounded number of dispatchers, by service.
     pub loads: Vec<(name::Service, Load)>,
 }
 
-/// Reports about requests of one service in one zone.
+/// Reports about the requests of one service in one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// The service.
@@ -80,30 +80,30 @@
     pub reports: Vec<dispatch::Report>,
 }
 
-/// The entry boxes' side of each other.
+/// The calls that an entry box serves to other entry boxes.
 #[rpc(server, client, namespace = "peer")]
 pub trait Peer {
-    /// Exchanges news.
+    /// Exchanges membership updates and dispatcher loads.
     #[method(name = "probe")]
     async fn probe(&self, probe: Probe) -> RpcResult<Probe>;
 
-    /// Takes reports for the dispatchers here, in order.
+    /// Passes reports to the dispatchers on this box, in order.
     #[method(name = "report")]
     async fn report(&self, from: name::Box, batches: Vec<Batch>) -> RpcResult<()>;
 
-    /// Subscribes to the orders of the dispatchers here.
+    /// Subscribes to the orders of the dispatchers on this box.
     #[subscription(name = "orders" => "order", unsubscribe = "no_orders", item = Vec<dispatch::Order>)]
     async fn orders(&self, from: name::Box) -> SubscriptionResult;
 
-    /// Claims a key.
+    /// Claims an idempotency key for a request.
     #[method(name = "claim")]
     async fn claim(&self, key: claim::Key, owner: attempt::Request) -> RpcResult<claim::Reply>;
 
-    /// Gives a claim back unused.
+    /// Releases a claim that was not used.
     #[method(name = "release")]
     async fn release(&self, key: claim::Key, owner: attempt::Request) -> RpcResult<()>;
 
-    /// Tells what became of a claim.
+    /// Records the outcome of the request that holds a claim.
     #[method(name = "end")]
     async fn end(
         &self,
@@ -112,7 +112,7 @@
         verdict: verdict::Verdict,
     ) -> RpcResult<()>;
 
-    /// Reads back the claims that a box may have forgotten.
+    /// Returns the claims that a box may have lost, so that it can read them back.
     #[method(name = "read_back")]
     async fn read_back(&self, by: name::Box)
         -> RpcResult<Option<Vec<(claim::Key, claim::Record)>>>;
--- a/src/scalewood/wire/registry.rs
+++ b/src/scalewood/wire/registry.rs
@@ -1,4 +1,5 @@
-//! Following the registry: endpoints that announced themselves to a voter.
+//! The calls by which boxes and voters exchange the registry of endpoints, loads and the
+//! configuration with a voter.
 
 use std::net::SocketAddr;
 
@@ -11,57 +12,57 @@
 
 use crate::core::{change, load, name, pace, registry, throttle, unit, usage};
 
-/// News of the registry; the first of a subscription holds everything.
+/// An update of the registry; the first one of a subscription contains everything.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct News {
     /// Endpoints that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changed: Vec<registry::Record>,
-    /// Endpoints that served before the voter started, in the first news after that.
+    /// Endpoints that were restored from the voter's hints; only in the first update after its start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub restored: Vec<registry::Record>,
-    /// Endpoints that have gone, or of which a start has.
+    /// Endpoints that are gone, or of which a start has ended.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub gone: Vec<name::Endpoint>,
-    /// Which start of them has gone, of those that tell their incarnations.
+    /// The start that has ended, for those of `gone` that report incarnations.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<registry::Ended>,
-    /// Endpoints that left a moment ago, where the voter knew no start of them: the start that is
-    /// known to who hears this has gone.
+    /// Endpoints that left recently and of which the voter knew no start: the start that the
+    /// receiver knows has ended.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub left: Vec<name::Endpoint>,
-    /// Endpoints that said in an answer that they leave, with their starts.
+    /// Starts of endpoints that announced in a response that they are leaving.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<registry::Leaving>,
-    /// Endpoints that were heard of since the last news.
+    /// Endpoints that sent a heartbeat since the last update.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub heard: Vec<name::Endpoint>,
     /// Endpoints whose pace has changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub paces: Vec<pace::Paced>,
-    /// The revision that the voter knows.
+    /// The highest revision that the voter knows.
     pub revision: unit::Revision,
-    /// How many boxes follow the voter.
+    /// The number of boxes that follow the voter.
     pub followers: u32,
-    /// The voter's availability zone, if it knows it; in the first news only.
+    /// The voter's availability zone, if it knows it; only in the first update.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<name::Zone>,
-    /// Where all voters and learners are reached.
+    /// The addresses of all voters and learners.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub voters: Vec<SocketAddr>,
-    /// Whether all endpoints are alive that the voter has told of, but for those that it has named
-    /// as silent. Who only follows is told names as `heard` instead.
+    /// Whether all endpoints that the voter has reported are alive, except those that it has
+    /// reported as `silent`. Subscribers of `follow` get the names in `heard` instead.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub vouches: bool,
-    /// Endpoints that the voter has not heard of for too long.
+    /// Endpoints whose heartbeats at the voter are overdue.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub silent: Vec<name::Endpoint>,
-    /// Whether the voter hears a majority of the voters.
+    /// Whether the voter is in contact with a majority of the voters.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub in_touch: bool,
 }
 
-/// Where a voter or learner is reached, and where it stands if that is known.
+/// The address of a voter or learner, and its zone if that is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
     /// Its address.
@@ -71,114 +72,115 @@
     pub zone: Option<name::Zone>,
 }
 
-/// Who tracks the registry.
+/// The kind of process that tracks the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Tracker {
-    /// A box: it is told of all endpoints.
+    /// A box, which gets all endpoints.
     Box,
-    /// Another voter: it is told of those that told this one of themselves.
+    /// Another voter, which gets only the endpoints that announced themselves to this voter.
     Voter,
 }
 
-/// A whole document with its revision.
+/// A complete document with its revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Whole {
     /// The revision.
     pub revision: unit::Revision,
-    /// The document's JSON, as it is made once for all boxes.
+    /// The document as JSON, which is serialised once for all boxes.
     pub document: Box<RawValue>,
 }
 
-/// What leads to the configuration that a voter knows.
+/// An update to the configuration that a voter knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Update {
-    /// Steps from the revision that was named.
+    /// The steps from the revision that was asked about.
     Steps(Vec<change::Step>),
-    /// All of it, where the steps are not remembered.
+    /// The complete document, if the voter no longer has these steps.
     Whole(Whole),
 }
 
-/// What a voter answers a box.
+/// A voter's answer to a box's `exchange`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Exchanged {
-    /// What other boxes have.
+    /// The loads of the other boxes.
     pub load: load::Answer,
-    /// Limits of endpoints and permits for them, from a voter that issues permits.
+    /// Rate limits of endpoints and permits for them, from a voter that issues permits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub throttle: Option<throttle::Answer>,
-    /// The agreed time of day, in milliseconds since the Unix epoch.
+    /// The time of day that the voters agree on, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// What a voter answers another one.
+/// A voter's answer to another voter's `share`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Shared {
-    /// Whether it knows the other; else that has to start anew.
+    /// Whether it has state of the other voter; otherwise that voter has to send everything again.
     pub known: bool,
-    /// Its own time of day, in milliseconds since the Unix epoch.
+    /// The time of day by its own clock, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
     /// Permits for the other's boxes, if it issues any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub throttle: Option<throttle::Answer>,
 }
 
-/// Up to where a voter has told what boxes and endpoints have told it; zeros are the beginning.
+/// How far the caller of `gather` has read a voter's records; zeros are the beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamps {
-    /// Of usage.
+    /// The position in the usage counts.
     pub usage: u64,
-    /// Of the registry.
+    /// The position in the registry.
     pub registry: u64,
 }
 
-/// What boxes and endpoints have told a voter since some stamps.
+/// What boxes and endpoints have reported to a voter since some stamps.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Gathered {
-    /// The stamps to ask after next.
+    /// The stamps to pass in the next call.
     pub stamps: Stamps,
-    /// What boxes have counted of their usage.
+    /// The usage that boxes have counted.
     pub usage: Vec<usage::Page>,
     /// Endpoints that are new or changed.
     pub changed: Vec<registry::Record>,
-    /// Endpoints that have gone, or of which a start has.
+    /// Endpoints that are gone, or of which a start has ended.
     pub gone: Vec<name::Endpoint>,
-    /// Which start of them has gone, of those that tell their incarnations.
+    /// The start that has ended, for those of `gone` that report incarnations.
     #[serde(default)]
     pub ended: Vec<registry::Ended>,
-    /// Endpoints that left since the last call, where the voter knew no start of them.
+    /// Endpoints that left since the last call and of which the voter knew no start.
     #[serde(default)]
     pub left: Vec<name::Endpoint>,
-    /// Endpoints that said in an answer that they leave, with their starts.
+    /// Starts of endpoints that announced in a response that they are leaving.
     #[serde(default)]
     pub leaving: Vec<registry::Leaving>,
-    /// Endpoints that were heard of lately.
+    /// Endpoints that sent a heartbeat recently.
     pub heard: Vec<name::Endpoint>,
 }
 
-/// Gives out what a voter knows of endpoints, and the configuration on demand.
+/// The calls by which a voter shares endpoints, loads and, on demand, the configuration.
 #[rpc(server, client, namespace = "registry")]
 pub trait Registry {
-    /// Follows the registry.
+    /// Subscribes to the registry, with the names of all endpoints heard of in each update.
     #[subscription(name = "follow" => "news", unsubscribe = "leave", item = News)]
     async fn follow(&self, who: name::Box) -> SubscriptionResult;
 
-    /// Follows the registry by changes alone: the voter vouches for all that it has told of.
+    /// Subscribes to changes of the registry only: the voter vouches for all endpoints that it has
+    /// reported and names those whose heartbeats are overdue.
     #[subscription(name = "track" => "tracked", unsubscribe = "untrack", item = News)]
     async fn track(&self, who: name::Box, tracker: Tracker) -> SubscriptionResult;
 
-    /// Where voters and learners are reached.
+    /// Returns the addresses of voters and learners.
     #[method(name = "places")]
     async fn places(&self) -> RpcResult<Vec<Place>>;
 
-    /// Takes the paces of endpoints that a box has measured.
+    /// Records the paces of endpoints that a box has measured.
     #[method(name = "measured")]
     async fn measured(&self, who: name::Box, paces: Vec<pace::Paced>) -> RpcResult<()>;
 
-    /// Takes what a box has at endpoints, as far as it has changed or all of it if the box
-    /// starts `anew`, what it has placed and what it has counted of its usage; returns the same
-    /// of the other boxes. Nothing if the voter does not know the box: it has to start anew.
+    /// Records a box's loads at endpoints (the changed ones, or all if `anew`), its placements and
+    /// its usage counts; returns what the other boxes have. Returns `None` if the voter has no
+    /// state of the box, which then has to send everything with `anew`.
     #[method(name = "exchange")]
     async fn exchange(
         &self,
@@ -188,16 +190,15 @@
         usage: usage::Told,
     ) -> RpcResult<Option<Exchanged>>;
 
-    /// Takes what has changed at another voter's boxes, or all of it if that voter starts
-    /// `anew`.
+    /// Records the loads of another voter's boxes: the changed ones, or all if `anew`.
     #[method(name = "share")]
     async fn share(&self, who: name::Box, anew: bool, told: load::News) -> RpcResult<Shared>;
 
-    /// What boxes and endpoints have told this voter since some stamps.
+    /// Returns what boxes and endpoints have reported to this voter since some stamps.
     #[method(name = "gather")]
     async fn gather(&self, after: Stamps) -> RpcResult<Gathered>;
 
-    /// The configuration, if the voter has one that is newer.
+    /// Returns the configuration if the voter has a newer revision.
     #[method(name = "document")]
     async fn document(&self, newer_than: unit::Revision) -> RpcResult<Option<Update>>;
 }
