--- a/src/scalewood/util/clock.rs
+++ b/src/scalewood/util/clock.rs
@@ -1,32 +1,31 @@
-//! The clock, as an interface, so that tests and benchmarks can pass their own.
+//! The clock interface, so that tests and benchmarks can supply their own clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use nix::time::ClockId;
 
-/// Tells the time.
+/// A source of monotonic time and of the time of day.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// The time since some fixed point. It never goes back, is not set by anybody, and counts the
-    /// time for which the process was stopped or its machine suspended.
+    /// Returns the monotonic time since a fixed point. It can't be set, and includes the time for
+    /// which the process was stopped or its machine was suspended.
     fn now(&self) -> Duration;
 
-    /// Milliseconds since the Unix epoch; may jump.
+    /// Returns the time of day in milliseconds since the Unix epoch; it may jump.
     fn unix_ms(&self) -> u64;
 }
 
-/// The machine's clock.
+/// The operating system's clock, which counts from the machine's boot.
 ///
-/// It counts from the machine's boot. The usual steady clock stands still while the machine is
-/// suspended: a lease would then outlast its time by the others' clocks, and what was heard before
-/// would be taken for fresh. Timers go by the steady clock and ring late after a suspension, as
-/// they do in a process that was stopped; so what has expired is told by this clock, never by a
-/// timer that has not rung yet.
+/// `CLOCK_MONOTONIC` stops while the machine is suspended: a lease would then outlast its term by
+/// the clocks of other machines, and old messages would be taken for recent ones. Timers use
+/// `CLOCK_MONOTONIC` and fire late after a suspension, as they do in a process that was stopped.
+/// So expiry is always decided by this clock, never by whether a timer has fired.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct System;
 
 impl System {
-    /// How far the time lies ahead of the machine's boot. A request's age may be more than that
-    /// of the machine, and its arrival must still be a valid time.
+    /// An offset that is added to the time since boot. A request may be older than the machine's
+    /// uptime, and its arrival must still be a valid time.
     pub const HEAD_START: Duration = Duration::from_secs(24 * 3600);
 }
 
@@ -45,7 +44,7 @@
     }
 }
 
-/// The hour of the day in UTC.
+/// Returns the hour of the day in UTC, from 0 to 23.
 pub fn hour(unix_ms: u64) -> u8 {
     const HOUR_MS: u64 = 3_600_000;
     u8::try_from(unix_ms / HOUR_MS % 24).unwrap_or(0)
--- a/src/scalewood/util/event.rs
+++ b/src/scalewood/util/event.rs
@@ -1,14 +1,14 @@
 //! The catalogue of log events.
 //!
-//! Every line that a process logs is one of these. The number never changes its
-//! meaning; `docs/EVENTS.md` says what each one tells an operator, and a test holds
-//! that page against this catalogue.
+//! Each line that a process logs is one of these events. The meaning of a number never changes.
+//! `docs/EVENTS.md` explains each event to operators, and a test compares that page with this
+//! catalogue.
 
 use std::fmt;
 
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident, $text:literal;)*) => {
-        /// Something worth a line in the log.
+        /// A log event.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         #[repr(u16)]
         pub enum Event {
@@ -19,21 +19,21 @@
             /// All events, in the order of their numbers.
             pub const ALL: &'static [Event] = &[$(Event::$name,)*];
 
-            /// The level at which the event is logged.
+            /// Returns the level at which the event is logged.
             pub const fn level(self) -> slog::Level {
                 match self {
                     $(Event::$name => slog::Level::$level,)*
                 }
             }
 
-            /// What happened, in a few words.
+            /// Returns the event's message.
             pub const fn text(self) -> &'static str {
                 match self {
                     $(Event::$name => $text,)*
                 }
             }
 
-            /// The event's number.
+            /// Returns the event's number.
             pub const fn number(self) -> u16 {
                 self as u16
             }
@@ -148,7 +148,7 @@
     }
 }
 
-/// Logs an event of the catalogue with its facts.
+/// Logs an event of the catalogue with key-value pairs.
 #[macro_export]
 macro_rules! event {
     ($log:expr, $event:ident $(, $key:literal => $($value:tt)+)?) => {{
--- a/src/scalewood/util/lock.rs
+++ b/src/scalewood/util/lock.rs
@@ -1,9 +1,9 @@
-//! Locks that outlive a panic, and state in shards.
+//! Locks that ignore poisoning, and maps in shards.
 //!
-//! A panic while a lock is held means a broken invariant in one request or
-//! controller; the others go on with the state as it is.
+//! A panic while a lock is held means that one request or controller broke an invariant; the
+//! others continue with the state as it is.
 //!
-//! Debug builds check that no two threads can wait for each other.
+//! Debug builds check the order of locks, so that no two threads can deadlock.
 
 use std::{
     collections::HashMap,
@@ -15,7 +15,7 @@
 #[cfg(debug_assertions)]
 mod order;
 
-/// What a mutex holds, while it is locked.
+/// A guard that gives access to the data of a locked mutex.
 #[derive(Debug)]
 pub struct Guard<'a, T> {
     inner: MutexGuard<'a, T>,
@@ -37,11 +37,12 @@
     }
 }
 
-/// Locks a mutex, also after a panic elsewhere.
+/// Locks a mutex, even if a thread has panicked while holding it.
 ///
 /// # Panics
 ///
-/// Panics in debug builds if another thread may hold it and wait for one that this thread holds.
+/// Panics in debug builds if the lock was ever taken in the opposite order to a lock that this
+/// thread holds, which could deadlock.
 #[track_caller]
 pub fn lock<T>(mutex: &Mutex<T>) -> Guard<'_, T> {
     #[cfg(debug_assertions)]
@@ -53,10 +54,10 @@
     }
 }
 
-/// Shards of a map; enough that a few threads seldom meet.
+/// The number of shards of a map, so that a few threads rarely contend for one.
 const SHARDS: usize = 32;
 
-/// A map in shards, each under its own lock.
+/// A hash map that is split into shards with a lock each.
 #[derive(Debug)]
 pub struct Sharded<K, V> {
     shards: Vec<Mutex<HashMap<K, V>>>,
@@ -81,19 +82,19 @@
         lock(&self.shards[index as usize])
     }
 
-    /// Visits each shard in turn, under its lock.
+    /// Calls a function on each shard in turn, while that shard is locked.
     pub fn each(&self, mut visit: impl FnMut(&mut HashMap<K, V>)) {
         for shard in &self.shards {
             visit(&mut lock(shard));
         }
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries in all shards, which are counted one after another.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| lock(shard).len()).sum()
     }
 
-    /// Whether there is no entry.
+    /// Returns whether all shards are empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/src/scalewood/util/lock/order.rs
+++ b/src/scalewood/util/lock/order.rs
@@ -1,9 +1,9 @@
-//! The order in which locks are taken.
+//! Detection of inconsistent lock orders.
 //!
-//! Two threads that take two locks in opposite orders wait for each other for ever, but only if
-//! they do it in the same moment. Here each order that was ever taken in this process is noted, so that
-//! the first opposite one is found, whether or not any other thread is about. Locks are told apart by
-//! the type of what they hold; two of one type have no order.
+//! Two threads that take two locks in opposite orders deadlock, but only if they do so at the same
+//! moment. This module records each order in which locks were ever taken in this process, so the
+//! first opposite order is found even if no other thread runs. Locks are identified by the type of
+//! the data that they protect; two locks of the same type have no order.
 
 use std::{
     any,
@@ -14,10 +14,11 @@
 
 use crate::core::invariant;
 
+/// The name of the type that a lock protects.
 type Name = &'static str;
 
-/// The locks that were ever taken while another one was held, by that one.
-static AFTER: Mutex<BTreeMap<Name, BTreeSet<Name>>> = Mutex::new(BTreeMap::new());
+/// For each lock, the locks that were ever taken while it was held.
+static TAKEN_UNDER: Mutex<BTreeMap<Name, BTreeSet<Name>>> = Mutex::new(BTreeMap::new());
 
 thread_local! {
     /// The locks that this thread holds.
@@ -29,13 +30,15 @@
 pub(super) struct Held(Name);
 
 impl Held {
+    /// Records that this thread is about to take the lock of a `T`, and checks the order against
+    /// all that were recorded before.
     #[track_caller]
     pub(super) fn new<T>() -> Self {
         let name = any::type_name::<T>();
         let before = HELD.with_borrow(Clone::clone);
         for held in before.into_iter().filter(|held| *held != name) {
-            let opposite = note(held, name);
-            invariant::check(!opposite, invariant::Rule::LockOrder, || {
+            let is_opposite = record_order(held, name);
+            invariant::check(!is_opposite, invariant::Rule::LockOrder, || {
                 format!("{name} is locked while {held} is, and elsewhere the other way round")
             });
         }
@@ -54,15 +57,16 @@
     }
 }
 
-/// Notes that a lock is taken while another one is held; whether that one was ever taken after it,
-/// directly or by way of others.
-fn note(held: Name, name: Name) -> bool {
-    let mut after = AFTER.lock().unwrap_or_else(PoisonError::into_inner);
+/// Records that the lock `name` is taken while `held` is held. Returns whether the opposite order
+/// was recorded before, directly or through other locks; false if this order is not new.
+fn record_order(held: Name, name: Name) -> bool {
+    let mut after = TAKEN_UNDER.lock().unwrap_or_else(PoisonError::into_inner);
     let is_new = after.entry(held).or_default().insert(name);
-    is_new && leads(&after, name, held, &mut BTreeSet::new())
+    is_new && reaches(&after, name, held, &mut BTreeSet::new())
 }
 
-fn leads(
+/// Returns whether `to` was taken under `from`, directly or through locks not yet in `seen`.
+fn reaches(
     after: &BTreeMap<Name, BTreeSet<Name>>,
     from: Name,
     to: Name,
@@ -70,5 +74,5 @@
 ) -> bool {
     let next = after.get(from).into_iter().flatten();
     next.into_iter()
-        .any(|name| *name == to || (seen.insert(name) && leads(after, name, to, seen)))
+        .any(|name| *name == to || (seen.insert(name) && reaches(after, name, to, seen)))
 }
--- a/src/scalewood/util/log.rs
+++ b/src/scalewood/util/log.rs
@@ -1,14 +1,14 @@
-//! Where log lines go: to standard output, for people on a terminal, else as JSON.
+//! Logging to standard output: human-readable on a terminal, otherwise JSON.
 
 use std::io::{self, IsTerminal as _};
 
 use slog::Drain as _;
 
-/// Lines that wait to be written; when there are more, new ones are counted and
-/// dropped, since a slow disk must not touch the request path.
-const CHANNEL: usize = 4096;
+/// The most lines that wait to be written. Further lines are counted and dropped, since a slow
+/// disk must not delay requests.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// A logger for a process.
+/// Returns a logger for a process; `verbose` includes debug lines.
 pub fn logger(program: &'static str, verbose: bool) -> slog::Logger {
     let level = if verbose {
         slog::Level::Debug
@@ -25,7 +25,7 @@
 
 fn terminal(level: slog::Level) -> slog::Fuse<slog_async::Async> {
     let decorator = slog_term::TermDecorator::new().stdout().build();
-    spool(
+    asynchronous(
         slog_term::FullFormat::new(decorator)
             .build()
             .filter_level(level),
@@ -36,16 +36,17 @@
     let drain = slog_json::Json::new(io::stdout())
         .add_default_keys()
         .build();
-    spool(std::sync::Mutex::new(drain).filter_level(level))
+    asynchronous(std::sync::Mutex::new(drain).filter_level(level))
 }
 
-fn spool<D>(drain: D) -> slog::Fuse<slog_async::Async>
+/// Wraps a drain so that a separate thread writes to it.
+fn asynchronous<D>(drain: D) -> slog::Fuse<slog_async::Async>
 where
     D: slog::Drain + Send + 'static,
     D::Err: std::fmt::Debug,
 {
     slog_async::Async::new(drain.fuse())
-        .chan_size(CHANNEL)
+        .chan_size(MAX_QUEUED_LINES)
         .build()
         .fuse()
 }
--- a/src/scalewood/util/metric.rs
+++ b/src/scalewood/util/metric.rs
@@ -1,6 +1,6 @@
 //! Metrics, in the text format of Prometheus.
 //!
-//! The three measures of the users stand first: attainment by class, goodput and
+//! The first ones are the three by which users judge the system: attainment by class, goodput and
 //! wasted work.
 
 use std::sync::atomic::AtomicU64;
@@ -13,7 +13,7 @@
 
 use crate::core::{config, invariant, verdict};
 
-/// A class of a service.
+/// The labels of a class of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ClassLabel {
     /// The service.
@@ -31,7 +31,7 @@
     }
 }
 
-/// A class and how its request ended.
+/// The labels of a class and of the end of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EndLabel {
     /// The service.
@@ -40,12 +40,12 @@
     pub class: String,
     /// How the request ended.
     pub end: &'static str,
-    /// Whether it may have run.
+    /// Whether the request may have been executed.
     pub verdict: &'static str,
 }
 
 impl EndLabel {
-    /// The label of a request's end.
+    /// Returns the labels of a request's end.
     pub fn new(key: &config::ClassKey, end: &'static str, verdict: verdict::Verdict) -> Self {
         let ClassLabel { service, class } = key.into();
         Self {
@@ -57,18 +57,19 @@
     }
 }
 
-/// A class, and why a request of it was refused for want of room.
+/// The labels of a class and of the cause of a refusal for lack of capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CauseLabel {
     /// The service.
     pub service: String,
     /// The class.
     pub class: String,
-    /// The cause.
+    /// The cause of the refusal.
     pub cause: &'static str,
 }
 
-/// A class that was refused, a less urgent one, and what came of a request of that.
+/// The labels of a refused class, of a less urgent one, and of the outcome of a request of the
+/// latter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PrecedenceLabel {
     /// The service.
@@ -77,33 +78,34 @@
     pub refused: String,
     /// The less urgent class.
     pub class: String,
-    /// What came of its request.
+    /// The outcome of the less urgent class's request.
     pub outcome: &'static str,
 }
 
-/// A service.
+/// The label of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabel {
     /// The service.
     pub service: String,
 }
 
-/// A rule that must always hold.
+/// The label of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RuleLabel {
-    /// The rule.
+    /// The invariant's name.
     pub rule: &'static str,
 }
 
-/// Bounds of the histograms of seconds.
-const SECONDS: [f64; 12] = [
+/// The bucket bounds of histograms of durations, in seconds.
+const BUCKETS_SECONDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.95, 2.0, 5.0, 15.0, 60.0,
 ];
 
 type ClassHistogram = Family<ClassLabel, Histogram, fn() -> Histogram>;
 
-fn seconds() -> Histogram {
-    Histogram::new(SECONDS)
+/// Returns an empty histogram of durations.
+fn duration_histogram() -> Histogram {
+    Histogram::new(BUCKETS_SECONDS)
 }
 
 /// The metrics of a process.
@@ -112,60 +114,61 @@
     registry: Registry,
     /// Requests that arrived, by class.
     pub offered: Family<ClassLabel, Counter>,
-    /// Requests whose first token came within their class's target.
+    /// Requests whose first token arrived within their class's target.
     pub attained: Family<ClassLabel, Counter>,
-    /// Tokens of whole answers whose first token came in time.
+    /// Tokens of complete answers whose first token arrived within the target.
     pub goodput: Family<ClassLabel, Counter>,
-    /// Tokens that were processed and not delivered, or had to be processed again.
+    /// Tokens that were processed but not delivered, or had to be processed again.
     pub wasted: Family<ClassLabel, Counter>,
-    /// Requests by how they ended.
+    /// Requests, by how they ended.
     pub ended: Family<EndLabel, Counter>,
-    /// Requests that were refused for want of room, by what was the cause.
+    /// Requests that were refused for lack of capacity, by cause.
     pub refused: Family<CauseLabel, Counter>,
-    /// Larger requests of less urgent classes that came while a more urgent one was refused.
+    /// Larger requests of less urgent classes that arrived while a more urgent class was refused.
     pub preceded: Family<PrecedenceLabel, Counter>,
     /// Seconds from arrival to the first token.
     pub first: ClassHistogram,
     /// Seconds between two tokens.
     pub between: ClassHistogram,
-    /// Requests that wait at this box's dispatchers.
+    /// Requests that are queued at this box's dispatchers.
     pub waiting: Family<ServiceLabel, Gauge>,
-    /// Slots that this box's dispatchers have granted.
+    /// Slots that this box's dispatchers have granted and not got back.
     pub running: Family<ServiceLabel, Gauge>,
-    /// Requests that were granted to endpoints that warm up.
+    /// Requests that were granted to endpoints that are warming up.
     pub warming_sent: Family<ServiceLabel, Counter>,
-    /// Requests that were kept from their home since it warms up.
+    /// Requests that were not sent to their preferred endpoint because it is warming up.
     pub warming_kept_back: Family<ServiceLabel, Counter>,
-    /// Endpoints that are believed to warm up.
+    /// Endpoints that are believed to be warming up.
     pub warming: Gauge,
-    /// How old endpoints' words were, in seconds, when warm-ups were begun by them.
+    /// The age, in seconds, of the endpoint's report from which a warm-up was assumed.
     pub warming_age: Histogram,
-    /// Policy programs that failed.
+    /// Failed runs of policy programs.
     pub policy_failures: Counter,
-    /// The configuration revision in force here.
+    /// The configuration revision in force in this process.
     pub revision: Gauge,
-    /// For how many seconds a voter has told of a newer revision.
+    /// For how many seconds voters have reported a newer revision.
     pub behind: Gauge<f64, AtomicU64>,
-    /// Zones that are cordoned by the configuration in force here.
+    /// Zones that are cordoned by the configuration in force in this process.
     pub cordoned: Gauge,
-    /// Grants that were not used since their endpoint's zone was cordoned meanwhile.
+    /// Grants that were not used because their endpoint's zone had been cordoned meanwhile.
     pub cordon_declined: Counter,
-    /// Answers in which an endpoint asked this box for rest.
+    /// Responses in which an endpoint asked this box for a rest.
     pub rests_asked: Counter,
-    /// Sends that were kept back since their endpoint rests.
+    /// Requests that were not sent because their endpoint had asked for a rest.
     pub rest_kept_back: Counter,
-    /// Endpoints that are known to limit their requests a second.
+    /// Endpoints that are known to limit their requests per second.
     pub limited: Gauge,
-    /// Requests that were sent to endpoints that are known to limit them.
+    /// Requests that were sent to endpoints with a known rate limit.
     pub limited_sent: Counter,
-    /// Requests that were kept from their home, since it limits its requests.
+    /// Requests that were not sent to their preferred endpoint because of its rate limit.
     pub limit_kept_back: Counter,
-    /// Permits that voters issued to this box for endpoints that limit their requests.
+    /// Permits that voters issued to this box for endpoints with a rate limit.
     pub permits: Counter,
-    /// Requests that are held back, since endpoints end under them.
+    /// Requests that are held back because endpoints ended under them.
     pub held_back: Gauge,
-    /// Whether this process takes new work.
+    /// Whether this process accepts new work.
     pub ready: Gauge,
+    /// Broken invariants, by rule; updated when the metrics are rendered.
     breaches: Family<RuleLabel, Gauge<f64, AtomicU64>>,
 }
 
@@ -180,14 +183,14 @@
             ended: Family::default(),
             refused: Family::default(),
             preceded: Family::default(),
-            first: Family::new_with_constructor(seconds),
-            between: Family::new_with_constructor(seconds),
+            first: Family::new_with_constructor(duration_histogram),
+            between: Family::new_with_constructor(duration_histogram),
             waiting: Family::default(),
             running: Family::default(),
             warming_sent: Family::default(),
             warming_kept_back: Family::default(),
             warming: Gauge::default(),
-            warming_age: seconds(),
+            warming_age: duration_histogram(),
             policy_failures: Counter::default(),
             revision: Gauge::default(),
             behind: Gauge::default(),
@@ -359,10 +362,10 @@
         );
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text.
     pub fn render(&self) -> String {
         for rule in invariant::Rule::ALL {
-            // Breaches are few, so the cast is exact.
+            // The count is small, so the cast is exact.
             let count = invariant::breaches(*rule) as f64;
             self.breaches
                 .get_or_create(&RuleLabel {
--- a/src/scalewood/util/mod.rs
+++ b/src/scalewood/util/mod.rs
@@ -1,4 +1,4 @@
-//! What every process needs: the clock, settings, log events and metrics.
+//! Utilities that all processes use: clock, locks, settings, sockets, log events and metrics.
 
 pub mod clock;
 pub mod event;
--- a/src/scalewood/util/settings/mod.rs
+++ b/src/scalewood/util/settings/mod.rs
@@ -1,8 +1,8 @@
-//! Reading settings: JSON with comments, one file for each process.
+//! Settings files: JSON with comments, one file for each process.
 //!
-//! A [`Reader`] takes the known keys out of an object one by one and notes every
-//! problem with its line; what is left over at the end is unknown. So an operator
-//! gets all that is wrong with a file at once, and what to write instead.
+//! A [`Reader`] removes the known keys from an object one by one and records each problem with
+//! its line; the keys that are left at the end are unknown. So an operator gets all problems of a
+//! file at once, each with what to write instead.
 
 use std::{fmt, path::Path};
 
@@ -14,7 +14,7 @@
 pub use reader::Reader;
 pub use value::{timing, zones, Address};
 
-/// Something wrong with a settings file.
+/// A problem with a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The line, from 1.
@@ -27,7 +27,7 @@
     pub instead: String,
 }
 
-/// All that is wrong with a settings file.
+/// All problems with a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     file: String,
@@ -35,7 +35,7 @@
 }
 
 impl Error {
-    /// The problems, in the order of their lines.
+    /// Returns the problems, in the order of their lines.
     pub fn problems(&self) -> &[Problem] {
         &self.problems
     }
@@ -65,7 +65,7 @@
 
 /// Settings that can be read from an object.
 pub trait Settings: Sized {
-    /// Takes the settings' keys out of the reader.
+    /// Reads the keys of the settings and records problems in the reader.
     fn read(reader: &mut Reader<'_>) -> Self;
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// Reads settings from a text; `file` is its name in problems.
+/// Parses settings from a text; `file` is the file name that errors show.
 ///
 /// # Errors
 ///
@@ -129,6 +129,7 @@
     Err(fail(problems))
 }
 
+/// Returns the line, from 1, of an offset in bytes.
 fn line_of(text: &str, offset: usize) -> usize {
     1 + text
         .bytes()
--- a/src/scalewood/util/settings/reader.rs
+++ b/src/scalewood/util/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Takes known keys out of an object of settings, and tells of all that is wrong with it.
+//! Reads the known keys of an object of settings and collects all problems with it.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -7,12 +7,17 @@
 use super::{line_of, value::Span, Problem, Settings};
 use crate::core::unit;
 
-/// Takes known keys out of an object and notes problems.
+/// Removes the known keys from an object one by one and records problems.
 pub struct Reader<'a> {
+    /// The whole file, for line numbers.
     text: &'a str,
+    /// The object's path from the root, which is empty for the root itself.
     path: String,
+    /// The line on which the object begins.
     line: usize,
+    /// The properties that were not read yet.
     properties: Vec<ast::ObjectProp<'a>>,
+    /// The keys that were asked for.
     known: Vec<&'static str>,
     problems: &'a mut Vec<Problem>,
 }
@@ -41,6 +46,7 @@
         }
     }
 
+    /// Returns a key's path from the root.
     fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -49,6 +55,7 @@
         }
     }
 
+    /// Removes a property and returns its line and value.
     fn take(&mut self, key: &'static str) -> Option<(usize, ast::Value<'a>)> {
         self.known.push(key);
         let index = self
@@ -59,7 +66,7 @@
         Some((line_of(self.text, property.range.start), property.value))
     }
 
-    /// Notes a problem with a key, at the line of the object.
+    /// Records a problem with a key, at the line of the object.
     pub fn problem(&mut self, key: &str, why: impl Into<String>, instead: impl Into<String>) {
         let path = self.path_of(key);
         let line = self.line;
@@ -71,6 +78,7 @@
         });
     }
 
+    /// Records a problem with a key, at a given line.
     fn problem_at(&mut self, line: usize, key: &str, why: String, instead: &str) {
         let path = self.path_of(key);
         self.problems.push(Problem {
@@ -81,7 +89,7 @@
         });
     }
 
-    /// Takes a text that parses as `T`; `example` shows one.
+    /// Reads an optional string that parses as `T`; problems show `example`.
     pub fn parsed<T>(&mut self, key: &'static str, example: &str) -> Option<T>
     where
         T: FromStr,
@@ -99,7 +107,7 @@
         None
     }
 
-    /// Takes a text that must be there and parse as `T`.
+    /// Reads a required string that parses as `T`; problems show `example`.
     pub fn required<T>(&mut self, key: &'static str, example: &str) -> Option<T>
     where
         T: FromStr,
@@ -113,18 +121,18 @@
         self.parsed(key, example)
     }
 
-    /// Takes a duration with its unit, like `2s` or `500ms`.
+    /// Reads a duration with its unit, like `2s` or `500ms`.
     pub fn duration(&mut self, key: &'static str, default: Duration) -> Duration {
         let parsed: Option<Span> = self.parsed(key, "2s");
         parsed.map_or(default, |span| span.0)
     }
 
-    /// Takes a size with its unit, like `1MiB`.
+    /// Reads a size with its unit, like `1MiB`.
     pub fn size(&mut self, key: &'static str, default: unit::Size) -> unit::Size {
         self.parsed(key, "1MiB").unwrap_or(default)
     }
 
-    /// Takes `true` or `false`.
+    /// Reads `true` or `false`.
     pub fn flag(&mut self, key: &'static str, default: bool) -> bool {
         let Some((line, value)) = self.take(key) else {
             return default;
@@ -141,7 +149,7 @@
         default
     }
 
-    /// Takes a whole number.
+    /// Reads a whole number.
     pub fn number<T: FromStr>(&mut self, key: &'static str, default: T) -> T {
         let Some((line, value)) = self.take(key) else {
             return default;
@@ -160,7 +168,7 @@
         default
     }
 
-    /// Takes a list of objects, or nothing if there is none.
+    /// Reads a list of objects; returns an empty list if the key is missing.
     pub fn list<S: Settings>(&mut self, key: &'static str) -> Vec<S> {
         let Some((line, value)) = self.take(key) else {
             return Vec::new();
@@ -194,7 +202,7 @@
         items
     }
 
-    /// Takes an object, or the settings' defaults if there is none.
+    /// Reads an object; returns the defaults if the key is missing.
     pub fn object<S: Settings + Default>(&mut self, key: &'static str) -> S {
         let Some((line, value)) = self.take(key) else {
             return S::default();
@@ -215,7 +223,7 @@
         settings
     }
 
-    /// Notes the keys that nobody took.
+    /// Records a problem for each key that is left: it is unknown, or stands in the object twice.
     pub(super) fn finish(mut self) {
         for property in std::mem::take(&mut self.properties) {
             let key = property.name.as_str().to_owned();
@@ -236,18 +244,18 @@
     }
 }
 
-/// The known key that differs least, if it differs little.
+/// Returns the known key with the smallest edit distance to a key, if that is small enough.
 fn nearest(key: &str, known: &[&'static str]) -> Option<&'static str> {
-    /// The most edits between a misspelt key and the known one.
-    const MOST: usize = 3;
+    /// The largest edit distance between a misspelt key and the known one.
+    const MAX_DISTANCE: usize = 3;
     let scored = known.iter().map(|k| (distance(key, k), *k));
     scored
-        .filter(|(d, k)| *d <= MOST && *d < k.len())
+        .filter(|(d, k)| *d <= MAX_DISTANCE && *d < k.len())
         .min()
         .map(|(_, k)| k)
 }
 
-/// The number of single-letter edits between two texts (Levenshtein).
+/// Returns the Levenshtein distance between two texts, in bytes.
 fn distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.bytes().enumerate() {
--- a/src/scalewood/util/settings/value.rs
+++ b/src/scalewood/util/settings/value.rs
@@ -1,12 +1,12 @@
-//! Values that settings of more than one process hold.
+//! Values that the settings of several processes contain.
 
 use std::{net::SocketAddr, str::FromStr, time::Duration};
 
 use super::{Reader, Settings};
 use crate::core::{name, region, registry, unit};
 
-/// Where a voter is reached, as an object with `address` and, where its processes
-/// listen at another port than the one named there, `port`.
+/// A voter's address, as an object with `address` and an optional `port`, which replaces the port
+/// of `address` if the voter listens for processes on another one.
 #[derive(Clone, Copy, Debug)]
 pub struct Address(pub Option<SocketAddr>);
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Takes the availability zones that are known beforehand, as a list of objects with `zone` and
+/// Reads the availability zones that are configured, as a list of objects with `zone` and
 /// `region`.
 pub fn zones(reader: &mut Reader<'_>) -> region::Map {
     let named: Vec<Zone> = reader.list("zones");
@@ -34,7 +34,7 @@
     map
 }
 
-/// Takes how often endpoints tell of themselves.
+/// Reads the interval between an endpoint's heartbeats.
 pub fn timing(reader: &mut Reader<'_>) -> registry::Timing {
     let default = registry::Timing::default();
     let heartbeat = reader.duration("endpoint_heartbeat", default.heartbeat);
@@ -46,7 +46,7 @@
     registry::Timing { heartbeat }
 }
 
-/// An availability zone with its region, as settings name one.
+/// An availability zone with its region; `None` if either is missing or invalid.
 struct Zone(Option<(name::Zone, name::Region)>);
 
 impl Settings for Zone {
@@ -57,10 +57,10 @@
     }
 }
 
-/// A duration as settings write it.
+/// A duration in the notation of settings: a whole number with a unit.
 pub(super) struct Span(pub(super) Duration);
 
-/// The units of a duration, in the order in which a suffix is looked for.
+/// The units of a duration, in milliseconds, in the order in which suffixes are compared.
 const UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1000), ("m", 60_000), ("h", 3_600_000)];
 
 impl FromStr for Span {
--- a/src/scalewood/util/signal.rs
+++ b/src/scalewood/util/signal.rs
@@ -1,8 +1,8 @@
-//! The signals that ask a process to stop, or to read its settings again.
+//! The signals that tell a process to stop or to reload its settings.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Waits until the process is asked to stop by SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT, which tell the process to stop.
 ///
 /// # Errors
 ///
@@ -17,7 +17,7 @@
     Ok(())
 }
 
-/// The signals (SIGHUP) that ask a process to read its settings again.
+/// Returns a listener for SIGHUP, which tells the process to reload its settings.
 ///
 /// # Errors
 ///
