--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -39,11 +39,15 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        const REPLACE_NODE: &str = "move the data folder away, run `scalewood-control join`, add the \
+        const REPLACE_NODE: &str =
+            "move the data folder away, run `scalewood-control join`, add the \
                                new identity with `scalewood voter add` and remove the old one";
         match self {
             Error::Io(error) => write!(f, "the journal can't be used: {error}; mend the disk"),
-            Error::Missing => write!(f, "the journal is gone from the data folder; {REPLACE_NODE}"),
+            Error::Missing => write!(
+                f,
+                "the journal is gone from the data folder; {REPLACE_NODE}"
+            ),
             Error::Damaged(at) => write!(f, "the journal is damaged at byte {at}; {REPLACE_NODE}"),
         }
     }
--- a/src/scalewood/wire/source.rs
+++ b/src/scalewood/wire/source.rs
@@ -28,7 +28,7 @@
     pub text: String,
 }
 
-/// The largest size of a piece in bytes.
+/// The size of a piece in bytes. A piece ends at the first character boundary from here on.
 pub const PIECE: usize = 128 * 1024;
 
 /// Distributes the configuration.
