--- a/src/bin/scalewood-control/main.rs
+++ b/src/bin/scalewood-control/main.rs
@@ -1,4 +1,4 @@
-//! `scalewood-control`: the process on the boxes that keep the configuration.
+//! `scalewood-control`: the daemon of a voter, which stores the configuration.
 
 use std::{
     path::{Path, PathBuf},
@@ -12,7 +12,7 @@
     util::{log, settings},
 };
 
-/// The command line.
+/// Returns the parser of the command line.
 fn cli() -> Command {
     let settings = Arg::new("settings")
         .long("settings")
--- a/src/bin/scalewood-entry/main.rs
+++ b/src/bin/scalewood-entry/main.rs
@@ -1,4 +1,4 @@
-//! `scalewood-entry`: the process on every entry box.
+//! `scalewood-entry`: the daemon of an entry box.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -8,7 +8,7 @@
     util::{log, settings},
 };
 
-/// The command line.
+/// Returns the parser of the command line.
 fn cli() -> Command {
     Command::new("scalewood-entry")
         .version(env!("CARGO_PKG_VERSION"))
--- a/src/bin/scalewood-standin/answer.rs
+++ b/src/bin/scalewood-standin/answer.rs
@@ -1,11 +1,11 @@
-//! What a stand-in answers: a text that follows from the prompt alone.
+//! The stand-in's answers, which depend on the prompt alone.
 
-/// The fewest tokens of an answer.
+/// The smallest length of an answer, in tokens.
 const MIN_TOKENS: u64 = 4;
-/// How much longer an answer may be.
-const SPREAD: u64 = 40;
+/// The number of different lengths of an answer, from `MIN_TOKENS` upwards.
+const LENGTH_COUNT: u64 = 40;
 
-/// A hash of a text (FNV-1a).
+/// Returns the FNV-1a hash of a text.
 pub(crate) fn hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |state: u64, byte| {
@@ -13,7 +13,7 @@
         })
 }
 
-/// The tokens of the answer to a prompt, at most `max`.
+/// Returns the tokens of the answer to a prompt, at most `max`.
 pub(crate) fn tokens(prompt: &str, max: Option<u64>) -> Vec<String> {
     let seed = hash(prompt);
     let count = length(prompt, seed);
@@ -23,10 +23,11 @@
         .collect()
 }
 
-/// A prompt may ask for a length, as `len=N` at its end.
+/// Returns the length of an answer in tokens: N if the prompt ends with `len=N`, otherwise a length
+/// that depends on the seed.
 fn length(prompt: &str, seed: u64) -> u64 {
     let asked = prompt
         .rsplit_once("len=")
         .and_then(|(_, digits)| digits.trim().parse().ok());
-    asked.unwrap_or(MIN_TOKENS + seed % SPREAD)
+    asked.unwrap_or(MIN_TOKENS + seed % LENGTH_COUNT)
 }
--- a/src/bin/scalewood-standin/engine.rs
+++ b/src/bin/scalewood-standin/engine.rs
@@ -1,4 +1,4 @@
-//! Slots with priorities, as a continuously batching engine hands them out.
+//! Slots with priorities, as an engine with continuous batching assigns them.
 
 use std::{
     collections::BTreeMap,
@@ -7,14 +7,15 @@
 
 use tokio::sync::oneshot;
 
-/// A place among those that wait: priority, then arrival.
-type Place = (i64, u64);
+/// The position of a waiting request: its priority and its arrival number; the lowest is next.
+type Position = (i64, u64);
 
 #[derive(Debug, Default)]
 struct State {
     free: usize,
+    /// The number of requests that have had to wait so far.
     arrivals: u64,
-    waiting: BTreeMap<Place, oneshot::Sender<Slot>>,
+    waiting: BTreeMap<Position, oneshot::Sender<Slot>>,
     running: usize,
 }
 
@@ -24,7 +25,7 @@
     state: Arc<Mutex<State>>,
 }
 
-/// A slot; it is free again when this is dropped.
+/// A slot, which is freed on drop.
 #[derive(Debug)]
 pub(crate) struct Slot {
     engine: Engine,
@@ -45,7 +46,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a slot; a lower priority number goes first.
+    /// Waits for a slot; lower priority numbers are served first.
     pub(crate) async fn slot(&self, priority: i64) -> Option<Slot> {
         let receiver = {
             let mut state = self.lock();
@@ -65,7 +66,7 @@
         receiver.await.ok()
     }
 
-    /// Requests inside of the engine.
+    /// Returns the number of running and waiting requests.
     pub(crate) fn load(&self) -> usize {
         let state = self.lock();
         state.running + state.waiting.len()
@@ -95,7 +96,7 @@
             }
         };
         if let Some(sender) = next {
-            // If the waiter went meanwhile, the slot comes back and is dropped here.
+            // If the receiver was dropped meanwhile, the slot comes back and is freed here.
             let _ = sender.send(Slot {
                 engine: self.engine.clone(),
             });
--- a/src/bin/scalewood-standin/faults.rs
+++ b/src/bin/scalewood-standin/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a test asks for.
+//! Faults that tests inject.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Faults {
-    /// Answers `/health` with 503.
+    /// Whether `/health` is answered with 503.
     pub(crate) leaving: bool,
-    /// How many streams are broken off from now on.
+    /// The number of streams to break from now on.
     pub(crate) breaks: u32,
-    /// After how many tokens these are broken off.
+    /// The number of tokens after which these streams are broken.
     pub(crate) break_after: u64,
-    /// How much slower it is than its settings say, in per cent on top.
+    /// By how many per cent all durations of the settings are lengthened.
     pub(crate) slower: u32,
-    /// Whether it takes requests and never answers.
+    /// Whether requests are accepted and never answered.
     pub(crate) hang: bool,
-    /// Whether plain calls run, and then the connection is cut.
+    /// Whether the connection of a plain call is closed after the call has run.
     pub(crate) cut_after_run: bool,
-    /// Turns all away and asks for so many milliseconds of rest; 0 is none.
+    /// If not 0, all requests are rejected and a rest of this many milliseconds is asked for.
     pub(crate) rest_ms: u32,
 }
 
 impl Faults {
-    /// A duration, lengthened for slowness.
+    /// Returns a duration lengthened by `slower` per cent.
     pub(crate) fn slowed(&self, duration: Duration) -> Duration {
         duration + duration * self.slower / 100
     }
--- a/src/bin/scalewood-standin/main.rs
+++ b/src/bin/scalewood-standin/main.rs
@@ -1,11 +1,11 @@
 //! `scalewood-standin`: stands in for a model engine or a plain service.
 //!
-//! It speaks the published protocol of the usual model servers as far as the router
-//! needs it, and does just what the tests need: slots, priorities, streams, resumption,
-//! cancellation, a lagging load report, and faults on demand under `/standin/`.
-//! Answers follow from the prompt alone, so that a caller can check every piece.
+//! It implements the part of the usual model servers' HTTP API that the router uses, and what the
+//! tests need: slots, priorities, streams, resumption, cancellation, a lagging load report, and
+//! faults on demand under `/standin/`. Answers depend on the prompt alone, so that a caller can
+//! check each piece.
 
-// Nothing here outlasts a suspension of the machine.
+// The stand-in does not have to survive a suspension of the machine.
 #![allow(clippy::disallowed_methods)]
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, sync::Arc, time::Duration};
@@ -19,7 +19,7 @@
 mod record;
 mod serve;
 
-/// The command line.
+/// Returns the parser of the command line.
 fn cli() -> Command {
     Command::new("scalewood-standin")
         .about("Stands in for a model engine or a plain service")
@@ -77,7 +77,7 @@
         .help(help)
 }
 
-/// What a stand-in is.
+/// The settings of a stand-in.
 #[derive(Clone, Debug)]
 pub(crate) struct Settings {
     pub(crate) model: bool,
--- a/src/bin/scalewood-standin/orders.rs
+++ b/src/bin/scalewood-standin/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to the endpoint: which model to load. With fencing, an order under an older
-//! term or number than one taken before is refused.
+//! Orders to the endpoint, which say which model to load. With fencing, an order is refused unless
+//! its term and number are higher than those of the last accepted order.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -8,22 +8,22 @@
 /// An order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Order {
-    /// The giver's term.
+    /// The term of the leader that gave the order.
     pub(crate) term: u64,
     /// The order's number within the term.
     pub(crate) number: u64,
-    /// What to load.
+    /// The model to load.
     pub(crate) load: String,
 }
 
-/// The orders that were taken.
+/// The orders that were accepted.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
     taken: Mutex<Vec<Order>>,
 }
 
 impl Orders {
-    /// Takes an order; false if it is fenced off.
+    /// Accepts an order; returns false if fencing refuses it.
     pub(crate) fn take(&self, order: Order, fencing: bool) -> bool {
         let mut taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
         let last = taken.last().map(|last| (last.term, last.number));
@@ -34,7 +34,7 @@
         true
     }
 
-    /// All orders that were taken.
+    /// Returns all orders that were accepted.
     pub(crate) fn taken(&self) -> Vec<Order> {
         self.taken
             .lock()
--- a/src/bin/scalewood-standin/record.rs
+++ b/src/bin/scalewood-standin/record.rs
@@ -1,4 +1,5 @@
-//! What ran here: in memory for tests that ask, and in a file that outlives a kill.
+//! The record of what ran in this process: in memory for queries, and in a file that survives a
+//! kill.
 
 use std::{
     fs::{File, OpenOptions},
@@ -12,30 +13,30 @@
 /// A request that ran, or a step of it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Run {
-    /// The request's identity, as the router gave it.
+    /// The request's identity, as the router sent it.
     pub(crate) request: String,
-    /// The caller's key, if there was one.
+    /// The caller's idempotency key, if there was one.
     pub(crate) key: Option<String>,
-    /// What was asked.
+    /// The prompt, or the method and URI of a plain call.
     pub(crate) what: String,
-    /// Tokens that an earlier attempt had delivered.
+    /// The number of tokens that an earlier attempt had delivered.
     pub(crate) resumed_at: u64,
 }
 
-/// A request that was turned away.
+/// A request that was rejected because the stand-in asks for a rest.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct TurnedAway {
-    /// When, in milliseconds since the process started.
+    /// When it was rejected, in milliseconds since the process started.
     pub(crate) at_ms: u64,
     /// Its path.
     pub(crate) path: String,
     /// Its body.
     pub(crate) body: String,
-    /// For how long it was asked for rest.
+    /// The rest that the response asked for, in milliseconds.
     pub(crate) rest_ms: u32,
 }
 
-/// What ran here.
+/// The requests that ran in this process.
 #[derive(Debug, Default)]
 pub(crate) struct Record {
     runs: Mutex<Vec<Run>>,
@@ -43,7 +44,7 @@
 }
 
 impl Record {
-    /// A record, kept in a file as well if one is named.
+    /// Returns an empty record, which is also appended to a file if one is given.
     pub(crate) fn new(path: Option<&Path>) -> Self {
         let open = |path| OpenOptions::new().append(true).create(true).open(path).ok();
         Self {
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Notes a run before anything of it is done.
+    /// Records a run, before any of its work is done.
     pub(crate) fn note(&self, run: Run) {
         if let Some(file) = &self.file {
             let mut line = serde_json::to_string(&run).unwrap_or_default();
             line.push('\n');
             let mut file = file.lock().unwrap_or_else(PoisonError::into_inner);
-            // A record that can't be kept shows as a missing run in the account.
+            // If the write fails, the run is missing from the file, which the test's count shows.
             let _ = file.write_all(line.as_bytes());
         }
         self.runs
@@ -67,7 +68,7 @@
             .push(run);
     }
 
-    /// All runs so far.
+    /// Returns all runs so far.
     pub(crate) fn runs(&self) -> Vec<Run> {
         self.runs
             .lock()
--- a/src/bin/scalewood-standin/serve.rs
+++ b/src/bin/scalewood-standin/serve.rs
@@ -32,12 +32,12 @@
     Settings,
 };
 
-/// A request whose text has this in it ends the process once it has begun to run.
-const END: &str = "end the endpoint";
-/// The exit code of a process that was ended so.
-const END_CODE: i32 = 3;
+/// A request whose text contains this ends the process once it runs.
+const CRASH_TEXT: &str = "end the endpoint";
+/// The exit code of a process that such a request has ended.
+const CRASH_EXIT_CODE: i32 = 3;
 
-/// A stand-in.
+/// The state of a stand-in.
 #[derive(Debug)]
 pub(crate) struct Standin {
     settings: Settings,
@@ -47,13 +47,14 @@
     orders: Orders,
     turned_away: Mutex<Vec<TurnedAway>>,
     started: Instant,
+    /// The number of requests that `/load` reports, which is out of date by the configured lag.
     lagging_load: AtomicU32,
 }
 
-/// A piece of an answer, or the cut of its connection.
+/// A piece of a response's body, or an error that closes the connection.
 type Piece = Result<Bytes, std::io::Error>;
 
-/// An answer's body: pieces as they come.
+/// A response's body, which is sent piece by piece.
 struct Pieces(mpsc::Receiver<Piece>);
 
 impl Body for Pieces {
@@ -90,7 +91,7 @@
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether this stream is one that is to be broken off.
+    /// Returns whether this stream is to be broken, and counts it as broken if so.
     fn take_break(&self) -> bool {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         let breaks = faults.breaks > 0;
@@ -99,7 +100,7 @@
     }
 }
 
-/// Serves for ever.
+/// Accepts connections and serves them; returns only if that fails.
 pub(crate) async fn run(standin: Arc<Standin>) -> std::io::Result<()> {
     let listener = TcpListener::bind(standin.settings.listen).await?;
     tokio::spawn(report_load(standin.clone()));
@@ -119,7 +120,7 @@
     }
 }
 
-/// Brings the reported load up to date, late.
+/// Updates the reported load, with the configured lag.
 async fn report_load(standin: Arc<Standin>) {
     loop {
         let load = u32::try_from(standin.engine.load()).unwrap_or(u32::MAX);
@@ -174,7 +175,7 @@
     }
 }
 
-/// Turns a request away, and asks for rest.
+/// Rejects a request and asks for a rest.
 async fn turn_away(standin: &Standin, request: Request<Incoming>) -> Response<Pieces> {
     let rest_ms = standin.faults().rest_ms;
     let path = request.uri().path().to_owned();
@@ -242,7 +243,7 @@
         .map(str::to_owned)
 }
 
-/// The prompt and what of the answer was delivered before.
+/// Returns the prompt and the part of the answer that an earlier attempt delivered.
 fn prompt_of(body: &Value) -> (String, String) {
     if let Some(prompt) = body.get("prompt").and_then(Value::as_str) {
         return (prompt.to_owned(), String::new());
@@ -276,7 +277,7 @@
         return whole(StatusCode::BAD_REQUEST, &json!({ "error": "no JSON" }));
     };
     let (prompt, delivered) = prompt_of(&body);
-    // What was delivered counts towards the answer, so the limit is on the rest.
+    // `max_tokens` limits only the tokens that are still to be delivered.
     let max = body.get("max_tokens").and_then(Value::as_u64);
     let all = answer::tokens(&prompt, None);
     let resumed_at = count_delivered(&all, &delivered);
@@ -327,7 +328,8 @@
     response
 }
 
-/// How many tokens of an answer make up a text.
+/// Returns the number of tokens that a delivered text consists of, or `None` if it is not the
+/// beginning of the answer.
 fn count_delivered(all: &[String], delivered: &str) -> Option<usize> {
     let mut rest = delivered;
     let mut count = 0;
@@ -338,10 +340,10 @@
     Some(count)
 }
 
-/// Ends the process if a request's text asks for it: all that runs here breaks off.
-fn end_if_asked(text: &str) {
-    if text.contains(END) {
-        std::process::exit(END_CODE);
+/// Ends the process, and with it all running requests, if a request's text asks for it.
+fn crash_if_asked(text: &str) {
+    if text.contains(CRASH_TEXT) {
+        std::process::exit(CRASH_EXIT_CODE);
     }
 }
 
@@ -376,7 +378,7 @@
                     .await;
                 return;
             }
-            end_if_asked(&self.prompt);
+            crash_if_asked(&self.prompt);
             if self.stream && !self.send(sender, Some(token)).await {
                 return;
             }
@@ -447,7 +449,7 @@
     });
     tokio::time::sleep(faults.slowed(standin.settings.first)).await;
     let echo = String::from_utf8_lossy(&body.to_bytes()).into_owned();
-    end_if_asked(&echo);
+    crash_if_asked(&echo);
     if faults.cut_after_run {
         return cut();
     }
@@ -457,11 +459,11 @@
     )
 }
 
-/// An answer whose connection breaks.
+/// Returns a response whose connection breaks.
 fn cut() -> Response<Pieces> {
     let (sender, receiver) = mpsc::channel(1);
     let _ = sender.try_send(Err(std::io::ErrorKind::BrokenPipe.into()));
-    // The length is never reached, so that the cut shows whatever the timing.
+    // The stated length is never reached, so that the client detects the break whatever the timing.
     let mut response = Response::new(Pieces(receiver));
     let length = header::HeaderValue::from_static("1000000");
     response
--- a/src/bin/scalewood/cli.rs
+++ b/src/bin/scalewood/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as a whole.
+//! The top-level command line.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::commands;
 
-/// The help text on exit codes.
+/// The section on exit codes in the help.
 const EXIT_CODES: &str = "Exit codes:
   0  done
   1  refused
@@ -15,7 +15,7 @@
   4  not known whether the change was accepted: send it again under the same id
   5  no voter could be reached";
 
-/// The command line.
+/// Returns the parser of the command line.
 pub(crate) fn cli() -> Command {
     Command::new("scalewood")
         .version(env!("CARGO_PKG_VERSION"))
--- a/src/bin/scalewood/commands/config.rs
+++ b/src/bin/scalewood/commands/config.rs
@@ -1,4 +1,4 @@
-//! `scalewood config`: shows and changes the configuration as a whole.
+//! `scalewood config`: shows and changes the whole configuration.
 
 use clap::{Arg, ArgMatches, Command};
 use scalewood::{
--- a/src/bin/scalewood/commands/explain.rs
+++ b/src/bin/scalewood/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `scalewood explain`: what logs tell of one request.
+//! `scalewood explain`: shows from logs what happened to a request.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use scalewood::ops::explain;
--- a/src/bin/scalewood/commands/held_back.rs
+++ b/src/bin/scalewood/commands/held_back.rs
@@ -1,4 +1,5 @@
-//! `scalewood held-back`: requests that are sent to no endpoint, since endpoints end under them.
+//! `scalewood held-back`: the requests that are sent to no endpoint because endpoints ended under
+//! them.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use scalewood::{core::fingerprint, wire::admin};
--- a/src/bin/scalewood/commands/item.rs
+++ b/src/bin/scalewood/commands/item.rs
@@ -1,4 +1,5 @@
-//! `scalewood box|service|class|team|endpoint|policy`: items one by one.
+//! `scalewood box|service|class|team|endpoint|policy`: shows and changes single items of the
+//! configuration.
 
 use clap::{Arg, ArgMatches, Command};
 use scalewood::core::{audit, change, config};
@@ -8,7 +9,7 @@
     exit::{Exit, Failure},
 };
 
-/// A kind of item.
+/// A kind of configuration item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Box,
@@ -30,7 +31,7 @@
         Kind::Policy,
     ];
 
-    /// The subcommand's name.
+    /// Returns the subcommand's name.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Kind::Box => "box",
@@ -79,7 +80,7 @@
         })
     }
 
-    /// The items of this kind as JSON, without secrets.
+    /// Returns the items of this kind as JSON, without secrets.
     fn list(self, document: &config::Document) -> Vec<(String, serde_json::Value)> {
         macro_rules! list {
             ($map:expr) => {
--- a/src/bin/scalewood/commands/mod.rs
+++ b/src/bin/scalewood/commands/mod.rs
@@ -22,7 +22,7 @@
 mod voter;
 mod zone;
 
-/// All subcommands.
+/// Returns all subcommands.
 pub(crate) fn all() -> Vec<Command> {
     let mut all = vec![
         check::cli(),
@@ -64,14 +64,14 @@
     }
 }
 
-/// Whether output is to be JSON.
+/// Returns whether to print JSON.
 fn is_json(matches: &ArgMatches) -> bool {
     matches
         .get_one::<String>("output")
         .is_some_and(|output| output == "json")
 }
 
-/// A client with what the command line says.
+/// Returns a client for the voters, with the addresses and the token that the command line gives.
 fn client(matches: &ArgMatches) -> Result<operate::Client, Failure> {
     let voters: Vec<SocketAddr> = matches
         .get_many("admin")
@@ -109,7 +109,7 @@
     serde_json::from_value(value).map_err(|error| wrong(error.to_string()))
 }
 
-/// The arguments of a command that makes a change.
+/// Returns the arguments that all commands that change the configuration have.
 fn change_args() -> [Arg; 3] {
     [
         Arg::new("why")
@@ -129,7 +129,7 @@
     ]
 }
 
-/// Makes a change and prints its answer.
+/// Sends a change and prints the answer.
 async fn make(
     matches: &ArgMatches,
     client: &operate::Client,
@@ -173,7 +173,7 @@
 
 /// Prints a value as indented JSON.
 fn print_json<T: serde::Serialize>(value: &T) {
-    // Plain data always has a text.
+    // Serialising plain data does not fail.
     println!(
         "{}",
         serde_json::to_string_pretty(value).unwrap_or_default()
--- a/src/bin/scalewood/commands/provider.rs
+++ b/src/bin/scalewood/commands/provider.rs
@@ -1,4 +1,4 @@
-//! `scalewood provider`: what is done for the provider of the machines.
+//! `scalewood provider`: shows the state of the tasks for the provider of the machines.
 
 use clap::{ArgMatches, Command};
 use scalewood::wire::admin::Provider;
--- a/src/bin/scalewood/commands/status.rs
+++ b/src/bin/scalewood/commands/status.rs
@@ -1,11 +1,11 @@
-//! `scalewood status`: how the system stands, as one voter sees it.
+//! `scalewood status`: shows the status of the system, as one voter sees it.
 
 use clap::{ArgMatches, Command};
 use scalewood::wire::admin::Status;
 
 use crate::{commands, exit::Exit};
 
-/// The age of a report after which a box counts as silent, in milliseconds.
+/// The age in milliseconds from which a box's last report counts as overdue.
 const SILENT_MS: u64 = 5000;
 
 pub(crate) fn cli() -> Command {
--- a/src/bin/scalewood/commands/token.rs
+++ b/src/bin/scalewood/commands/token.rs
@@ -1,4 +1,4 @@
-//! `scalewood token`: makes a token and its hash.
+//! `scalewood token`: generates a token and its hash.
 
 use clap::{ArgMatches, Command};
 use scalewood::core::secret;
--- a/src/bin/scalewood/commands/voter.rs
+++ b/src/bin/scalewood/commands/voter.rs
@@ -1,4 +1,4 @@
-//! `scalewood voter`: the boxes that keep the configuration.
+//! `scalewood voter`: lists, adds and removes voters.
 
 use std::net::SocketAddr;
 
--- a/src/bin/scalewood/commands/zone.rs
+++ b/src/bin/scalewood/commands/zone.rs
@@ -1,4 +1,4 @@
-//! `scalewood zone`: cordons availability zones and takes that back.
+//! `scalewood zone`: cordons and uncordons availability zones.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use scalewood::{
--- a/src/bin/scalewood/exit.rs
+++ b/src/bin/scalewood/exit.rs
@@ -1,4 +1,4 @@
-//! How a command fails, and with which exit code.
+//! Errors of commands and their exit codes.
 
 use std::{fmt, process::ExitCode};
 
@@ -8,17 +8,17 @@
 /// Why a command failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// Something was wrong with what was given: exit code 2.
+    /// The arguments, settings or input are wrong: exit code 2.
     Usage(String),
     /// The change was not applied: exit code 3.
     NotApplied(String),
-    /// A call to the voters failed: exit code 4 if it is not known whether a change
-    /// was accepted, 5 if no voter was reached, else 1.
+    /// A call to the voters failed: exit code 4 if it is unknown whether a change was accepted, 5
+    /// if no voter could be reached, otherwise 1.
     Call(Report<operate::Error>),
 }
 
 impl Failure {
-    /// The process's exit code.
+    /// Returns the process's exit code.
     pub(crate) fn code(&self) -> ExitCode {
         ExitCode::from(match self {
             Failure::Usage(_) => 2,
@@ -56,5 +56,5 @@
     }
 }
 
-/// What a command returns.
+/// The result of a command.
 pub(crate) type Exit = Result<(), Failure>;
--- a/src/bin/scalewood/main.rs
+++ b/src/bin/scalewood/main.rs
@@ -1,4 +1,4 @@
-//! `scalewood`: what operators change and see the system with.
+//! `scalewood`: the command-line client with which operators inspect and change the system.
 
 use std::process::ExitCode;
 
