--- a/src/scalewood/store/identity.rs
+++ b/src/scalewood/store/identity.rs
@@ -41,7 +41,9 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Io(error) => write!(f, "the data folder can't be used: {error}; mend the disk"),
+            Error::Io(error) => {
+                write!(f, "the data folder can't be used: {error}; repair the disk")
+            }
             Error::Empty => write!(
                 f,
                 "the data folder has no identity; for a new system run `scalewood-control init`, \
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -4,8 +4,8 @@
 //! the text as JSON. All writes of a step form one record that is synced once, so after a loss of
 //! power only the last record can be torn. It was never acknowledged and is dropped. A bad record
 //! that is followed by others is damage and reported as an error: the voter must not continue
-//! without writes that it has acknowledged. The header has its own checksum, since a damaged length would
-//! make the records that follow look like a torn end.
+//! without writes that it has acknowledged. The header has its own checksum, since a damaged
+//! length would make the records that follow look like a torn end.
 //!
 //! A log is used instead of an embedded store: it needs one sync for each step and no memory beyond
 //! the state itself, and the only operations needed are appending and restarting from a snapshot.
@@ -43,7 +43,7 @@
             "move the data folder away, run `scalewood-control join`, add the \
                                new identity with `scalewood voter add` and remove the old one";
         match self {
-            Error::Io(error) => write!(f, "the journal can't be used: {error}; mend the disk"),
+            Error::Io(error) => write!(f, "the journal can't be used: {error}; repair the disk"),
             Error::Missing => write!(
                 f,
                 "the journal is gone from the data folder; {REPLACE_NODE}"
--- a/src/scalewood/util/metric.rs
+++ b/src/scalewood/util/metric.rs
@@ -136,7 +136,7 @@
     pub running: Family<ServiceLabel, Gauge>,
     /// Requests that were granted to endpoints that are warming up.
     pub warming_sent: Family<ServiceLabel, Counter>,
-    /// Requests that were not sent to their preferred endpoint because it is warming up.
+    /// Requests that were diverted from their home because it is warming up.
     pub warming_kept_back: Family<ServiceLabel, Counter>,
     /// Endpoints that are believed to be warming up.
     pub warming: Gauge,
@@ -160,7 +160,7 @@
     pub limited: Gauge,
     /// Requests that were sent to endpoints with a known rate limit.
     pub limited_sent: Counter,
-    /// Requests that were not sent to their preferred endpoint because of its rate limit.
+    /// Requests that were diverted from their home because of its rate limit.
     pub limit_kept_back: Counter,
     /// Permits that voters issued to this box for endpoints with a rate limit.
     pub permits: Counter,
--- a/src/scalewood/util/settings/reader.rs
+++ b/src/scalewood/util/settings/reader.rs
@@ -223,14 +223,14 @@
         settings
     }
 
-    /// Records a problem for each key that is left: it is unknown, or stands in the object twice.
+    /// Records a problem for each key that is left: it is unknown or occurs twice.
     pub(super) fn finish(mut self) {
         for property in std::mem::take(&mut self.properties) {
             let key = property.name.as_str().to_owned();
             let line = line_of(self.text, property.range.start);
             let taken = self.known.contains(&key.as_str());
             let why = if taken {
-                "it stands here twice"
+                "it occurs twice"
             } else {
                 "it is not a known key"
             };
--- a/src/scalewood/util/settings/value.rs
+++ b/src/scalewood/util/settings/value.rs
@@ -39,7 +39,7 @@
     let default = registry::Timing::default();
     let heartbeat = reader.duration("endpoint_heartbeat", default.heartbeat);
     if heartbeat.is_zero() {
-        let why = "endpoints can't tell of themselves all the time";
+        let why = "it must be longer than zero";
         reader.problem("endpoint_heartbeat", why, "1200ms");
         return default;
     }
--- a/src/scalewood/util/socket.rs
+++ b/src/scalewood/util/socket.rs
@@ -7,8 +7,8 @@
 
 /// The timeouts between processes of the system: after one second without traffic the peer is
 /// probed, and two seconds later the connection is closed. This is no longer than the three seconds
-/// after which a box counts as unreachable, and longer than the one second for which packets queue at a
-/// saturated link.
+/// after which a box counts as unreachable, and longer than the one second for which packets queue
+/// at a saturated link.
 pub const PROCESS: Silence = Silence {
     unacknowledged: Duration::from_secs(3),
     probe_after: Some(Duration::from_secs(1)),
--- a/src/scalewood/wire/registry.rs
+++ b/src/scalewood/wire/registry.rs
@@ -18,7 +18,7 @@
     /// Endpoints that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changed: Vec<registry::Record>,
-    /// Endpoints that were restored from the voter's hints; only in the first update after its start.
+    /// Endpoints that served before the voter started; only in the first update after its start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub restored: Vec<registry::Record>,
     /// Endpoints that are gone, or of which a start has ended.
