--- a/tests/testsuite/support/client.rs
+++ b/tests/testsuite/support/client.rs
@@ -1,4 +1,4 @@
-//! A caller: plain and streamed requests over HTTP.
+//! An HTTP client for plain and streamed requests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,17 +11,17 @@
 use serde_json::{json, Value};
 use tokio::net::TcpStream;
 
-/// How long any answer may take.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The time within which any answer must arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection that requests are sent over, one after another.
+/// An HTTP/1 connection, over which requests are sent one after another.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     address: SocketAddr,
 }
 
-/// An answer, read to its end.
+/// An answer that was read to its end.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
@@ -43,21 +43,21 @@
     }
 }
 
-/// A streamed answer, read to its end.
+/// A streamed answer that was read to its end or until it broke off.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Streamed {
     pub(crate) status: u16,
     pub(crate) verdict: Option<String>,
     pub(crate) text: String,
-    /// Whether the end mark came.
+    /// Whether the end mark arrived.
     pub(crate) whole: bool,
-    /// The error event, if one came.
+    /// The error event, if one arrived.
     pub(crate) error: Option<Value>,
-    /// From sending to the first token.
+    /// The time from sending the request to the first token.
     pub(crate) first: Option<Duration>,
-    /// Times between two tokens.
+    /// The times between consecutive tokens.
     pub(crate) between: Vec<Duration>,
-    /// All ids that the pieces had.
+    /// The ids of all events.
     pub(crate) ids: Vec<String>,
 }
 
@@ -85,7 +85,7 @@
         self.send_to(&host, method, path, headers, body).await
     }
 
-    /// Sends a request for a host.
+    /// Sends a request with a `host` header.
     pub(crate) async fn send_to(
         &mut self,
         host: &str,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Sends a request over a connection of its own and reads the answer.
+/// Sends a request over a new connection and reads the answer.
 pub(crate) async fn ask(
     address: SocketAddr,
     method: &str,
@@ -135,23 +135,23 @@
             body,
         })
     };
-    tokio::time::timeout(PATIENCE, ask)
+    tokio::time::timeout(ANSWER_TIMEOUT, ask)
         .await
         .map_err(std::io::Error::other)?
 }
 
-/// The body of a chat request.
+/// Returns the body of a chat request.
 pub(crate) fn chat(model: &str, prompt: &str, stream: bool) -> String {
     let messages = json!([{ "role": "user", "content": prompt }]);
     json!({ "model": model, "messages": messages, "stream": stream }).to_string()
 }
 
-/// The bearer header's value.
+/// Returns the value of the authorization header.
 pub(crate) fn bearer(token: &str) -> String {
     format!("Bearer {token}")
 }
 
-/// Streams a chat over a connection and reads it to its end or break.
+/// Sends a chat request over a connection and reads the answer until it ends or breaks off.
 pub(crate) async fn stream(
     connection: &mut Connection,
     token: &str,
--- a/tests/testsuite/support/crashing.rs
+++ b/tests/testsuite/support/crashing.rs
@@ -1,5 +1,5 @@
-//! Endpoints that end under a request: all their connections break, and some time later they
-//! are back at their address, under a new name.
+//! Endpoints that crash under a request: all their connections break, and some time later they
+//! restart at the same address under a new name.
 
 use std::{
     convert::Infallible,
@@ -26,45 +26,46 @@
 
 use super::client;
 
-/// What a body begins with that ends the endpoint that runs it.
+/// The beginning of the body of a request that crashes the endpoint that runs it.
 pub(crate) const CRASH: &str = "crash";
 /// How long such a request runs before the endpoint ends.
 const CRASH_AFTER: Duration = Duration::from_millis(60);
-/// Events of a stream, and the time between two.
+/// The number of events in a stream.
 pub(crate) const EVENTS: usize = 6;
-/// Events of a stream whose path says that it is long.
-const EVENTS_OF_LONG: usize = 100;
-const PAUSE: Duration = Duration::from_millis(10);
-/// How often an endpoint announces itself.
-const HEARTBEAT: Duration = Duration::from_millis(500);
-
-/// An arrival of a request that ends endpoints.
+/// The number of events in a stream whose path ends with `/long`.
+const LONG_STREAM_EVENTS: usize = 100;
+/// The time between two events.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
+/// The interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+
+/// An arrival of a crashing request.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: Instant,
     pub(crate) body: String,
-    /// When it ended its endpoint, if it got so far.
+    /// When it ended its endpoint, if it did.
     pub(crate) ended: Option<Instant>,
 }
 
-/// What all endpoints have seen.
+/// The arrivals at all endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Seen(Arc<Mutex<Vec<Arrival>>>);
 
 impl Seen {
-    /// The arrivals of a request, in order.
+    /// Returns the arrivals of a request, in order.
     pub(crate) fn arrivals(&self, body: &str) -> Vec<Arrival> {
         let all = self.0.lock().unwrap().clone();
         all.into_iter().filter(|seen| seen.body == body).collect()
     }
 
-    /// How many endpoints a request has ended.
+    /// Returns how many endpoints a request has ended.
     pub(crate) fn ended(&self, body: &str) -> usize {
         let arrivals = self.arrivals(body);
         arrivals.iter().filter(|seen| seen.ended.is_some()).count()
     }
 
-    /// How many times a request arrived later than `slack` after it had ended a third endpoint.
+    /// Returns how often a request arrived more than `slack` after it had ended a third endpoint.
     pub(crate) fn late_arrivals(&self, body: &str, slack: Duration) -> usize {
         let arrivals = self.arrivals(body);
         let mut ends: Vec<_> = arrivals.iter().filter_map(|seen| seen.ended).collect();
@@ -75,36 +76,36 @@
     }
 }
 
-/// How endpoints are brought about.
+/// The parameters of the endpoints.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) host: std::net::IpAddr,
     pub(crate) port: u16,
-    /// Where they announce themselves; each takes the next one.
+    /// The voters to which they send heartbeats; each endpoint starts with a different one.
     pub(crate) voters: Vec<SocketAddr>,
-    /// How long they are away after an end.
+    /// The time from an end to the restart.
     pub(crate) away: Duration,
     pub(crate) seen: Seen,
 }
 
 static STARTS: AtomicU64 = AtomicU64::new(0);
 
-/// Keeps an endpoint up, start after start, until the task is dropped.
+/// Runs an endpoint and restarts it after each end, until the task is aborted.
 pub(crate) async fn keep(plan: Plan, number: u16) {
     let address = SocketAddr::new(plan.host, plan.port + number);
     loop {
         let start = STARTS.fetch_add(1, Ordering::Relaxed);
         let listener = TcpListener::bind(address).await.unwrap();
-        let record = record(&format!("crash-{number}-{start}"), address);
+        let record = endpoint_record(&format!("crash-{number}-{start}"), address);
         tokio::select! {
             () = serve(listener, plan.seen.clone()) => {}
-            () = announce(&plan, usize::from(number), record) => {}
+            () = send_heartbeats(&plan, usize::from(number), record) => {}
         }
         tokio::time::sleep(plan.away).await;
     }
 }
 
-fn record(name: &str, address: SocketAddr) -> Record {
+fn endpoint_record(name: &str, address: SocketAddr) -> Record {
     Record {
         name: name.parse().unwrap(),
         service: "lm".parse().unwrap(),
@@ -119,8 +120,8 @@
     }
 }
 
-/// Announces an endpoint for ever, to the next voter where one does not answer.
-async fn announce(plan: &Plan, first: usize, mut record: Record) {
+/// Sends an endpoint's heartbeats, to the next voter whenever one does not accept them.
+async fn send_heartbeats(plan: &Plan, first: usize, mut record: Record) {
     let mut turn = first;
     loop {
         record.sequence += 1;
@@ -130,7 +131,7 @@
         let asked = client::ask(voter, "PUT", &path, &[], body);
         let answer = tokio::time::timeout(Duration::from_secs(1), asked).await;
         match answer {
-            Ok(Ok(answer)) if answer.status == 200 => tokio::time::sleep(HEARTBEAT).await,
+            Ok(Ok(answer)) if answer.status == 200 => tokio::time::sleep(HEARTBEAT_INTERVAL).await,
             _ => {
                 turn += 1;
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -139,7 +140,7 @@
     }
 }
 
-/// Serves until a request ends it; then all connections break.
+/// Serves requests until one ends the endpoint, then breaks all connections.
 async fn serve(listener: TcpListener, seen: Seen) {
     let end = Arc::new(Notify::new());
     let mut connections = JoinSet::new();
@@ -186,7 +187,7 @@
         let first = after.map_or(0, |id| id.to_str().unwrap().parse::<usize>().unwrap() + 1);
         events(first, parts.uri.path())
     } else {
-        tokio::time::sleep(PAUSE * u32::try_from(EVENTS).unwrap()).await;
+        tokio::time::sleep(EVENT_INTERVAL * u32::try_from(EVENTS).unwrap()).await;
         let whole = Full::new(Bytes::from("well")).map_err(|never| match never {});
         Response::new(whole.boxed_unsync())
     };
@@ -198,7 +199,7 @@
 
 fn events(first: usize, path: &str) -> Response<Body> {
     let count = if path.ends_with("/long") {
-        EVENTS_OF_LONG
+        LONG_STREAM_EVENTS
     } else {
         EVENTS
     };
@@ -206,7 +207,7 @@
         if number >= count {
             return None;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(EVENT_INTERVAL).await;
         let event = format!("id: {number}\ndata: piece {number}\n\n");
         Some((Ok(Frame::data(Bytes::from(event))), number + 1))
     });
--- a/tests/testsuite/support/deploy.rs
+++ b/tests/testsuite/support/deploy.rs
@@ -1,7 +1,7 @@
 //! A deployment of real processes on loopback.
 //!
-//! Each deployment has an address of its own in 127.0.0.0/8, so that ports never
-//! clash. Only the test or the demonstration starts processes; they start none.
+//! Each deployment has its own address in 127.0.0.0/8, so that ports don't clash. All processes are
+//! children of the test or the demonstration and start none themselves.
 
 use std::{
     fs,
@@ -30,10 +30,10 @@
 /// The model that is served.
 pub(crate) const MODEL: &str = "catalogue";
 
-/// How long anything that is waited for may take.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The time limit of all waits.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The folder of the built programs.
+/// Returns the folder of the built programs.
 pub(crate) fn programs() -> PathBuf {
     let mut path = std::env::current_exe().expect("the program has a path");
     path.pop();
@@ -43,18 +43,18 @@
     path
 }
 
-/// Where the programs of another build are, if runs by hand are to start some processes of it.
+/// The folder with the programs of another build, for manual runs that mix two builds.
 const OTHER_BUILD: &str = "SCALEWOOD_OTHER_BUILD";
-/// Which part of all processes that is; a half if nothing is said.
+/// The fraction of processes that are started from the other build; 0.5 by default.
 const OTHER_PART: &str = "SCALEWOOD_OTHER_PART";
 
-/// Whether some processes are of another build.
+/// Returns whether some processes are of another build.
 pub(crate) fn is_mixed() -> bool {
     std::env::var_os(OTHER_BUILD).is_some()
 }
 
-/// Where the program of the next process is taken from.
-fn build() -> PathBuf {
+/// Returns the folder from which the next process is started.
+fn next_build() -> PathBuf {
     let part = std::env::var(OTHER_PART).ok();
     let part = part.map_or(0.5, |part| part.parse().expect("a part of 1"));
     match std::env::var_os(OTHER_BUILD) {
@@ -63,11 +63,12 @@
     }
 }
 
-/// How many lines of its log a process leaves where its test fails, and of how many bytes at most.
+/// The number of log lines that are printed for each process of a failed test.
 const LAST_LINES: usize = 8;
-const LONGEST_LINE: usize = 300;
+/// The longest part of a log line that is printed, in characters.
+const MAX_LINE_CHARS: usize = 300;
 
-/// A process; it is killed when this is dropped.
+/// A process that is killed on drop.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) name: String,
@@ -76,7 +77,7 @@
 }
 
 impl Process {
-    /// Starts a program with its log in a file.
+    /// Starts a program that appends its log to a file.
     pub(crate) fn start(name: &str, program: &str, args: &[String], dir: &Path) -> Self {
         let path = dir.join(format!("{name}.log"));
         let log = fs::File::options()
@@ -84,7 +85,7 @@
             .create(true)
             .open(&path)
             .expect("a log file can be made");
-        let child = Command::new(build().join(program))
+        let child = Command::new(next_build().join(program))
             .args(args)
             .stdin(Stdio::null())
             .stdout(log.try_clone().expect("a log file can be shared"))
@@ -104,8 +105,8 @@
         self.child.id()
     }
 
-    /// Sends a signal by name, like `STOP`; then waits until all threads have stopped, since on a busy
-    /// machine they go on for tens of milliseconds after it was sent.
+    /// Sends a signal by name. After `STOP` it waits until all threads are stopped: on a busy
+    /// machine they run for tens of milliseconds after the signal was sent.
     pub(crate) fn signal(&self, signal: &str) {
         let sent = Command::new("kill")
             .arg(format!("-{signal}"))
@@ -116,14 +117,14 @@
             "{} is gone",
             self.name
         );
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while signal == "STOP" && !self.has_stopped() {
             assert!(Instant::now() < until, "{} does not stop", self.name);
             std::thread::sleep(Duration::from_micros(100));
         }
     }
 
-    /// Whether the kernel has stopped all threads.
+    /// Returns whether the kernel has stopped all threads.
     fn has_stopped(&self) -> bool {
         let threads = fs::read_dir(format!("/proc/{}/task", self.id()));
         let mut threads = threads.expect("a process that runs has threads");
@@ -143,12 +144,12 @@
         let _ = self.child.wait();
     }
 
-    /// Whether the process has not ended.
+    /// Returns whether the process has not ended.
     pub(crate) fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Asks the process to stop; returns whether it ended well in time.
+    /// Asks the process to stop. Returns whether it exited successfully within the time.
     pub(crate) fn stop(mut self, within: Duration) -> bool {
         self.signal("TERM");
         let until = Instant::now() + within;
@@ -174,7 +175,7 @@
 }
 
 impl Process {
-    /// Prints the end of its log: the log is gone with the folder of a test that fails.
+    /// Prints the end of the log, since a failed test's folder is deleted with the log.
     fn print_last_lines(&self, ended: Option<std::process::ExitStatus>) {
         let state = ended.map_or("ran".to_owned(), |status| status.to_string());
         eprintln!("{}, {state}, wrote last:", self.name);
@@ -182,33 +183,33 @@
         let log = String::from_utf8_lossy(&log);
         let lines: Vec<_> = log.lines().collect();
         for line in &lines[lines.len().saturating_sub(LAST_LINES)..] {
-            let line: String = line.chars().take(LONGEST_LINE).collect();
+            let line: String = line.chars().take(MAX_LINE_CHARS).collect();
             eprintln!("  {line}");
         }
     }
 }
 
-/// What is to be deployed.
+/// The parameters of a deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) voters: usize,
-    /// Entry boxes in each zone; the number of entries is the number of zones.
+    /// The number of entry boxes in each zone; there are as many zones as items.
     pub(crate) boxes: Vec<usize>,
-    /// Model engines in each zone.
+    /// The number of model engines in each zone.
     pub(crate) engines: usize,
-    /// Replicas of the plain service in each zone.
+    /// The number of replicas of the plain service in each zone.
     pub(crate) replicas: usize,
     pub(crate) slots: u32,
     pub(crate) first_us: u64,
     pub(crate) token_us: u64,
-    /// How long claimed keys are remembered.
+    /// The retention of claimed idempotency keys.
     pub(crate) retention: &'static str,
-    /// How long callers are taken after a signal to stop.
+    /// How long callers are accepted after the signal to stop.
     pub(crate) grace: &'static str,
-    /// The port under which the members' list names the first voter, if it is not its
-    /// own: that of a link which can be cut.
+    /// The port under which the first voter is listed as a member, if it is not its own but that of
+    /// a link.
     pub(crate) listed: Option<u16>,
-    /// The port of the provider that usage is reported to, in windows of a second.
+    /// The port of the provider to which usage is reported, in windows of one second.
     pub(crate) provider: Option<u16>,
 }
 
@@ -262,7 +263,7 @@
     pub(crate) process: Option<Process>,
 }
 
-/// Processes that run.
+/// A deployment with its processes.
 #[derive(Debug)]
 pub(crate) struct Deployment {
     pub(crate) plan: Plan,
@@ -275,7 +276,7 @@
 
 static DEPLOYMENTS: AtomicU32 = AtomicU32::new(0);
 
-/// An address of 127.0.0.0/8 that no other deployment of this machine uses.
+/// Returns an address in 127.0.0.0/8 that other deployments on this machine are unlikely to use.
 pub(crate) fn own_host() -> IpAddr {
     let number = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
     let mixed = std::process::id()
@@ -286,7 +287,7 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until it is ready.
+    /// Starts all processes and waits until the boxes are ready.
     pub(crate) async fn start(plan: Plan, dir: &Path) -> Self {
         let mut deployment = Self::prepare(plan, dir);
         for i in 0..deployment.standins.len() {
@@ -353,12 +354,12 @@
         }
     }
 
-    /// An address of this deployment with a port.
+    /// Returns the deployment's address with a port.
     pub(crate) fn address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.host, port)
     }
 
-    /// The settings of a voter.
+    /// Writes the settings of a voter. Returns the file's path.
     pub(crate) fn voter_settings(&self, i: usize) -> PathBuf {
         let Voter {
             name,
@@ -393,7 +394,8 @@
         path
     }
 
-    /// Runs a one-off command of the control program; returns what it prints.
+    /// Runs a one-off command of the control program. Returns its output, or its errors if it
+    /// fails.
     pub(crate) fn control(&self, command: &str, i: usize) -> Result<String, String> {
         let output = Command::new(programs().join("scalewood-control"))
             .args([command, "--settings"])
@@ -415,7 +417,8 @@
         }
     }
 
-    /// Initialises the first voter's folder, which holds where it is listed.
+    /// Initialises the first voter's data folder, which stores the address under which it is
+    /// listed.
     fn init_first_voter(&self) {
         let listen = self.voters[0].listen;
         let listed = self.plan.listed.map_or(listen, |port| self.address(port));
@@ -433,7 +436,8 @@
         );
     }
 
-    /// Initialises a voter's empty folder, starts it and has it join.
+    /// Initialises a voter's empty data folder, starts the voter and waits until it is a member.
+    /// Returns its node.
     pub(crate) async fn add_voter(&mut self, i: usize) -> String {
         let node = self.control("join", i).expect("a voter can be initialised");
         self.start_voter(i);
@@ -446,7 +450,7 @@
         };
         let request =
             scalewood::core::agree::MembersRequest::Add(node.clone(), self.voters[i].listen);
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let mut asked = false;
         loop {
             asked = asked || self.operator().members(&request).await.is_ok();
@@ -526,8 +530,8 @@
             Some(Process::start(&name, "scalewood-standin", &args, &self.dir));
     }
 
-    /// The edits of the first configuration: one model service with three tiers, one
-    /// plain service with repeatable and other calls, one team that may use all.
+    /// Returns the edits of the first configuration: a model service with classes of three tiers, a
+    /// plain service with a repeatable and a non-repeatable class, and a team that may use all.
     pub(crate) fn first_edits(&self) -> Vec<Edit> {
         let mut edits = Vec::new();
         for entry in &self.entries {
@@ -560,17 +564,17 @@
         edits
     }
 
-    /// A client of the administration API.
+    /// Returns a client of the administration API.
     pub(crate) fn operator(&self) -> operate::Client {
         let running = self.voters.iter().filter(|voter| voter.process.is_some());
         operate::Client::new(running.map(|voter| voter.admin).collect(), OPERATOR.into())
     }
 
-    /// Makes a change against the revision in force. Where it is not known what became of it,
-    /// it is sent again under its id: under another one it would be refused if the first was
-    /// accepted meanwhile, since its base is then behind.
+    /// Makes a change based on the revision in force. If the outcome is unknown, the change is sent
+    /// again under the same id: under another one it would be refused if the first one was
+    /// accepted, because its base would be outdated.
     pub(crate) async fn apply(&self, edits: Vec<Edit>, why: &str) -> Answer {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let mut sent = None;
         loop {
             let client = self.operator();
@@ -589,10 +593,10 @@
         }
     }
 
-    /// Removes a voter. Where it is not known what became of the request, the members tell.
+    /// Removes a voter. If the outcome of the request is unknown, the list of members shows it.
     pub(crate) async fn remove_voter(&self, node: &scalewood::core::agree::Node) {
         let request = scalewood::core::agree::MembersRequest::Remove(node.clone());
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let asked = self.operator().members(&request).await;
             let status = self.operator().status().await;
@@ -613,7 +617,7 @@
         .await;
     }
 
-    /// Waits until each entry box that runs is ready and its claims are settled.
+    /// Waits until each running entry box is ready and serves a model request.
     pub(crate) async fn wait_ready(&self) {
         for entry in self.entries.iter().filter(|entry| entry.process.is_some()) {
             let health = entry.health;
@@ -637,14 +641,14 @@
         }
     }
 
-    /// Sets a stand-in's faults.
+    /// Sets the faults of a stand-in.
     pub(crate) async fn faults(&self, i: usize, faults: serde_json::Value) {
         let address = self.standins[i].address;
         let answer = client::ask(address, "POST", "/standin/faults", &[], faults.to_string()).await;
         assert_eq!(answer.expect("the stand-in answers").status, 200);
     }
 
-    /// What ran at a stand-in, also before it was killed.
+    /// Returns the requests that a stand-in ran, including those before it was killed.
     pub(crate) fn runs(&self, i: usize) -> Vec<serde_json::Value> {
         let text = fs::read_to_string(&self.standins[i].record).unwrap_or_default();
         text.lines()
@@ -652,14 +656,14 @@
             .collect()
     }
 
-    /// The indexes of the stand-ins of a kind.
+    /// Returns the indexes of the stand-ins that are, or are not, model engines.
     pub(crate) fn standins_of(&self, model: bool) -> Vec<usize> {
         (0..self.standins.len())
             .filter(|i| self.standins[*i].model == model)
             .collect()
     }
 
-    /// A metric of an entry box: the sum over the lines that begin so.
+    /// Returns the sum of an entry box's metrics whose lines begin with `begin`.
     pub(crate) async fn metric(&self, entry: usize, begin: &str) -> f64 {
         let answer = client::ask(self.entries[entry].health, "GET", "/metrics", &[], "").await;
         let text = answer.map(|answer| answer.body).unwrap_or_default();
@@ -670,7 +674,8 @@
             .sum()
     }
 
-    /// Asks all processes to stop; returns the names of those that did not end well.
+    /// Asks all entry boxes and voters to stop. Returns the names of those that did not exit
+    /// cleanly in time.
     pub(crate) fn stop(&mut self, within: Duration) -> Vec<String> {
         let entries = self
             .entries
@@ -750,24 +755,24 @@
     ]
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
 pub(crate) async fn wait<F, R>(what: &str, holds: F)
 where
     F: Fn() -> R,
     R: std::future::Future<Output = bool>,
 {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < until, "waited in vain until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// After which time requests that were under way when an endpoint asked for rest have arrived.
-const UNDER_WAY_MS: u64 = 500;
+/// The time within which requests arrive that were in flight when an endpoint asked for a rest.
+const IN_FLIGHT_MS: u64 = 500;
 
-/// The rests that a stand-in asked for: how many, and the most requests that it got within one from
-/// who it had asked, as `sender` reads it from path and body.
+/// Returns how many rests a stand-in asked for, and the most requests that it received during one
+/// of them from the sender that it had asked. `sender` derives the sender from the path and body.
 pub(crate) async fn rests(
     standin: &Standin,
     sender: impl Fn(&str, &str) -> String,
@@ -788,7 +793,7 @@
         .collect();
     let within = |(sender, at, rest): &(String, u64, u64)| {
         let of_sender = seen.iter().filter(|(other, ..)| other == sender);
-        let within = of_sender.filter(|(_, t, _)| *t > at + UNDER_WAY_MS && *t < at + rest);
+        let within = of_sender.filter(|(_, t, _)| *t > at + IN_FLIGHT_MS && *t < at + rest);
         within.count()
     };
     (seen.len(), seen.iter().map(within).max().unwrap_or(0))
--- a/tests/testsuite/support/forwarder.rs
+++ b/tests/testsuite/support/forwarder.rs
@@ -1,4 +1,4 @@
-//! A link that can be disturbed: forwards TCP connections on loopback as it is told.
+//! A link with faults: forwards TCP connections on loopback, and can cut, silence or delay them.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,18 +11,18 @@
     sync::watch,
 };
 
-/// What a link does with what it carries.
+/// How a link treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// It carries everything.
+    /// Forwards all data.
     Whole,
-    /// It closes what runs over it, and all that is opened.
+    /// Closes all connections, including those that are opened meanwhile.
     Cut,
-    /// It keeps connections open and carries nothing.
+    /// Keeps connections open and forwards no data.
     Silent,
-    /// It carries only what goes towards the target.
+    /// Forwards only data towards the target.
     OneWay,
-    /// It carries everything later.
+    /// Forwards all data with a delay.
     Delayed(Duration),
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Forwarder {
-    /// Forwards what comes to one address to another.
+    /// Starts a link that forwards connections from one address to another.
     pub(crate) async fn start(from: SocketAddr, to: SocketAddr) -> Self {
         let listener = TcpListener::bind(from).await.unwrap();
         let mode = Arc::new(watch::Sender::new(Mode::Whole));
@@ -51,7 +51,7 @@
                     () = accept(&listener, to, &state, &hush) => return,
                     () = until(&mut is_down, true) => {}
                 }
-                // Nobody listens: who connects is refused.
+                // With the listener closed, new connections are refused.
                 drop(listener);
                 until(&mut is_down, false).await;
                 listener = bind_again(from).await;
@@ -60,34 +60,34 @@
         Self { mode, hushed, down }
     }
 
-    /// Ends what is behind the link, or has it back: all that runs over it breaks, and meanwhile
-    /// who connects is refused, as by a port that nobody listens on.
+    /// Simulates the end or the restart of the process behind the link. While it is down, all
+    /// connections break and new ones are refused, as if nothing listened on the port.
     pub(crate) fn set_down(&self, down: bool) {
         self.down.send_replace(down);
         self.set_whole(!down);
     }
 
-    /// Silences what runs over it now, for good: it stays open and carries nothing. What is
-    /// opened from now on is carried.
+    /// Silences the current connections permanently: they stay open and no data is forwarded. New
+    /// connections are not affected.
     pub(crate) fn hush(&self) {
         self.hushed.send_modify(|hushed| *hushed += 1);
     }
 
-    /// Cuts the link with all that runs over it, or makes it whole again.
+    /// Cuts the link with all its connections, or repairs it.
     pub(crate) fn set_whole(&self, whole: bool) {
         self.set(if whole { Mode::Whole } else { Mode::Cut });
     }
 
-    /// Sets what the link does.
+    /// Sets how the link treats its connections.
     pub(crate) fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
-/// Listens at an address once more. What was taken there before may still hold it for a moment.
+/// Listens on an address again. Connections that were accepted before may occupy it for a moment.
 async fn bind_again(address: SocketAddr) -> TcpListener {
-    const TRIES: u32 = 400;
-    for _ in 0..TRIES {
+    const MAX_TRIES: u32 = 400;
+    for _ in 0..MAX_TRIES {
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
         }
@@ -96,10 +96,10 @@
     panic!("{address} can't be listened on again");
 }
 
-/// Waits until a switch stands so.
-async fn until(switch: &mut watch::Receiver<bool>, stands: bool) {
-    // The link's end ends this task, too.
-    let _ = switch.wait_for(|now| *now == stands).await;
+/// Waits until a switch has a value.
+async fn until(switch: &mut watch::Receiver<bool>, value: bool) {
+    // An error means that the link was dropped, so there is nothing left to wait for.
+    let _ = switch.wait_for(|now| *now == value).await;
 }
 
 async fn accept(
@@ -114,12 +114,13 @@
                 hushed: hush.subscribe(),
                 opened: *hush.borrow(),
             };
-            tokio::spawn(carry(stream, to, state.subscribe(), hush));
+            tokio::spawn(forward(stream, to, state.subscribe(), hush));
         }
     }
 }
 
-/// How often the link's connections were silenced, now and when one was opened.
+/// The number of times that the link's connections were silenced: until now, and until a connection
+/// was opened.
 #[derive(Clone, Debug)]
 struct Hush {
     hushed: watch::Receiver<u64>,
@@ -127,12 +128,12 @@
 }
 
 impl Hush {
-    fn holds(&self) -> bool {
+    fn is_hushed(&self) -> bool {
         *self.hushed.borrow() > self.opened
     }
 }
 
-async fn carry(stream: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>, hush: Hush) {
+async fn forward(stream: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>, hush: Hush) {
     let Ok(target) = TcpStream::connect(to).await else {
         return;
     };
@@ -146,7 +147,7 @@
     }
 }
 
-/// Carries one direction until its end; `back` is the way from the target.
+/// Forwards one direction of a connection until it ends; `back` for the direction from the target.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -156,7 +157,7 @@
 ) {
     let mut buffer = vec![0; 16 * 1024];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        if hush.holds() {
+        if hush.is_hushed() {
             std::future::pending::<()>().await;
         }
         let held = |mode: &Mode| *mode == Mode::Silent || (*mode == Mode::OneWay && back);
--- a/tests/testsuite/support/mod.rs
+++ b/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starting a deployment of real processes on loopback, and asking it.
+//! Starts deployments of real processes on loopback, and sends them requests.
 //!
 //! The demonstration and the benchmarks use these modules too.
 
--- a/tests/testsuite/support/provider.rs
+++ b/tests/testsuite/support/provider.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a provider: it takes reports of usage and checks from outside what is
-//! promised of them. It can fail or be silent as the test says.
+//! A stand-in for a provider: it accepts usage reports and checks the guarantees that are given for
+//! them. A test can let it fail or not answer.
 
 use std::{
     collections::BTreeMap,
@@ -18,7 +18,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// A report that was taken.
+/// A usage report that was received.
 #[derive(Clone, Debug)]
 pub(crate) struct Report {
     pub(crate) at: Instant,
@@ -29,11 +29,11 @@
     pub(crate) counts: BTreeMap<String, u64>,
 }
 
-/// The provider.
+/// The stand-in provider.
 #[derive(Clone, Debug)]
 pub(crate) struct Provider {
     reports: Arc<Mutex<Vec<Report>>>,
-    /// What calls are answered with; 0 is silence.
+    /// The status of answers; with 0 they are delayed by five seconds.
     status: Arc<AtomicU16>,
 }
 
@@ -61,7 +61,7 @@
         provider
     }
 
-    /// Answers calls so from now on; 0 is silence.
+    /// Sets the status of answers; with 0 they are delayed by five seconds.
     pub(crate) fn answers(&self, status: u16) {
         self.status.store(status, Ordering::Relaxed);
     }
@@ -96,17 +96,21 @@
         response
     }
 
-    /// The counts of all windows by team, once what must hold of the reports was checked.
+    /// Returns the counts of all windows by team. Checks that all reports of a window are equal,
+    /// that the fencing token never decreases, and that no two holders used the same token.
     pub(crate) fn totals(&self) -> BTreeMap<String, u64> {
         let reports = self.reports.lock().unwrap().clone();
         let mut windows: BTreeMap<u64, &Report> = BTreeMap::new();
         for (i, report) in reports.iter().enumerate() {
             let first = windows.entry(report.window).or_insert(report);
-            assert_eq!(first.body, report.body, "a window has two contents");
+            assert_eq!(first.body, report.body, "two reports of one window differ");
             for before in &reports[..i] {
                 assert!(before.token <= report.token, "{before:?}, then {report:?}");
                 let same = before.token == report.token;
-                assert!(!same || before.holder == report.holder, "two use a token");
+                assert!(
+                    !same || before.holder == report.holder,
+                    "two holders used the same token"
+                );
             }
         }
         let mut totals = BTreeMap::new();
@@ -118,7 +122,7 @@
         totals
     }
 
-    /// When each report came, by holder.
+    /// Returns the times and holders of all reports, in the order of arrival.
     pub(crate) fn acts(&self) -> Vec<(Instant, String)> {
         let reports = self.reports.lock().unwrap();
         reports.iter().map(|r| (r.at, r.holder.clone())).collect()
--- a/tests/testsuite/support/reader.rs
+++ b/tests/testsuite/support/reader.rs
@@ -1,7 +1,7 @@
-//! An endpoint in this process that reads prompts at a finite rate.
+//! An endpoint in this process with a limited prefill rate.
 //!
-//! It reads one prompt after the other, the most urgent first, and none halfway; then it answers
-//! with two events, the second one after a while. So what waits there delays what comes.
+//! It reads one prompt after another without interruption, the most urgent first, and then answers
+//! with two events, the second one after a delay. So the prompts that wait delay later requests.
 
 use std::{
     collections::BTreeMap,
@@ -25,10 +25,10 @@
     sync::{oneshot, Notify},
 };
 
-/// How long the second event comes after the first, in milliseconds, as the request says.
+/// The request header with the time from the first event to the second, in milliseconds.
 pub(crate) const STREAMED: &str = "x-streamed-ms";
 
-/// A prompt that an endpoint has begun, or has waiting.
+/// A prompt that an endpoint has received.
 #[derive(Clone, Debug)]
 pub(crate) struct Had {
     pub(crate) path: String,
@@ -37,7 +37,7 @@
     pub(crate) at: Instant,
 }
 
-/// A prompt that waits to be read.
+/// A prompt that waits for prefill.
 #[derive(Debug)]
 struct Waiting {
     tokens: u64,
@@ -46,24 +46,24 @@
 
 #[derive(Debug, Default)]
 struct Queue {
-    /// By rank, then arrival.
+    /// The waiting prompts by rank, then by order of arrival.
     waiting: Mutex<BTreeMap<(u64, u64), Waiting>>,
-    came: Notify,
+    arrived: Notify,
     had: Mutex<Vec<Had>>,
 }
 
-/// An endpoint that reads.
+/// An endpoint with a limited prefill rate.
 #[derive(Debug)]
 pub(crate) struct Reader {
     queue: Arc<Queue>,
 }
 
 impl Reader {
-    /// Starts one that reads so many tokens in a millisecond.
+    /// Starts an endpoint that reads `rate` tokens per millisecond.
     pub(crate) async fn start(address: SocketAddr, rate: f64) -> Self {
         let listener = TcpListener::bind(address).await.unwrap();
         let queue = Arc::new(Queue::default());
-        tokio::spawn(read(queue.clone(), rate));
+        tokio::spawn(read_prompts(queue.clone(), rate));
         let accepting = queue.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -79,33 +79,33 @@
         Self { queue }
     }
 
-    /// All prompts that it was sent.
+    /// Returns all prompts that it has received.
     pub(crate) fn had(&self) -> Vec<Had> {
         self.queue.had.lock().unwrap().clone()
     }
 }
 
-/// Reads what waits, for ever.
-async fn read(queue: Arc<Queue>, rate: f64) {
+/// Reads the waiting prompts, one after another.
+async fn read_prompts(queue: Arc<Queue>, rate: f64) {
     let mut free = tokio::time::Instant::now();
     loop {
         let next = queue.waiting.lock().unwrap().pop_first();
         let Some((_, next)) = next else {
-            queue.came.notified().await;
+            queue.arrived.notified().await;
             continue;
         };
         if next.read.is_closed() {
             continue;
         }
         let took = Duration::from_secs_f64(next.tokens as f64 / rate / 1000.0);
-        // Counted on from the last one, so that a late timer makes it no slower.
+        // Counts from the end of the last prompt, so that late timers don't reduce the rate.
         free = free.max(tokio::time::Instant::now()) + took;
         tokio::time::sleep_until(free).await;
         let _ = next.read.send(());
     }
 }
 
-fn number(headers: &HeaderMap, name: &str) -> u64 {
+fn header_number(headers: &HeaderMap, name: &str) -> u64 {
     let text = headers.get(name).and_then(|value| value.to_str().ok());
     let first = text.and_then(|text| text.split(',').next());
     first.and_then(|text| text.parse().ok()).unwrap_or(0)
@@ -115,8 +115,8 @@
     async fn serve(&self, request: Request<Incoming>) -> Response<Body> {
         let (parts, body) = request.into_parts();
         body.collect().await.unwrap();
-        let tokens = number(&parts.headers, "scalewood-tokens");
-        let rank = number(&parts.headers, "scalewood-rank");
+        let tokens = header_number(&parts.headers, "scalewood-tokens");
+        let rank = header_number(&parts.headers, "scalewood-rank");
         let (read, is_read) = oneshot::channel();
         {
             let mut had = self.had.lock().unwrap();
@@ -129,10 +129,13 @@
             let mut waiting = self.waiting.lock().unwrap();
             waiting.insert(place, Waiting { tokens, read });
         }
-        self.came.notify_one();
-        // The reader ends with the test only.
+        self.arrived.notify_one();
+        // The task that reads prompts runs until the end of the test.
         is_read.await.unwrap();
-        let mut response = stream(Duration::from_millis(number(&parts.headers, STREAMED)));
+        let mut response = stream(Duration::from_millis(header_number(
+            &parts.headers,
+            STREAMED,
+        )));
         if let Some(id) = parts.headers.get("scalewood-id") {
             response.headers_mut().insert("scalewood-id", id.clone());
         }
--- a/tests/testsuite/support/routed.rs
+++ b/tests/testsuite/support/routed.rs
@@ -1,5 +1,5 @@
-//! A system with routes: voters that form by themselves, an entry box, and endpoints that
-//! misbehave as they are told.
+//! A system with routes: voters that form a cluster without an operator, an entry box, and
+//! endpoints whose faults a test selects.
 
 use std::{
     collections::VecDeque,
@@ -36,40 +36,40 @@
 
 use super::{client, deploy};
 
-/// The key of the only team.
+/// The API key of the only team.
 pub(crate) const KEY: &str = "key-1";
 /// The host of all routes.
 pub(crate) const HOST: &str = "routes.example";
 
-/// How an endpoint treats its next request; without any it answers well.
+/// How an endpoint treats a request; without an act it runs and answers the request correctly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Act {
-    /// It names another request's id.
+    /// Answers with the id of another request.
     Foreign,
-    /// It says that it did not run the request.
+    /// Answers that it did not run the request.
     Refuse,
-    /// It breaks off in the midst of the event after these.
+    /// Breaks off the stream in the middle of the event after this number of events.
     BreakAfter(usize),
-    /// It falls silent after these events.
+    /// Stalls the stream after this number of events.
     StallAfter(usize),
-    /// It runs the request and answers 500.
+    /// Runs the request and answers with status 500.
     Fail,
-    /// It says that it is another endpoint than the one meant.
+    /// Answers that it is not the endpoint that the request was meant for.
     Mistaken,
-    /// It runs the request and never answers.
+    /// Runs the request and never answers.
     Hang,
-    /// It turns the request away and wants nothing from its box for so long.
+    /// Refuses the request and asks the box for a rest of this duration.
     Rest(Duration),
-    /// It turns the request away and says this as the time for which it wants nothing.
+    /// Refuses the request and asks the box for a rest with this text as its duration.
     RestFor(&'static str),
-    /// It runs the request, and answers that this caller has asked too often.
+    /// Runs the request and answers that the caller has exceeded its rate limit.
     Limit,
-    /// It says that it leaves, and serves well.
+    /// Announces that it leaves, and answers correctly.
     Leave,
 }
 
 impl Act {
-    /// Whether it runs the request that it treats so.
+    /// Returns whether the endpoint runs the request.
     fn runs(self) -> bool {
         !matches!(
             self,
@@ -78,24 +78,24 @@
     }
 }
 
-/// The header by which a caller names the box that it asks, so that endpoints can tell.
+/// The header in which callers name the box that they use, so that endpoints can record it.
 pub(crate) const BOX: &str = "x-box";
 
-/// What an endpoint was sent.
+/// A request that an endpoint received.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Whether it ran the request.
+    /// Whether the endpoint ran it.
     pub(crate) ran: bool,
-    /// When it had it whole.
+    /// When it was received completely.
     pub(crate) at: std::time::Instant,
-    /// How it was treated, if not well.
+    /// How it was treated, if not answered correctly.
     pub(crate) act: Option<Act>,
-    /// The limit that was named in the answer.
+    /// The limit that was announced in the answer.
     pub(crate) limit: Option<&'static str>,
-    /// Which start of the endpoint it reached.
+    /// The number of the endpoint's start that it reached.
     pub(crate) start: u64,
 }
 
@@ -111,24 +111,25 @@
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
     acts: Arc<Mutex<VecDeque<Act>>>,
-    /// How it treats requests for which it was told nothing.
+    /// How it treats requests for which no act is queued.
     usual: Arc<Mutex<Option<Act>>>,
     seen: Arc<Mutex<Vec<Seen>>>,
-    /// How long it takes for each answer to begin.
+    /// The time that it takes before each answer begins.
     work: Arc<Mutex<Duration>>,
-    /// What it names in its answers as the requests a second that it takes from all boxes.
+    /// The limit that it announces in its answers, in requests per second from all boxes together.
     limit: Arc<Mutex<Option<&'static str>>>,
-    /// Which start of it this is.
+    /// The number of its current start.
     start: Arc<AtomicU64>,
     running: Arc<AtomicUsize>,
-    /// Rings when a request has begun that ends endpoints.
+    /// Is notified when a crashing request has begun.
     ending: Arc<Notify>,
 }
 
-/// What a body begins with that ends the endpoint which runs it, where the test sees to that.
+/// The beginning of the body of a crashing request. The endpoint only reports it; the test has to
+/// end the endpoint.
 pub(crate) const ENDS: &str = "ends ";
 
-/// A request that an endpoint is at work on, until its answer or connection ends.
+/// A request that an endpoint runs, until its answer or connection ends.
 struct Run(Arc<AtomicUsize>);
 
 impl Run {
@@ -146,7 +147,7 @@
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Events of a whole stream.
+/// The number of events in a complete stream.
 pub(crate) const EVENTS: usize = 6;
 
 impl Endpoint {
@@ -201,53 +202,53 @@
         self.acts.lock().unwrap().push_back(act);
     }
 
-    /// It treats all requests so from now on, or well.
+    /// Sets how it treats all requests from now on; with `None` it answers correctly.
     pub(crate) fn always(&self, act: Option<Act>) {
         *self.usual.lock().unwrap() = act;
     }
 
-    /// Each of its answers takes so long to begin from now on.
+    /// Sets the time that it takes before each answer begins.
     pub(crate) fn takes(&self, work: Duration) {
         *self.work.lock().unwrap() = work;
     }
 
-    /// It names a limit in each answer from now on, or none.
+    /// Sets the limit that it announces in each answer from now on, if any.
     pub(crate) fn limits(&self, limit: Option<&'static str>) {
         *self.limit.lock().unwrap() = limit;
     }
 
-    /// The limit that it names, so that others may change it.
+    /// Returns a shared handle to the limit that it announces.
     pub(crate) fn limit(&self) -> Arc<Mutex<Option<&'static str>>> {
         self.limit.clone()
     }
 
-    /// Which start of it this is; it starts anew by raising that.
+    /// Returns a shared handle to the number of its start; incrementing it simulates a restart.
     pub(crate) fn start_number(&self) -> Arc<AtomicU64> {
         self.start.clone()
     }
 
-    /// How it treats all requests, so that others may change it.
+    /// Returns a shared handle to how it treats all requests.
     pub(crate) fn usual(&self) -> Arc<Mutex<Option<Act>>> {
         self.usual.clone()
     }
 
-    /// All that it was sent, as that grows.
+    /// Returns a shared handle to the requests that it has received.
     pub(crate) fn all_seen(&self) -> Arc<Mutex<Vec<Seen>>> {
         self.seen.clone()
     }
 
-    /// Waits until a request has begun that ends endpoints.
+    /// Returns what is notified when a crashing request has begun.
     pub(crate) fn ending(&self) -> Arc<Notify> {
         self.ending.clone()
     }
 
-    /// It answers well from now on.
+    /// Lets it answer correctly from now on.
     pub(crate) fn calm(&self) {
         self.acts.lock().unwrap().clear();
         self.always(None);
     }
 
-    /// How many requests it is at work on.
+    /// Returns the number of requests that it runs.
     pub(crate) fn running(&self) -> usize {
         self.running.load(Ordering::Relaxed)
     }
@@ -345,7 +346,7 @@
     response
 }
 
-/// The answer of an endpoint that has no room, and wants nothing for a while.
+/// Returns the answer of an endpoint without a free slot, which may ask for a rest.
 fn full(rest: Option<&str>) -> Response<Body> {
     let mut response = plain(503, "full");
     let headers = response.headers_mut();
@@ -386,31 +387,31 @@
             }
             return None;
         };
-        // Time for each piece to go out by itself.
+        // The pause lets each event be sent separately.
         tokio::time::sleep(Duration::from_millis(5)).await;
         Some((piece, rest))
     });
     Response::new(StreamBody::new(pieces).boxed_unsync())
 }
 
-/// Voters that form by themselves, and an entry box.
+/// Voters that form a cluster without an operator, and an entry box.
 #[derive(Debug)]
 pub(crate) struct System {
     pub(crate) dir: PathBuf,
     pub(crate) host: std::net::IpAddr,
     pub(crate) voters: Vec<Option<deploy::Process>>,
     pub(crate) entry: Option<deploy::Process>,
-    /// More settings of entry boxes.
+    /// Additional settings of entry boxes.
     pub(crate) more: String,
 }
 
 impl System {
-    /// Starts so many voters, the last one first, and an entry box.
+    /// Starts the voters, the last one first, and an entry box.
     pub(crate) fn start(voters: usize, dir: &Path) -> Self {
         Self::start_with(voters, dir, "")
     }
 
-    /// The same, with more settings of the entry box.
+    /// Starts the voters, the last one first, and an entry box with additional settings.
     pub(crate) fn start_with(voters: usize, dir: &Path, more: &str) -> Self {
         let mut system = Self {
             dir: dir.to_owned(),
@@ -434,7 +435,7 @@
         SocketAddr::new(self.host, u16::try_from(port).unwrap())
     }
 
-    /// Voters have an IP address each, as they are named after it.
+    /// Returns a voter's IP address. Each voter has its own, because voters are named by address.
     fn voter_host(&self, i: usize) -> std::net::IpAddr {
         let std::net::IpAddr::V4(host) = self.host else {
             panic!("an IPv4 address")
@@ -447,7 +448,7 @@
         SocketAddr::new(self.voter_host(i), 7000)
     }
 
-    /// Where operators publish and endpoints announce themselves.
+    /// Returns the address to which operators publish and endpoints send heartbeats.
     pub(crate) fn publish_address(&self, i: usize) -> SocketAddr {
         SocketAddr::new(self.voter_host(i), 7002)
     }
@@ -460,7 +461,7 @@
         self.callers_at(0)
     }
 
-    /// Where callers reach an entry box.
+    /// Returns the address where callers reach an entry box.
     pub(crate) fn callers_at(&self, i: usize) -> SocketAddr {
         self.address(8000 + 10 * i)
     }
@@ -504,7 +505,7 @@
         self.entry = Some(self.start_entry_at(0));
     }
 
-    /// Starts one of several entry boxes.
+    /// Starts the entry box of this number.
     pub(crate) fn start_entry_at(&self, i: usize) -> deploy::Process {
         let name = format!("e{}", i + 1);
         let text = format!(
@@ -534,8 +535,7 @@
         deploy::Process::start(name, program, &args, &self.dir)
     }
 
-    /// Publishes a routing; the status of the answer, from the first voter that gives one
-    /// other than 503.
+    /// Publishes a routing. Returns the status of the first voter's answer that is not 503.
     pub(crate) async fn publish(&self, body: &str) -> u16 {
         let until = std::time::Instant::now() + Duration::from_secs(20);
         loop {
@@ -557,8 +557,8 @@
         }
     }
 
-    /// Cordons (`POST`) or uncordons (`DELETE`) a zone at one voter; nothing if it gives no
-    /// answer.
+    /// Orders one voter to cordon (`POST`) or uncordon (`DELETE`) a zone. Returns the status, or
+    /// `None` if there is no answer within two seconds.
     pub(crate) async fn order(&self, voter: usize, method: &str, zone: &str) -> Option<u16> {
         let path = format!("/v1/cordons/{zone}");
         let asked = client::ask(self.publish_address(voter), method, &path, &[], "");
@@ -566,7 +566,7 @@
         Some(answer.ok()?.ok()?.status)
     }
 
-    /// The same at one voter after the other, until one acknowledges it.
+    /// Orders one voter after another to cordon or uncordon a zone, until one acknowledges it.
     pub(crate) async fn ordered(&self, method: &str, zone: &str) {
         let until = std::time::Instant::now() + Duration::from_secs(20);
         loop {
@@ -582,13 +582,13 @@
         }
     }
 
-    /// A client of the administration API.
+    /// Returns a client of the administration API.
     pub(crate) fn operator(&self) -> operate::Client {
         let voters = (0..self.voters.len()).map(|i| self.admin_address(i));
         operate::Client::new(voters.collect(), deploy::OPERATOR.into())
     }
 
-    /// The text of the routing in force, from a voter that knows.
+    /// Returns the text of the routing in force, from the first voter that answers with it.
     pub(crate) async fn read(&self) -> String {
         let until = std::time::Instant::now() + Duration::from_secs(20);
         loop {
@@ -659,7 +659,7 @@
     }
 }
 
-/// The routing of all tests, under a version.
+/// Returns the routing of all tests, with a version.
 pub(crate) fn routing(version: u64) -> Routing {
     let route = |prefix: &str, kind, tier| Route {
         host: HOST.into(),
@@ -707,12 +707,13 @@
     }
 }
 
-/// A routing as it is sent.
+/// Returns the JSON text of a routing.
 pub(crate) fn text(routing: &Routing) -> String {
     serde_json::to_string_pretty(routing).unwrap()
 }
 
-/// A system with one voter and so many endpoints that serve.
+/// Starts a system with one voter and this number of endpoints, and waits until the box knows all
+/// of them.
 pub(crate) async fn serving(endpoints: usize, dir: &Path) -> (System, Vec<Endpoint>) {
     let system = System::start(1, dir);
     assert_eq!(system.publish(&text(&routing(7))).await, 200);
@@ -725,7 +726,7 @@
         started.push(endpoint);
     }
     system.wait_served().await;
-    // News of endpoints come in pieces, and the first one may be served before the last is known.
+    // Endpoints are reported in several messages, so a call may be served before all are known.
     deploy::wait("the box knows all endpoints", || async {
         known_endpoints(dir) >= endpoints
     })
@@ -733,7 +734,7 @@
     (system, started)
 }
 
-/// How many endpoints the first box has logged that are ready.
+/// Returns how many endpoints the first box has logged as ready.
 fn known_endpoints(dir: &Path) -> usize {
     let log = fs::read_to_string(dir.join("e1.log")).unwrap_or_default();
     let announced = format!("\"event\":{}", Event::EndpointAnnounced.number());
@@ -741,11 +742,11 @@
     log.lines().filter(is_ready).count()
 }
 
-/// After which time requests that were under way when an endpoint asked for rest have arrived.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// The time within which requests arrive that were in flight when an endpoint asked for a rest.
+const IN_FLIGHT: Duration = Duration::from_millis(500);
 
-/// The rests that endpoints asked for: how many, and the most requests that one got from the box
-/// that it had asked. Each request names its box.
+/// Returns how many rests endpoints asked for, and the most requests that one of them received
+/// during a rest from the box that it had asked. Each request must name its box in [`BOX`].
 pub(crate) fn rests(endpoints: &[Endpoint]) -> (usize, usize) {
     let (mut count, mut most) = (0, 0);
     for endpoint in endpoints {
@@ -754,7 +755,7 @@
             let Some(Act::Rest(rest)) = asked.act else {
                 continue;
             };
-            let (from, until) = (asked.at + UNDER_WAY, asked.at + rest);
+            let (from, until) = (asked.at + IN_FLIGHT, asked.at + rest);
             let of_box = seen
                 .iter()
                 .filter(|seen| seen.header(BOX) == asked.header(BOX));
@@ -766,13 +767,13 @@
     (count, most)
 }
 
-/// How many requests for a path have reached endpoints.
+/// Returns how many requests for a path have reached endpoints.
 pub(crate) fn seen(endpoints: &[Endpoint], path: &str) -> usize {
     let all = endpoints.iter().flat_map(Endpoint::seen);
     all.filter(|seen| seen.path == path).count()
 }
 
-/// The most of some times that lie in any window of a length.
+/// Returns the largest number of times within any window of a length.
 pub(crate) fn densest(times: &[std::time::Instant], window: Duration) -> usize {
     let count = |from: &std::time::Instant| {
         let within = times
--- a/tests/testsuite/support/voter.rs
+++ b/tests/testsuite/support/voter.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a voter as boxes see it: it tells of a configuration, and gives it out, keeps
-//! it back or fails, as the test says.
+//! A stand-in for a voter as boxes see it: it announces a configuration revision. A test selects
+//! whether it delivers the configuration, doesn't answer or answers with an error.
 
 use std::{
     net::SocketAddr,
@@ -31,21 +31,21 @@
 use serde_json::value::RawValue;
 use tokio::sync::watch;
 
-/// How often followers hear at least.
-const ALIVE: Duration = Duration::from_millis(500);
+/// The longest interval between two messages to a follower.
+const MAX_MESSAGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What it does when it is asked for the configuration.
+/// How the stand-in treats requests for the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Gives {
-    /// It gives it at once.
+    /// Answers at once.
     Well,
-    /// It never answers.
+    /// Never answers.
     Nothing,
-    /// It answers with an error.
+    /// Answers with an error.
     Errors,
 }
 
-/// The stand-in.
+/// The stand-in voter.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     feed: Arc<Feed>,
@@ -55,7 +55,7 @@
 }
 
 impl Voter {
-    /// Serves at an address until the handle is dropped.
+    /// Starts a stand-in that serves at an address until the handle is dropped.
     pub(crate) async fn start(address: SocketAddr) -> (Self, ServerHandle) {
         let voter = Self {
             feed: Arc::default(),
@@ -70,23 +70,23 @@
         (voter, rpc::serve(address, methods).await.unwrap())
     }
 
-    /// Tells of a configuration from now on.
+    /// Announces a configuration from now on.
     pub(crate) fn publish(&self, revision: u64, document: &config::Document) {
         let document = Arc::new(document.clone());
         self.feed.publish_whole(unit::Revision(revision), document);
     }
 
-    /// Sets what it does when it is asked.
+    /// Sets how it treats requests for the configuration.
     pub(crate) fn set(&self, gives: Gives) {
         self.gives.send_replace(gives);
     }
 
-    /// How many follow it as a source now.
+    /// Returns the number of boxes that currently follow it as a source.
     pub(crate) fn followed(&self) -> u32 {
         self.followed.load(Ordering::Relaxed)
     }
 
-    /// How often it was asked for the configuration.
+    /// Returns how often the configuration was requested.
     pub(crate) fn asked(&self) -> u32 {
         self.asked.load(Ordering::Relaxed)
     }
@@ -94,7 +94,7 @@
 
 #[async_trait]
 impl RegistryServer for Voter {
-    /// It is of a build that knows no trackers.
+    /// Rejects the subscription, as a build without trackers does.
     async fn track(
         &self,
         pending: PendingSubscriptionSink,
@@ -127,7 +127,7 @@
             if sink.send(SubscriptionMessage::from(raw)).await.is_err() {
                 return Ok(());
             }
-            let _ = tokio::time::timeout(ALIVE, feed.changed()).await;
+            let _ = tokio::time::timeout(MAX_MESSAGE_INTERVAL, feed.changed()).await;
         }
     }
 
@@ -181,7 +181,8 @@
 
 #[async_trait]
 impl SourceServer for Voter {
-    /// As a source it is far behind and alive, so a configuration comes only on demand.
+    /// Reports only that it is alive and never a newer revision, so that a box gets a configuration
+    /// only on request.
     async fn follow(
         &self,
         pending: PendingSubscriptionSink,
@@ -196,7 +197,7 @@
                 self.followed.fetch_sub(1, Ordering::Relaxed);
                 return Ok(());
             }
-            tokio::time::sleep(ALIVE).await;
+            tokio::time::sleep(MAX_MESSAGE_INTERVAL).await;
         }
     }
 }
