--- a/tests/testsuite/chaos.rs
+++ b/tests/testsuite/chaos.rs
@@ -1,9 +1,10 @@
-//! The whole deployment under load, with faults at random moments from a seed, and an
-//! account at the end: every request answered whole, refused, or failed with a true
-//! verdict; `not-run` compared with what the stand-ins saw; no key run twice.
+//! Runs a whole deployment under load, injects faults at random moments drawn from a seed, and
+//! then checks every request: it was answered in full, refused, or failed with a verdict that is
+//! true. No request with the verdict `not-run` may have reached a stand-in endpoint, and no
+//! idempotency key may have run twice.
 //!
-//! `SCALEWOOD_SEED` chooses the schedule, `SCALEWOOD_CHAOS_S` how long it takes in
-//! seconds (default 12).
+//! `SCALEWOOD_SEED` selects the schedule of faults, `SCALEWOOD_CHAOS_S` its duration in seconds
+//! (default 12).
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,60 +27,60 @@
     },
 };
 
-/// What became of a request, as its caller saw it.
+/// The outcome of a request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Seen {
-    /// A whole answer with the right content.
+enum Outcome {
+    /// A complete answer with the correct content.
     Whole,
     /// A refusal or failure with a verdict.
     Verdict(String),
-    /// An error event in a stream, and its cut.
+    /// A stream that ended early, with an error event.
     Cut,
-    /// The connection to the box was lost: its caller knows nothing.
+    /// The connection to the box was lost, so the caller doesn't know what happened.
     Lost,
 }
 
-/// The account: by request's name, what its caller saw.
-type Account = Arc<Mutex<BTreeMap<String, Seen>>>;
+/// The outcome of each request, by the request's name.
+type Outcomes = Arc<Mutex<BTreeMap<String, Outcome>>>;
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
-async fn ask_stream(callers: SocketAddr, class: &str, prompt: &str) -> Seen {
+async fn ask_stream(callers: SocketAddr, class: &str, prompt: &str) -> Outcome {
     let Ok(mut connection) = client::Connection::open(callers).await else {
-        return Seen::Lost;
+        return Outcome::Lost;
     };
     let body = chat(deploy::MODEL, prompt, true);
     let answer = client::stream(&mut connection, deploy::TEAM, class, body).await;
     let Ok(answer) = answer else {
-        return Seen::Lost;
+        return Outcome::Lost;
     };
     if answer.status != 200 {
-        return Seen::Verdict(answer.verdict.expect("a refusal has a verdict"));
+        return Outcome::Verdict(answer.verdict.expect("a refusal has a verdict"));
     }
     let whole = expected(prompt);
     if answer.whole {
-        assert_eq!(answer.text, whole, "{prompt}: another answer");
-        return Seen::Whole;
+        assert_eq!(answer.text, whole, "{prompt}: wrong answer");
+        return Outcome::Whole;
     }
-    // Whatever came is the beginning of the right answer, and is not marked as whole.
+    // An incomplete answer must be a prefix of the correct one, without the end mark.
     assert!(
         whole.starts_with(&answer.text),
-        "{prompt}: {} is not its beginning",
+        "{prompt}: {} is not a prefix of the answer",
         answer.text
     );
     if answer.error.is_some() {
-        Seen::Cut
+        Outcome::Cut
     } else {
-        Seen::Lost
+        Outcome::Lost
     }
 }
 
-async fn ask_record(callers: SocketAddr, key: &str) -> Seen {
+async fn ask_record(callers: SocketAddr, key: &str) -> Outcome {
     let token = bearer(deploy::TEAM);
     let headers = [
         ("authorization", token.as_str()),
@@ -94,13 +95,17 @@
         key.to_owned(),
     );
     let Ok(answer) = answer.await else {
-        return Seen::Lost;
+        return Outcome::Lost;
     };
     if answer.status == 200 {
-        assert_eq!(answer.json()["echo"], key, "another call's answer");
-        return Seen::Whole;
+        assert_eq!(
+            answer.json()["echo"],
+            key,
+            "the answer belongs to another call"
+        );
+        return Outcome::Whole;
     }
-    Seen::Verdict(
+    Outcome::Verdict(
         answer
             .verdict()
             .expect("a failure has a verdict")
@@ -108,8 +113,9 @@
     )
 }
 
-/// A caller that asks until it is told to stop; it resends lost keyed calls to other boxes.
-async fn caller(number: u64, boxes: Vec<SocketAddr>, stop: Arc<AtomicBool>, account: Account) {
+/// Sends requests until it is told to stop. After a lost connection it sends a call with the
+/// request's name as its idempotency key to a randomly chosen box.
+async fn run_caller(number: u64, boxes: Vec<SocketAddr>, stop: Arc<AtomicBool>, account: Outcomes) {
     let mut random = SmallRng::seed_from_u64(number);
     let mut count = 0;
     while !stop.load(Ordering::Relaxed) {
@@ -122,7 +128,7 @@
             6..9 => ask_stream(callers, "report", &format!("{name} len=120")).await,
             _ => ask_stream(callers, "bulk", &format!("{name} len=300")).await,
         };
-        let lost = seen == Seen::Lost;
+        let lost = seen == Outcome::Lost;
         account.lock().unwrap().insert(name.clone(), seen);
         if lost {
             let other = boxes[random.random_range(0..boxes.len())];
@@ -136,8 +142,12 @@
     }
 }
 
-/// Faults at random moments, each mended after a while.
-async fn faults(deployment: &mut Deployment, random: &mut SmallRng, until: tokio::time::Instant) {
+/// Injects faults at random moments and repairs each one after a pause.
+async fn inject_faults(
+    deployment: &mut Deployment,
+    random: &mut SmallRng,
+    until: tokio::time::Instant,
+) {
     while tokio::time::Instant::now() < until {
         let pause = Duration::from_millis(random.random_range(200..900));
         let entry = random.random_range(0..deployment.entries.len());
@@ -167,7 +177,10 @@
                 let process = deployment.entries[entry].process.take().unwrap();
                 let stopped =
                     tokio::task::spawn_blocking(move || process.stop(Duration::from_secs(30)));
-                assert!(stopped.await.unwrap(), "a planned stop did not end well");
+                assert!(
+                    stopped.await.unwrap(),
+                    "a planned stop did not exit cleanly"
+                );
                 deployment.start_entry(entry);
             }
             4 => {
@@ -190,8 +203,8 @@
     }
 }
 
-/// What ran: the requests' names that the stand-ins saw, and how often each key ran.
-fn ran(deployment: &Deployment) -> (BTreeSet<String>, BTreeMap<String, usize>) {
+/// Returns the names of the requests that stand-ins ran, and how often each idempotency key ran.
+fn collect_runs(deployment: &Deployment) -> (BTreeSet<String>, BTreeMap<String, usize>) {
     let (mut names, mut keys) = (BTreeSet::new(), BTreeMap::new());
     for i in 0..deployment.standins.len() {
         for run in deployment.runs(i) {
@@ -209,8 +222,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn every_request_is_accounted_for_under_faults() {
     let dir = tempfile::tempdir().unwrap();
-    let seed = number("SCALEWOOD_SEED", 1);
-    // The keys must be remembered for longer than the test takes.
+    let seed = env_number("SCALEWOOD_SEED", 1);
+    // The retention must be longer than the time from a call to its resend.
     let plan = Plan {
         voters: 3,
         boxes: vec![2, 2],
@@ -224,10 +237,10 @@
         .iter()
         .map(|entry| entry.callers)
         .collect();
-    let (stop, account) = (Arc::new(AtomicBool::new(false)), Account::default());
+    let (stop, account) = (Arc::new(AtomicBool::new(false)), Outcomes::default());
     let callers: Vec<_> = (0..12)
         .map(|i| {
-            tokio::spawn(caller(
+            tokio::spawn(run_caller(
                 seed * 100 + i,
                 boxes.clone(),
                 stop.clone(),
@@ -236,8 +249,8 @@
         })
         .collect();
     let mut random = SmallRng::seed_from_u64(seed);
-    let length = Duration::from_secs(number("SCALEWOOD_CHAOS_S", 12));
-    faults(
+    let length = Duration::from_secs(env_number("SCALEWOOD_CHAOS_S", 12));
+    inject_faults(
         &mut deployment,
         &mut random,
         tokio::time::Instant::now() + length,
@@ -254,23 +267,26 @@
     }
 }
 
-fn check(deployment: &Deployment, account: &BTreeMap<String, Seen>) {
-    let (names, keys) = ran(deployment);
-    let mut counts: BTreeMap<&Seen, usize> = BTreeMap::new();
+fn check(deployment: &Deployment, account: &BTreeMap<String, Outcome>) {
+    let (names, keys) = collect_runs(deployment);
+    let mut counts: BTreeMap<&Outcome, usize> = BTreeMap::new();
     for (name, seen) in account {
         *counts.entry(seen).or_default() += 1;
-        // A resend shares its key with the first call, which may have run.
+        // A resend has the key of the first call, which may have run.
         let first = !name.ends_with(" again");
-        if first && *seen == Seen::Verdict("not-run".into()) {
-            assert!(!names.contains(name), "{name} was told `not-run`, and ran");
+        if first && *seen == Outcome::Verdict("not-run".into()) {
+            assert!(
+                !names.contains(name),
+                "{name} got the verdict `not-run`, but it ran"
+            );
         }
     }
     let twice: Vec<_> = keys.iter().filter(|(_, count)| **count > 1).collect();
     assert!(twice.is_empty(), "keys ran twice: {twice:?}");
     println!("account: {counts:?}");
-    let whole = counts.get(&Seen::Whole).copied().unwrap_or_default();
+    let whole = counts.get(&Outcome::Whole).copied().unwrap_or_default();
     assert!(
         whole * 2 > account.len(),
-        "most requests are answered: {counts:?}"
+        "at most half of the requests were answered: {counts:?}"
     );
 }
--- a/tests/testsuite/failure.rs
+++ b/tests/testsuite/failure.rs
@@ -1,5 +1,5 @@
-//! Failures of endpoints and entry boxes, with real processes: whatever breaks, a
-//! caller gets its own answer whole, or a true verdict.
+//! Failures of endpoints and entry boxes, with real processes: whatever fails, a caller gets
+//! either its own complete answer or a verdict that is true.
 
 use std::{
     collections::BTreeMap,
@@ -17,7 +17,7 @@
     },
 };
 
-/// One zone with two boxes and two engines.
+/// Returns the plan of one zone with two boxes, two engines and two replicas.
 fn one_zone() -> Plan {
     Plan {
         boxes: vec![2],
@@ -35,8 +35,9 @@
         .unwrap()
 }
 
-/// Streams at once from all boxes; returns prompts and answers.
-fn streams(
+/// Starts `count` concurrent streams at each box. The tasks return the prompts with their
+/// answers.
+fn start_streams(
     deployment: &Deployment,
     class: &'static str,
     count: usize,
@@ -57,17 +58,17 @@
     tasks
 }
 
-async fn all_whole(tasks: Vec<tokio::task::JoinHandle<(String, Streamed)>>) {
+async fn assert_all_whole(tasks: Vec<tokio::task::JoinHandle<(String, Streamed)>>) {
     for task in tasks {
         let (prompt, answer) = task.await.unwrap();
         assert!(answer.whole, "{prompt}: {:?}", answer.error);
         assert_eq!(answer.text, expected(&prompt), "{prompt}");
         let ids = answer.ids.iter().collect::<std::collections::BTreeSet<_>>();
-        assert_eq!(ids.len(), 1, "the pieces have several ids");
+        assert_eq!(ids.len(), 1, "the events of one stream have different ids");
     }
 }
 
-async fn no_breach(deployment: &Deployment) {
+async fn assert_no_breaches(deployment: &Deployment) {
     for (i, entry) in deployment.entries.iter().enumerate() {
         if entry.process.is_some() {
             let breaches = deployment.metric(i, "scalewood_invariant_breaches").await;
@@ -86,7 +87,7 @@
                 .faults(engine, json!({ "breaks": 2, "break_after": after }))
                 .await;
         }
-        all_whole(streams(
+        assert_all_whole(start_streams(
             &deployment,
             "report",
             2,
@@ -103,19 +104,26 @@
         resumed.filter(|run| run["resumed_at"] == 7).count() > 0,
         "nothing was resumed"
     );
-    no_breach(&deployment).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_killed_mid_stream_costs_no_answer() {
     let dir = tempfile::tempdir().unwrap();
     let mut deployment = Deployment::start(one_zone(), dir.path()).await;
-    let tasks = streams(&deployment, "report", 3, 300, "engine killed");
+    let tasks = start_streams(&deployment, "report", 3, 300, "engine killed");
     tokio::time::sleep(Duration::from_millis(250)).await;
     deployment.standins[0].process.take().unwrap().kill();
-    all_whole(tasks).await;
-    // The dead engine is ejected: new requests go on.
-    all_whole(streams(&deployment, "counter", 5, 5, "after the kill")).await;
+    assert_all_whole(tasks).await;
+    // The dead engine is ejected, so new requests are served by the other one.
+    assert_all_whole(start_streams(
+        &deployment,
+        "counter",
+        5,
+        5,
+        "after the kill",
+    ))
+    .await;
     deployment.start_standin(0);
     let engine = deployment.standins[0].address;
     let before = deployment.runs(0).len();
@@ -127,11 +135,11 @@
     while deployment.runs(0).len() == before {
         assert!(
             Instant::now() < until,
-            "the engine that came back gets nothing"
+            "the restarted engine gets no requests"
         );
-        all_whole(streams(&deployment, "counter", 4, 20, "probe")).await;
+        assert_all_whole(start_streams(&deployment, "counter", 4, 20, "probe")).await;
     }
-    no_breach(&deployment).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -139,8 +147,8 @@
     let dir = tempfile::tempdir().unwrap();
     let deployment = Deployment::start(one_zone(), dir.path()).await;
     deployment.faults(0, json!({ "hang": true })).await;
-    all_whole(streams(&deployment, "report", 2, 5, "hung")).await;
-    no_breach(&deployment).await;
+    assert_all_whole(start_streams(&deployment, "report", 2, 5, "hung")).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -159,8 +167,12 @@
         let prompt = format!("at the counter {i} len=10");
         let answer = stream(callers, "counter", prompt.clone()).await;
         assert_eq!(answer.text, expected(&prompt));
-        // With the only slot held, it could not have been served before the end of the bulk.
-        assert!(!bulk.is_finished(), "the counter had to wait for the bulk");
+        // There is only one slot. Unless the bulk request was preempted, this one could not have
+        // been served before the bulk request ended.
+        assert!(
+            !bulk.is_finished(),
+            "the counter request had to wait for the bulk request"
+        );
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     let answer = bulk.await.unwrap();
@@ -171,7 +183,7 @@
         .iter()
         .filter(|run| run["resumed_at"].as_u64() > Some(0));
     assert!(resumed.count() > 0, "nothing was preempted: {runs:?}");
-    no_breach(&deployment).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -191,7 +203,7 @@
             .collect();
         tokio::time::sleep(Duration::from_millis(200)).await;
         deployment.entries[killed].process.take().unwrap().kill();
-        // Whoever dispatches now, new requests are served.
+        // New requests are served, whichever box is the dispatcher now.
         let prompt = format!("new after {killed}");
         let answer = stream(other, "counter", prompt.clone()).await;
         assert!(answer.whole, "{:?}", answer.error);
@@ -204,7 +216,7 @@
         deployment.start_entry(killed);
         deployment.wait_ready().await;
     }
-    no_breach(&deployment).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -228,7 +240,7 @@
             .as_ref()
             .unwrap()
             .signal("CONT");
-        all_whole(streams(
+        assert_all_whole(start_streams(
             &deployment,
             "counter",
             3,
@@ -237,7 +249,7 @@
         ))
         .await;
     }
-    no_breach(&deployment).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -253,28 +265,43 @@
     deployment.faults(0, json!({ "leaving": true })).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = deployment.runs(0).len();
-    all_whole(streams(&deployment, "counter", 10, 5, "after it left")).await;
+    assert_all_whole(start_streams(
+        &deployment,
+        "counter",
+        10,
+        5,
+        "after it left",
+    ))
+    .await;
     assert_eq!(
         deployment.runs(0).len(),
         before,
         "the leaving endpoint got new work"
     );
     let answer = running.await.unwrap();
-    assert!(answer.whole, "what ran there was cut: {:?}", answer.error);
-    // It comes back.
+    assert!(
+        answer.whole,
+        "a stream that ran there was cut: {:?}",
+        answer.error
+    );
+    // The endpoint stops leaving.
     deployment.faults(0, json!({ "leaving": false })).await;
     tokio::time::sleep(Duration::from_millis(1500)).await;
-    all_whole(streams(&deployment, "counter", 10, 5, "it is back")).await;
+    assert_all_whole(start_streams(&deployment, "counter", 10, 5, "it is back")).await;
     assert!(
         deployment.runs(0).len() > before,
-        "the endpoint that came back gets nothing"
+        "the endpoint that no longer leaves gets no requests"
     );
-    no_breach(&deployment).await;
+    assert_no_breaches(&deployment).await;
 }
 
-const RECORD: &str = "/services/stock/records";
+const RECORD_PATH: &str = "/services/stock/records";
 
-async fn record(callers: SocketAddr, key: &str, body: &str) -> std::io::Result<client::Answer> {
+async fn send_record(
+    callers: SocketAddr,
+    key: &str,
+    body: &str,
+) -> std::io::Result<client::Answer> {
     let token = bearer(deploy::TEAM);
     let mut headers = vec![
         ("authorization", token.as_str()),
@@ -283,10 +310,10 @@
     if !key.is_empty() {
         headers.push(("idempotency-key", key));
     }
-    ask(callers, "POST", RECORD, &headers, body.to_owned()).await
+    ask(callers, "POST", RECORD_PATH, &headers, body.to_owned()).await
 }
 
-/// How often each key ran at the stand-ins.
+/// Returns how often each idempotency key ran at the stand-ins.
 fn runs_by_key(deployment: &Deployment) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
     for i in deployment.standins_of(false) {
@@ -299,11 +326,11 @@
     runs
 }
 
-/// Sends a call until it is decided whether its key was used.
-async fn decided(callers: SocketAddr, key: &str) -> client::Answer {
+/// Sends a call again until the system knows whether its idempotency key was used before.
+async fn send_until_decided(callers: SocketAddr, key: &str) -> client::Answer {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
-        let answer = record(callers, key, "{}").await.unwrap();
+        let answer = send_record(callers, key, "{}").await.unwrap();
         if answer.json()["error"]["code"] != "key-undecided" {
             return answer;
         }
@@ -321,19 +348,20 @@
         ..Plan::default()
     };
     let mut deployment = Deployment::start(plan, dir.path()).await;
-    // Right after a start of all boxes nothing is known: keys wait for the retention.
-    let early = record(deployment.entries[0].callers, "early", "{}")
+    // Right after all boxes have started, none knows which keys were used before. Keys stay
+    // undecided until the retention has passed.
+    let early = send_record(deployment.entries[0].callers, "early", "{}")
         .await
         .unwrap();
     assert_eq!(early.json()["error"]["code"], "key-undecided");
-    let answer = decided(deployment.entries[0].callers, "warm").await;
+    let answer = send_until_decided(deployment.entries[0].callers, "warm").await;
     assert_eq!(answer.status, 200, "{:?}", answer.json());
     for round in 0..10 {
         let key = format!("race-{round}");
         let calls = deployment
             .entries
             .iter()
-            .map(|entry| record(entry.callers, &key, "{}"));
+            .map(|entry| send_record(entry.callers, &key, "{}"));
         let answers = futures_util::future::join_all(calls).await;
         let served = answers
             .iter()
@@ -342,22 +370,23 @@
         assert!(served <= 1, "{key} was served {served} times");
     }
     for lost in 0..3 {
-        // A resend to another box learns that the call ran.
+        // A resend to another box is told that the call ran.
         let (one, other) = (
             deployment.entries[lost].callers,
             deployment.entries[(lost + 1) % 3].callers,
         );
         let key = format!("once-{lost}");
-        assert_eq!(decided(one, &key).await.status, 200);
-        let again = decided(other, &key).await;
+        assert_eq!(send_until_decided(one, &key).await.status, 200);
+        let again = send_until_decided(other, &key).await;
         assert_eq!((again.status, again.verdict()), (409, Some("ran")));
-        // So it does after a holder was lost, and after it came back without its memory.
+        // The same holds after a holder of the claim was lost, and after it restarted without
+        // the claim.
         deployment.entries[lost].process.take().unwrap().kill();
-        let answer = decided(other, &key).await;
+        let answer = send_until_decided(other, &key).await;
         assert_eq!(answer.status, 409, "{:?}", answer.json());
         deployment.start_entry(lost);
         deployment.wait_ready().await;
-        let answer = decided(one, &key).await;
+        let answer = send_until_decided(one, &key).await;
         assert_eq!(answer.status, 409, "{:?}", answer.json());
     }
     let runs = runs_by_key(&deployment);
@@ -365,7 +394,7 @@
         runs.values().all(|count| *count == 1),
         "a key ran twice: {runs:?}"
     );
-    no_breach(&deployment).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -384,13 +413,13 @@
             .sum()
     };
     let before = ran(&deployment);
-    let answer = record(callers, "", "{}").await.unwrap();
+    let answer = send_record(callers, "", "{}").await.unwrap();
     assert_eq!(
         (answer.status, answer.verdict()),
         (502, Some("may-have-run"))
     );
-    assert_eq!(ran(&deployment), before + 1, "it was sent twice");
-    // A class that may be repeated is tried again.
+    assert_eq!(ran(&deployment), before + 1, "the call was sent twice");
+    // A call of a repeatable class is tried again.
     let token = bearer(deploy::TEAM);
     let headers = [
         ("authorization", token.as_str()),
@@ -400,8 +429,11 @@
         .await
         .unwrap();
     assert_eq!(answer.verdict(), Some("may-have-run"));
-    assert!(ran(&deployment) > before + 2, "it was not tried again");
-    no_breach(&deployment).await;
+    assert!(
+        ran(&deployment) > before + 2,
+        "the call was not tried again"
+    );
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -411,7 +443,7 @@
     for i in deployment.standins_of(false) {
         deployment.standins[i].process.take().unwrap().kill();
     }
-    let answer = record(deployment.entries[0].callers, "", "{}")
+    let answer = send_record(deployment.entries[0].callers, "", "{}")
         .await
         .unwrap();
     assert_eq!((answer.status, answer.verdict()), (503, Some("not-run")));
@@ -422,7 +454,7 @@
 async fn requests_spill_to_another_zone_that_can_serve_them() {
     let dir = tempfile::tempdir().unwrap();
     let mut deployment = Deployment::start(Plan::default(), dir.path()).await;
-    // Zone 0 loses its only engine; its callers are served by zone 1.
+    // Zone 0 loses its only engine, so its callers are served by zone 1.
     deployment.standins[0].process.take().unwrap().kill();
     let callers = deployment.entries[0].callers;
     let until = Instant::now() + Duration::from_secs(20);
@@ -434,10 +466,14 @@
             break;
         }
         assert_eq!(answer.verdict.as_deref(), Some("not-run"));
-        assert!(Instant::now() < until, "nothing spills: {:?}", answer.error);
+        assert!(
+            Instant::now() < until,
+            "no request spilled to the other zone: {:?}",
+            answer.error
+        );
     }
-    all_whole(streams(&deployment, "counter", 3, 10, "spilled")).await;
-    no_breach(&deployment).await;
+    assert_all_whole(start_streams(&deployment, "counter", 3, 10, "spilled")).await;
+    assert_no_breaches(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -445,8 +481,8 @@
     let dir = tempfile::tempdir().unwrap();
     let mut deployment = Deployment::start(one_zone(), dir.path()).await;
     deployment.voters[0].process.take().unwrap().kill();
-    all_whole(streams(&deployment, "counter", 3, 5, "no voter")).await;
-    // A box that restarts takes the configuration from its peer.
+    assert_all_whole(start_streams(&deployment, "counter", 3, 5, "no voter")).await;
+    // A restarted box gets its configuration from its peer.
     deployment.entries[0].process.take().unwrap().kill();
     let peer = deployment.entries[1].listen;
     let settings = dir.path().join("e00.json");
@@ -459,7 +495,7 @@
     let process = deploy::Process::start("e00", "scalewood-entry", &args, dir.path());
     deployment.entries[0].process = Some(process);
     deployment.wait_ready().await;
-    all_whole(streams(&deployment, "counter", 3, 5, "restarted")).await;
+    assert_all_whole(start_streams(&deployment, "counter", 3, 5, "restarted")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -473,21 +509,21 @@
     };
     let deployment = Deployment::start(plan, dir.path()).await;
     let callers = deployment.entries[0].callers;
-    assert_eq!(decided(callers, "warm").await.status, 200);
+    assert_eq!(send_until_decided(callers, "warm").await.status, 200);
     let plain = deployment.standins_of(false)[0];
-    // A slow call holds the only slot for longer than half the retention.
+    // A slow call holds the only slot for more than half of the retention.
     deployment.faults(plain, json!({ "slower": 50_000 })).await;
-    let slow = tokio::spawn(async move { record(callers, "", "{}").await });
+    let slow = tokio::spawn(async move { send_record(callers, "", "{}").await });
     deploy::wait("the slow call runs", || async {
         deployment.runs(plain).len() == 2
     })
     .await;
-    let answer = record(callers, "late", "{}").await.unwrap();
+    let answer = send_record(callers, "late", "{}").await.unwrap();
     assert_eq!(answer.json()["error"]["code"], "key-stale");
     assert_eq!(answer.verdict(), Some("not-run"));
     assert!(
         !runs_by_key(&deployment).contains_key("late"),
-        "it was sent"
+        "the call was sent"
     );
     let _ = slow.await.unwrap();
 }
--- a/tests/testsuite/leave.rs
+++ b/tests/testsuite/leave.rs
@@ -1,4 +1,5 @@
-//! Callers that leave: what was begun for them ends with them, and nothing is begun any more.
+//! Callers that close their connection: work that was begun for them is cancelled, and no more is
+//! begun.
 
 use std::time::{Duration, Instant};
 
@@ -7,27 +8,33 @@
     routed::{seen, serving, Act, Endpoint, System, HOST},
 };
 
-/// Callers that leave unread: one in eight was served without a look at its connection.
-const CALLERS: usize = 64;
-/// How soon after a caller has left its work has ended.
-const ENDED: Duration = Duration::from_millis(500);
+/// The number of callers that leave before their requests are read. Without a check of the
+/// connection, one in eight of these requests is served.
+const UNREAD_CALLERS: usize = 64;
+/// The time within which the work for a caller ends after the caller has left.
+const END_WITHIN: Duration = Duration::from_millis(500);
 
 fn running(endpoints: &[Endpoint]) -> usize {
     endpoints.iter().map(Endpoint::running).sum()
 }
 
-/// Sends a request on a connection of its own and leaves once an endpoint is at work on it.
-async fn leave(system: &System, endpoints: &[Endpoint], method: &'static str, path: &'static str) {
+/// Sends a request over a new connection and closes it once an endpoint runs the request.
+async fn send_and_leave(
+    system: &System,
+    endpoints: &[Endpoint],
+    method: &'static str,
+    path: &'static str,
+) {
     let callers = system.callers();
     let sent = tokio::spawn(async move {
         let mut connection = client::Connection::open(callers).await.unwrap();
         let headers = [("authorization", "Bearer key-1")];
         let response = connection.send_to(HOST, method, path, &headers, "").await;
-        // A stream's head comes; the rest is waited for.
+        // For a stream the response head arrives; the connection stays open for the rest.
         let _held = response;
         std::future::pending::<()>().await;
     });
-    deploy::wait("an endpoint is at work", || async {
+    deploy::wait("an endpoint runs the request", || async {
         running(endpoints) == 1
     })
     .await;
@@ -49,18 +56,22 @@
         for endpoint in &endpoints {
             endpoint.next(act);
         }
-        leave(&system, &endpoints, method, path).await;
+        send_and_leave(&system, &endpoints, method, path).await;
         let since = Instant::now();
         deploy::wait("the work has ended", || async { running(&endpoints) == 0 }).await;
-        assert!(since.elapsed() < ENDED, "{path}: {:?}", since.elapsed());
-        // Long enough for another attempt, had one followed.
+        assert!(
+            since.elapsed() < END_WITHIN,
+            "{path}: {:?}",
+            since.elapsed()
+        );
+        // Long enough for another attempt to reach an endpoint, if one were made.
         tokio::time::sleep(Duration::from_millis(1500)).await;
         assert_eq!(seen(&endpoints, path), 1, "{path}");
         endpoints.iter().for_each(Endpoint::calm);
     }
 }
 
-/// Whether all threads of a process stand still.
+/// Returns whether all threads of a process are stopped.
 fn is_stopped(process: u32) -> bool {
     let threads = std::fs::read_dir(format!("/proc/{process}/task")).unwrap();
     let stats = threads.map(|t| std::fs::read_to_string(t.unwrap().path().join("stat")).unwrap());
@@ -75,10 +86,10 @@
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = serving(1, dir.path()).await;
     let entry = system.entry.as_ref().unwrap();
-    // A box that stands still reads nothing; its callers give up and close.
+    // A stopped box reads nothing, and its callers close their connections.
     entry.signal("STOP");
-    deploy::wait("the box stands still", || async { is_stopped(entry.id()) }).await;
-    for i in 0..CALLERS {
+    deploy::wait("the box is stopped", || async { is_stopped(entry.id()) }).await;
+    for i in 0..UNREAD_CALLERS {
         let stream = std::net::TcpStream::connect(system.callers()).unwrap();
         let request = format!(
             "GET /safe/unread HTTP/1.1\r\nhost: {HOST}\r\nauthorization: Bearer key-1\r\n\
@@ -86,7 +97,7 @@
         );
         std::io::Write::write_all(&mut &stream, request.as_bytes()).unwrap();
     }
-    // The kernel delivers what was sent and closed a moment later where the machine is busy.
+    // On a busy machine the kernel delivers the data and the closing a moment later.
     tokio::time::sleep(Duration::from_millis(200)).await;
     entry.signal("CONT");
     tokio::time::sleep(Duration::from_millis(1500)).await;
@@ -99,7 +110,10 @@
         .collect();
     let log = std::fs::read_to_string(dir.path().join("e1.log")).unwrap();
     let lines: Vec<_> = log.lines().rev().take(20).collect();
-    assert!(begun.is_empty(), "{begun:?}; the log's end: {lines:#?}");
+    assert!(
+        begun.is_empty(),
+        "{begun:?}; end of the log, newest line first: {lines:#?}"
+    );
     assert_eq!(running(&endpoints), 0);
     system.wait_served().await;
 }
--- a/tests/testsuite/silence.rs
+++ b/tests/testsuite/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good, without a reset, while new ones work.
+//! Connections that stop carrying data without being closed or reset, while new ones work.
 
 use std::time::{Duration, Instant};
 
@@ -13,9 +13,9 @@
     routed::{routing, text, Endpoint, System},
 };
 
-/// An endpoint behind a link, in a system with one voter, and so many connections to it that
-/// the box keeps.
-async fn behind_a_link(kept: usize, dir: &std::path::Path) -> (System, Endpoint, Forwarder) {
+/// Starts a system with one voter and one endpoint behind a link. The box then keeps `kept` open
+/// connections to that endpoint.
+async fn start_behind_link(kept: usize, dir: &std::path::Path) -> (System, Endpoint, Forwarder) {
     let system = System::start(1, dir);
     assert_eq!(system.publish(&text(&routing(7))).await, 200);
     let endpoint = Endpoint::start("i-0", (system.host, 9000).into()).await;
@@ -37,9 +37,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_request_finds_out_that_kept_connections_are_silent() {
     let dir = tempfile::tempdir().unwrap();
-    let (system, endpoint, link) = behind_a_link(4, dir.path()).await;
+    let (system, endpoint, link) = start_behind_link(4, dir.path()).await;
     link.hush();
-    // The first waits for a second, goes on over a new connection, and the others with it.
+    // The first request waits for a second before it is sent over a new connection. The requests
+    // after it use new connections at once.
     let first = system.call("GET", "/safe/first", "first").await.unwrap();
     assert_eq!(first.status, 200);
     for i in 0..4 {
@@ -63,13 +64,13 @@
     assert_eq!(system.publish(&text(&routing(7))).await, 200);
     let mut followers = Vec::new();
     for round in 1..=3 {
-        // The connections before stay open, as silent ones do.
+        // The earlier connections stay open, as silent ones do.
         let voter = rpc::connect(system.voter_listen(0)).await.unwrap();
         let mut news = voter.follow("e9".parse().unwrap()).await.unwrap();
         let until = Instant::now() + Duration::from_secs(5);
         loop {
             let News { followers, .. } = news.next().await.unwrap().unwrap();
-            // The entry box of the system is the other one.
+            // The system's entry box is the other follower.
             if followers == 2 {
                 break;
             }
--- a/tests/testsuite/stop.rs
+++ b/tests/testsuite/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request.
+//! Planned stops of entry boxes, which must not cut any request.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
             assert_eq!(answer.text, expected(&prompt));
         }
         assert!(done.await.unwrap(), "the box did not stop cleanly");
-        // The other box serves on.
+        // The other box still serves requests.
         let other = deployment.entries[1 - stopped].callers;
         let mut connection = client::Connection::open(other).await.unwrap();
         let body = chat(deploy::MODEL, "and after", true);
