--- a/tests/testsuite/crash.rs
+++ b/tests/testsuite/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that end the endpoints that run them, with real processes.
+//! Requests that crash the endpoints that run them, with real processes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,14 +16,14 @@
     routed::{routing, text, System, HOST, KEY},
 };
 
-/// Entry boxes.
+/// The number of entry boxes.
 const BOXES: usize = 3;
-/// How long after a third end word of it may be on its way.
-const WORD: Duration = Duration::from_secs(3);
-/// The most arrivals after that, over all boxes.
-const MOST_LATE: usize = 3;
+/// The time for reports of the third end to reach all boxes. Arrivals after it are late.
+const REPORT_DELAY: Duration = Duration::from_secs(3);
+/// The most late arrivals of a request, over all boxes.
+const MAX_LATE_ARRIVALS: usize = 3;
 
-/// A system whose endpoints end under some requests.
+/// A system whose endpoints crash under some requests.
 struct Site {
     system: System,
     boxes: Vec<Option<deploy::Process>>,
@@ -72,8 +72,8 @@
         .await;
     }
 
-    /// Sends the request that ends endpoints to the boxes by turns, ten times a second for so long.
-    fn keep_sending(&self, length: Duration) -> tokio::task::JoinHandle<()> {
+    /// Sends the crashing request to the boxes in turn, ten times a second for `length`.
+    fn resend_for(&self, length: Duration) -> tokio::task::JoinHandle<()> {
         let boxes: Vec<_> = (0..BOXES).map(|i| self.system.callers_at(i)).collect();
         let until = Instant::now() + length;
         tokio::spawn(async move {
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Sends a request to a box; the status of the answer, if it came whole.
+    /// Sends a request to a box. Returns the status of the answer if it arrived complete.
     async fn send(&self, i: usize, path: &str, body: &str) -> Option<u16> {
         send(self.system.callers_at(i), path, body).await
     }
@@ -114,15 +114,15 @@
     tokio::time::timeout(within, exchange).await.ok().flatten()
 }
 
-/// Harmless requests: by turns to these paths, so many a second.
+/// Harmless requests, sent to these paths in turn at `a_second` requests per second.
 #[derive(Clone, Copy)]
 struct Load {
     paths: &'static [&'static str],
     a_second: u32,
 }
 
-/// Sends harmless requests, each with a body of its own; how many were answered whole, of how
-/// many.
+/// Sends harmless requests, each with a different body. Returns how many were answered completely,
+/// and how many were sent.
 async fn send_harmless(
     boxes: Vec<std::net::SocketAddr>,
     load: Load,
@@ -147,8 +147,8 @@
     (served, count)
 }
 
-/// The fingerprints that stand in the boxes' logs under the ends of so many endpoints.
-fn under_ends(dir: &std::path::Path, least: usize) -> Vec<String> {
+/// Returns the fingerprints under which at least `least` endpoints ended, by the boxes' logs.
+fn fingerprints_with_ends(dir: &std::path::Path, least: usize) -> Vec<String> {
     let mut ends: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for i in 1..=BOXES {
         let log = std::fs::read_to_string(dir.join(format!("e{i}.log"))).unwrap();
@@ -165,8 +165,8 @@
     found.map(|(fingerprint, _)| fingerprint).collect()
 }
 
-/// The fingerprints that any box holds back, by its log.
-fn held_back(dir: &std::path::Path) -> BTreeSet<String> {
+/// Returns the fingerprints that any box holds back, by its log.
+fn held_back_fingerprints(dir: &std::path::Path) -> BTreeSet<String> {
     let mut all = BTreeSet::new();
     for i in 1..=BOXES {
         let log = std::fs::read_to_string(dir.join(format!("e{i}.log"))).unwrap();
@@ -179,17 +179,14 @@
     all
 }
 
-/// Endpoints of one service ended in groups, some hundred milliseconds apart, while nothing else
-/// was disturbed: thirty-five within twenty seconds, of nine. Each came back after some seconds, and
-/// what it had run broke off, at all boxes.
+/// Guards against a request that crashes one endpoint after another. Its caller resends it about
+/// every second to any box. If each box tries it at two endpoints, attributes the failures to the
+/// endpoints alone and forgets the request with its own attempt, the next box starts over:
+/// thirty-five ends within twenty seconds, a few hundred milliseconds apart, at nine endpoints that
+/// restart after some seconds. At all boxes the other requests on these endpoints break off too.
 ///
-/// A single request did it. Its caller sent it again each second or so, to any box, and each
-/// endpoint that began it ended. Each box tried it at two endpoints, forgot it with its own
-/// attempt, and blamed the endpoints alone; the next box knew nothing of it.
-///
-/// What proved it: with a fingerprint of path, caller and body in the log (event 3210) the same
-/// one stands under the end of each endpoint, in the logs of all boxes, and no other one under
-/// three ends or more.
+/// Each end is logged with a fingerprint of the path, caller and body (event 3210). Over the logs
+/// of all boxes, the crashing request must be the only one with three ends or more.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_ends_its_endpoints_is_held_back_by_all_boxes() {
     let dir = tempfile::tempdir().unwrap();
@@ -215,21 +212,21 @@
     }
     let (served, count) = harmless.await.unwrap();
     let arrivals = site.seen.arrivals("crash always").len();
-    let late = site.seen.late_arrivals("crash always", WORD);
+    let late = site.seen.late_arrivals("crash always", REPORT_DELAY);
     let ended = site.seen.ended("crash always");
-    let told = format!(
+    let summary = format!(
         "{arrivals} arrivals, {late} of them late, {ended} endpoints ended, \
          {served} of {count} harmless requests served"
     );
-    println!("{told}");
-    assert!(ended >= 3, "nothing was brought about: {told}");
-    assert_eq!(under_ends(dir.path(), 3).len(), 1, "{told}");
-    assert!(late <= MOST_LATE, "{told}");
-    assert!(served * 100 >= count * 99, "{told}");
+    println!("{summary}");
+    assert!(ended >= 3, "fewer than three endpoints crashed: {summary}");
+    assert_eq!(fingerprints_with_ends(dir.path(), 3).len(), 1, "{summary}");
+    assert!(late <= MAX_LATE_ARRIVALS, "{summary}");
+    assert!(served * 100 >= count * 99, "{summary}");
 }
 
-/// Where endpoints are busy, dozens of harmless requests break with each end, are tried again side
-/// by side with the one that ends them, and may break once more. They are not taken for it.
+/// On busy endpoints, dozens of harmless requests break off with each end. They are retried on the
+/// same endpoints as the crashing request, and may break off again. They must not be held back.
 #[tokio::test(flavor = "multi_thread")]
 async fn harmless_requests_that_break_with_it_again_and_again_are_not_held_back() {
     let dir = tempfile::tempdir().unwrap();
@@ -256,14 +253,14 @@
     }
     let (served, count) = harmless.await.unwrap();
     let ended = site.seen.ended("crash always");
-    let told = format!("{ended} endpoints ended, {served} of {count} harmless requests served");
-    println!("{told}");
-    assert_eq!(ended, 3, "{told}");
-    assert_eq!(held_back(dir.path()).len(), 1, "{told}");
+    let summary = format!("{ended} endpoints ended, {served} of {count} harmless requests served");
+    println!("{summary}");
+    assert_eq!(ended, 3, "{summary}");
+    assert_eq!(held_back_fingerprints(dir.path()).len(), 1, "{summary}");
 }
 
-/// Models and plain services of the product's own interface, behind two boxes of which one
-/// dispatches each service: the other one has to hear of it too.
+/// Covers models and plain services of the product's own API. Each service is dispatched by one of
+/// two boxes; the other one must be informed of held back requests too.
 #[tokio::test(flavor = "multi_thread")]
 async fn models_and_plain_calls_that_end_their_endpoints_are_held_back_too() {
     const ROUNDS: usize = 16;
@@ -298,10 +295,10 @@
             ended += restart_ended(&mut deployment);
         }
         assert!((3..=6).contains(&ended), "{path}: {ended} endpoints ended");
-        let (status, told) = last.unwrap();
-        assert_eq!(status, 429, "{path}: {told}");
-        assert_eq!(told["error"]["code"], "ends-endpoints");
-        assert_eq!(told["error"]["verdict"], "not-run");
+        let (status, answer) = last.unwrap();
+        assert_eq!(status, 429, "{path}: {answer}");
+        assert_eq!(answer["error"]["code"], "ends-endpoints");
+        assert_eq!(answer["error"]["verdict"], "not-run");
     }
     deployment.wait_ready().await;
     let operator = deployment.operator();
@@ -315,10 +312,10 @@
         };
         operator.pardon(&pardon).await.unwrap();
         let again = operator.pardon(&pardon).await;
-        assert!(again.is_err(), "nothing is left to be pardoned");
+        assert!(again.is_err(), "a request was pardoned twice");
     }
     assert!(operator.held_back().await.unwrap().held_back.is_empty());
-    // Each box sends it again once it has heard.
+    // Once a box has been told of the pardon, it sends the request to endpoints again.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let callers = deployment.entries[1].callers;
     let bearer = client::bearer(deploy::TEAM);
@@ -329,7 +326,7 @@
     assert!(restart_ended(&mut deployment) > 0);
 }
 
-/// Starts the stand-ins again that have ended; how many.
+/// Restarts the stand-ins that have ended. Returns how many there were.
 fn restart_ended(deployment: &mut deploy::Deployment) -> usize {
     let mut ended = 0;
     for i in 0..deployment.standins.len() {
@@ -342,14 +339,14 @@
     ended
 }
 
-/// While a request keeps coming, boxes are killed and started, a voter is killed and comes back,
-/// another one is frozen, and a box is frozen across the ends. A box that has just started knows
-/// before it says that it is ready.
+/// While the caller keeps resending a crashing request, boxes are killed and restarted, one voter
+/// is killed and restarted, another one is paused, and a box is paused while endpoints end. A box
+/// that starts must know the request before it reports ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn it_stays_held_back_while_boxes_and_voters_come_and_go() {
     let dir = tempfile::tempdir().unwrap();
     let mut site = Site::start(3, 9, Duration::from_secs(1), dir.path()).await;
-    let keeps_coming = site.keep_sending(Duration::from_secs(16));
+    let resending = site.resend_for(Duration::from_secs(16));
     let pause = |millis| tokio::time::sleep(Duration::from_millis(millis));
     site.boxes[2].as_ref().unwrap().signal("STOP");
     pause(2000).await;
@@ -365,7 +362,7 @@
     site.system.start_voter(0, false);
     site.system.voters[1].as_ref().unwrap().signal("CONT");
     pause(1500).await;
-    // All boxes at once: the voters remember.
+    // All boxes are killed at once: the voters keep the state.
     for i in 0..BOXES {
         site.boxes[i].take().unwrap().kill();
     }
@@ -373,7 +370,7 @@
         site.boxes[i] = Some(site.system.start_entry_at(i));
     }
     pause(2000).await;
-    // All voters at once: the boxes remember.
+    // All voters are killed at once: the boxes keep the state.
     for i in 0..3 {
         site.system.voters[i].take().unwrap().kill();
     }
@@ -383,21 +380,24 @@
     pause(3000).await;
     site.boxes[1].take().unwrap().kill();
     site.boxes[1] = Some(site.system.start_entry_at(1));
-    keeps_coming.await.unwrap();
-    let late = site.seen.late_arrivals("crash always", WORD);
+    resending.await.unwrap();
+    let late = site.seen.late_arrivals("crash always", REPORT_DELAY);
     let ended = site.seen.ended("crash always");
     println!("{ended} endpoints ended, {late} late arrivals");
     assert!(ended >= 3, "{ended}");
-    assert!(late <= MOST_LATE, "{late} late arrivals, {ended} ended");
+    assert!(
+        late <= MAX_LATE_ARRIVALS,
+        "{late} late arrivals, {ended} ended"
+    );
 }
 
-/// All boxes and voters are lost at the same moment while a request keeps coming that is held
-/// back. It is known afterwards: voters keep it beside their journal.
+/// All boxes and voters are killed at the same moment while the caller keeps resending a request
+/// that is held back. It stays known, because voters store it next to their journal.
 #[tokio::test(flavor = "multi_thread")]
 async fn it_stays_held_back_when_all_boxes_and_voters_are_lost_at_once() {
     let dir = tempfile::tempdir().unwrap();
     let mut site = Site::start(3, 9, Duration::from_secs(1), dir.path()).await;
-    let keeps_coming = site.keep_sending(Duration::from_secs(14));
+    let resending = site.resend_for(Duration::from_secs(14));
     tokio::time::sleep(Duration::from_secs(6)).await;
     let before = site.seen.ended("crash always");
     for i in 0..3 {
@@ -408,43 +408,47 @@
         site.system.start_voter(i, false);
         site.boxes[i] = Some(site.system.start_entry_at(i));
     }
-    keeps_coming.await.unwrap();
-    let late = site.seen.late_arrivals("crash always", WORD);
+    resending.await.unwrap();
+    let late = site.seen.late_arrivals("crash always", REPORT_DELAY);
     let ended = site.seen.ended("crash always");
     println!("{before} endpoints ended before, {ended} in all, {late} late arrivals");
     assert!(before >= 3, "{before}");
-    assert!(late <= MOST_LATE, "{late} late arrivals, {ended} ended");
+    assert!(
+        late <= MAX_LATE_ARRIVALS,
+        "{late} late arrivals, {ended} ended"
+    );
 }
 
-/// A request ended endpoints behind a box that had been asked to stop, and one endpoint too many
-/// behind the next box: the first one was gone before it had told of its ends.
+/// Guards against a box that stops without reporting the last ends that it saw: the request would
+/// then crash one endpoint too many through the next box.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_box_that_stops_tells_of_its_last_ends() {
     const ROUNDS: usize = 8;
-    /// Into a stop: the box takes requests, and waits only for those that run soon after.
-    const STOPPING: Duration = Duration::from_millis(120);
-    /// As long as word takes from a box by its voter to another voter's boxes, and some more.
-    const HEARD: Duration = Duration::from_secs(1);
+    /// The time after the stop signal: the box still accepts requests, and soon after it only waits
+    /// for those that run.
+    const INTO_STOP: Duration = Duration::from_millis(120);
+    /// Longer than a report takes from a box through its voter to another voter's boxes.
+    const REPORTED_WITHIN: Duration = Duration::from_secs(1);
     let dir = tempfile::tempdir().unwrap();
     let mut site = Site::start(3, 9, Duration::from_millis(500), dir.path()).await;
-    let mut brought_about = 0;
+    let mut rounds_with_ends = 0;
     for round in 0..ROUNDS {
         let body = format!("crash {round}");
         let stopping = site.boxes[0].take().unwrap();
         let stopped = tokio::task::spawn_blocking(move || stopping.stop(Duration::from_secs(10)));
-        tokio::time::sleep(STOPPING).await;
+        tokio::time::sleep(INTO_STOP).await;
         assert_ne!(site.send(0, "/sresume/crash", &body).await, Some(200));
         assert!(stopped.await.unwrap(), "the box did not stop cleanly");
-        brought_about += usize::from(site.seen.ended(&body) > 0);
+        rounds_with_ends += usize::from(site.seen.ended(&body) > 0);
         site.boxes[0] = Some(site.system.start_entry_at(0));
         site.wait_serving(0).await;
-        // The next box hears of each end, and stops after the third one.
-        tokio::time::sleep(HEARD).await;
+        // The next box is told of each end, and holds the request back after the third one.
+        tokio::time::sleep(REPORTED_WITHIN).await;
         assert_ne!(site.send(1, "/sresume/crash", &body).await, Some(200));
         assert_eq!(site.seen.ended(&body), 3, "round {round}");
     }
     assert!(
-        brought_about > 0,
-        "the box took no request while it stopped"
+        rounds_with_ends > 0,
+        "the box accepted no request while it stopped"
     );
 }
--- a/tests/testsuite/crash_book.rs
+++ b/tests/testsuite/crash_book.rs
@@ -1,4 +1,5 @@
-//! What is known of requests under which endpoints end, over boxes and voters, without a network.
+//! The books of requests under which endpoints end, merged between boxes and voters without a
+//! network.
 
 use std::time::Duration;
 
@@ -20,7 +21,7 @@
     Fingerprint::of(HeadHash::of(&head, body.len()), body.as_bytes())
 }
 
-/// The end of an endpoint, each with a time of its own.
+/// Returns the end of an endpoint, at a time derived from its name.
 fn end(endpoint: &str) -> End {
     let bytes = endpoint.bytes().map(u64::from);
     end_at(
@@ -39,7 +40,7 @@
     }
 }
 
-/// A book that knows of so many ends under a request.
+/// Returns a book with `ends` ends under a request.
 fn book(fingerprint: Fingerprint, ends: usize) -> Book {
     let mut book = Book::default();
     for i in 0..ends {
@@ -62,7 +63,7 @@
     for wrong in ["", "0-0", "+000000000000000-0000000000000000"] {
         assert!(wrong.parse::<Fingerprint>().is_err(), "{wrong}");
     }
-    // No part of a head runs over into the next.
+    // The parts of a head are delimited: moving a byte from one to the next changes the hash.
     let head = |team, method| Head {
         team,
         method,
@@ -81,7 +82,7 @@
         let is_held_back = book(one, ends).is_held_back(&one);
         assert_eq!(is_held_back, ends >= MOST_ENDS, "{ends}");
     }
-    // The same end, told twice, counts once.
+    // The same end, reported twice, counts once.
     let mut twice = book(one, 2);
     twice.ended(one, end("i-1"), NOW);
     assert!(!twice.is_held_back(&one));
@@ -103,7 +104,7 @@
     }
     assert!(left.is_held_back(&one));
     assert!(right.is_held_back(&one));
-    // What comes round again is no news.
+    // Rows that are merged again change nothing.
     for row in rows(&left) {
         assert!(!right.merge(row, true, NOW));
     }
@@ -115,13 +116,13 @@
     let late = rows(&book(one, 2));
     let mut book = book(one, 2);
     assert!(book.clear(&one, NOW));
-    assert!(!book.clear(&one, NOW), "nothing is left to be cleared");
+    assert!(!book.clear(&one, NOW), "a request without ends was cleared");
     let mut other = Book::default();
     for row in late.iter().chain(&rows(&book)).chain(&late) {
         other.merge(row.clone(), true, NOW);
     }
     assert!(!other.is_held_back(&one));
-    // What ends after that counts anew.
+    // Ends after the clearing count again from zero.
     for name in ["i-7", "i-8", "i-9"] {
         other.ended(one, end(name), NOW);
     }
@@ -141,7 +142,7 @@
         for row in here.news(&mut told, Part::Own) {
             there.merge(row, false, now);
         }
-        // Another request, so that old ones are looked for.
+        // The end under another request triggers the search for expired ones.
         there.ended(fingerprint("shop", "other"), end("i-1"), now);
         assert!(there.is_held_back(&one));
     }
@@ -168,7 +169,7 @@
     assert!(book.is_held_back(&one));
 }
 
-/// Three zones with a hub each, and a box at each hub.
+/// Three zones, each with a hub and one box.
 struct Zones {
     hubs: Vec<Hub>,
     boxes: Vec<(Book, Told, bool)>,
@@ -190,7 +191,8 @@
         format!("c{i}").parse().unwrap()
     }
 
-    /// One round of exchanges over links that are up: boxes with hubs, then hubs with each other.
+    /// Runs one round of exchanges: boxes with their hubs, then hubs with each other over the links
+    /// that are up.
     fn round(&mut self, up: impl Fn(usize, usize) -> bool) {
         self.now += Duration::from_millis(100);
         let now = self.now;
@@ -237,7 +239,7 @@
         let now = zones.now;
         zones.boxes[i].0.ended(one, end(&format!("i-{i}")), now);
     }
-    // Told, passed on and heard: three rounds of a tenth of a second.
+    // One round each to report, to pass on between hubs and to inform the boxes, 100 ms per round.
     for _ in 0..3 {
         zones.round(|_, _| true);
     }
@@ -259,9 +261,9 @@
     }
     let held_back = zones.held_back(&one);
     assert_eq!(held_back[..2], [true; 2]);
-    assert!(!held_back[2], "it is cut off");
+    assert!(!held_back[2], "the box of a cut off zone was informed");
     zones.boxes[1] = (Book::default(), Told::default(), true);
-    // Behind the cut a voter has lost all that it knew, and its box with it.
+    // In the zone that was cut off, the voter and its box lose their state.
     zones.hubs[2] = Hub::default();
     zones.boxes[2] = (Book::default(), Told::default(), true);
     for _ in 0..3 {
@@ -294,8 +296,8 @@
     assert_eq!(zones.held_back(&one), [true; 3]);
 }
 
-/// A zone's loss ends many endpoints at once, each under many requests. Nothing of it holds a
-/// request back, and boxes hear of none of these.
+/// The loss of a zone ends many endpoints at once, each under many requests. None of these requests
+/// is held back, and boxes are told of none of them.
 #[test]
 fn a_whole_group_of_endpoints_that_is_lost_convicts_nobody() {
     let mut zones = Zones::new();
@@ -310,13 +312,18 @@
         zones.round(|_, _| true);
     }
     for (book, ..) in &zones.boxes {
-        assert_eq!(book.counts(), (300, 0), "only its own, and none held back");
+        assert_eq!(
+            book.counts(),
+            (300, 0),
+            "a book must hold only its own rows, and none held back"
+        );
     }
     assert_eq!(zones.hubs[0].crashes().counts(), (900, 0));
 }
 
-/// The same content may be sent by a whole team, so that it is at hand on each endpoint of a group
-/// that is lost at once, or within a moment: all of it was sent before the first end.
+/// A whole team may send the same content, so that it runs on each endpoint of a group that is lost
+/// at once or within a short time. All of these runs started before the first end, so the ends
+/// count as one.
 #[test]
 fn a_group_that_is_lost_at_once_under_alike_requests_counts_once() {
     let one = fingerprint("shop", "alike");
@@ -330,12 +337,18 @@
     }
     assert!(!book.is_held_back(&one));
     book.ended(one, long("i-40", 11_000), NOW);
-    assert!(!book.is_held_back(&one), "twice");
+    assert!(
+        !book.is_held_back(&one),
+        "held back after two successive ends"
+    );
     book.ended(one, long("i-41", 15_000), NOW);
-    assert!(book.is_held_back(&one), "three times, one after the other");
+    assert!(
+        book.is_held_back(&one),
+        "not held back after three successive ends"
+    );
 }
 
-/// However fast endpoints end under it: what counts is that each had it after the one before ended.
+/// Each end counts if its run started after the previous end, however soon the endpoints end.
 #[test]
 fn ends_in_turn_count_each_however_close_they_are() {
     let one = fingerprint("shop", "fast");
@@ -351,8 +364,8 @@
     assert!(book.is_held_back(&one));
 }
 
-/// What each end costs the exchange, where it is dearest: an endpoint with sixty requests of many
-/// boxes ends each second, and a third of them was at the end before.
+/// Measures the bytes exchanged per end in the most expensive case: an endpoint with sixty requests
+/// from many boxes ends each second, and a third of them ran at the previous end too.
 #[test]
 fn what_ends_cost_in_bytes_does_not_grow_with_the_boxes_but_at_voters() {
     const VOTERS: usize = 3;
@@ -369,14 +382,14 @@
             let now = NOW + Duration::from_secs(round as u64);
             let at = 10_000 + 1000 * round as u64;
             for i in 0..RUNNING {
-                // The first third ran at the endpoint before, too.
+                // The first third also ran on the previous endpoint.
                 let again = if i < RUNNING / 3 { RUNNING / 3 } else { 0 };
                 let number = RUNNING * (round + 1) + i - again;
                 let one = fingerprint("shop", &number.to_string());
                 let book = &mut books[number % boxes].0;
                 book.ended(one, end_at(&format!("i-{round}"), at), now);
             }
-            // Boxes tell, voters tell each other, boxes hear.
+            // Boxes report, voters inform each other, and boxes are informed.
             for step in 0..2 {
                 for (i, (book, told)) in books.iter_mut().enumerate() {
                     let crashes = book.news(told, Part::Own);
@@ -413,12 +426,13 @@
     }
 }
 
-/// Endpoints ended under one request at four moments within a second. A request that many callers
-/// send alike was at hand at three of them, the last time two milliseconds before the end, and none
-/// of it was served in between, so all boxes refused it from then on: 20 of 20 calls.
+/// Guards against holding back a harmless request that many callers send. Endpoints end under a
+/// crashing request at four moments within a second. The harmless one runs at three of them, the
+/// last time since two milliseconds before the end, and completes nowhere in between. If these ends
+/// counted against it, all boxes would refuse it from then on (20 of 20 calls).
 ///
-/// Whatever ends an endpoint is there each time. A request that was only ever there together with
-/// one that was there once more is not held back, for as long as that one is.
+/// The request that crashes endpoints is present at each end. So a request that was present only at
+/// ends of another one, which had one more end, is not held back while the other one is.
 #[test]
 fn a_request_that_was_there_only_beside_one_that_ends_endpoints_is_not_held_back() {
     let (ends_them, harmless) = (fingerprint("shop", "ends"), fingerprint("shop", "body"));
@@ -442,10 +456,10 @@
     assert!(!book.is_held_back(&harmless));
     assert_eq!(book.held_back().count(), 1);
     assert_eq!(book.counts(), (2, 1));
-    // An end without the other one tells that it does it by itself.
+    // An end without the other request shows that this one crashes endpoints too.
     book.ended(harmless, at("i-7", 20_000, 50), NOW);
     assert!(book.is_held_back(&harmless));
-    // Two that were always there together can't be told apart, and both are held back.
+    // Two requests that were present at the same ends can't be told apart: both are held back.
     let mut both = Book::default();
     for endpoint in ["i-1", "i-2", "i-3"] {
         both.ended(ends_them, end(endpoint), NOW);
@@ -454,9 +468,9 @@
     assert!(both.is_held_back(&ends_them) && both.is_held_back(&harmless));
 }
 
-/// A request ended two endpoints at each of three arrivals within a second, and a seventh endpoint
-/// after it, where six are the most: endpoints that tell no starts were back after a third of a
-/// second, and all ends of one within a second counted as one.
+/// A request arrives three times within a second and ends two endpoints each time. These endpoints
+/// report no starts and are back after a third of a second. If all ends of one endpoint within a
+/// second counted as one, the request would end a seventh endpoint, where six are the most.
 #[test]
 fn an_endpoint_that_is_back_and_ends_again_within_a_second_counts_again() {
     let one = fingerprint("shop", "body");
@@ -475,23 +489,23 @@
     assert_eq!(ended, MOST_ENDS);
 }
 
-/// Two boxes see one end on both sides of a moment at which its name changes. It stays one end, and
-/// what was beside the request that ends endpoints is told from it all the same.
+/// Two boxes see the same end in different time slots and so derive different identities of it. It
+/// still counts as one end, and the harmless request is still told apart from the crashing one.
 #[test]
 fn an_end_that_two_boxes_name_differently_is_one_end() {
-    let (ends, beside) = (fingerprint("shop", "ends"), fingerprint("shop", "beside"));
+    let (ends, harmless) = (fingerprint("shop", "ends"), fingerprint("shop", "beside"));
     let mut book = Book::default();
     for (i, at) in [7_000, 8_000, 9_000].into_iter().enumerate() {
         let endpoint = format!("i-{i}");
         book.ended(ends, end_at(&endpoint, at), NOW);
-        book.ended(beside, end_at(&endpoint, at - 1), NOW);
+        book.ended(harmless, end_at(&endpoint, at - 1), NOW);
         if i == 0 {
-            // The other box had sent it there too.
+            // The other box had sent the crashing request to this endpoint too.
             book.ended(ends, end_at(&endpoint, at - 1), NOW);
         }
         assert_eq!(book.is_held_back(&ends), i == 2);
     }
     book.ended(ends, end_at("i-3", 10_000), NOW);
     assert!(book.is_held_back(&ends));
-    assert!(!book.is_held_back(&beside));
+    assert!(!book.is_held_back(&harmless));
 }
