--- a/tests/testsuite/admin.rs
+++ b/tests/testsuite/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API: tokens, races, resends, the audit trail.
+//! The administration API: tokens, concurrent changes, resends and the audit trail.
 
 use scalewood::{
     core::{
@@ -11,7 +11,7 @@
 
 use crate::support::{client, deploy};
 
-fn only_control() -> deploy::Plan {
+fn without_boxes() -> deploy::Plan {
     deploy::Plan {
         boxes: vec![],
         ..deploy::Plan::default()
@@ -44,7 +44,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_wrong_or_missing_token_changes_nothing_and_is_logged() {
     let dir = tempfile::tempdir().unwrap();
-    let mut deployment = deploy::Deployment::start(only_control(), dir.path()).await;
+    let mut deployment = deploy::Deployment::start(without_boxes(), dir.path()).await;
     let admin = deployment.voters[0].admin;
     let body = serde_json::to_string(&change("evil", 1, set_service("evil"))).unwrap();
     for headers in [
@@ -70,14 +70,17 @@
     let log = std::fs::read_to_string(dir.path().join("c0.log")).unwrap();
     assert!(log.contains("\"event\":2103"), "{log}");
     for secret in [deploy::OPERATOR, deploy::TEAM, "guess"] {
-        assert!(!log.contains(secret), "the log holds the secret {secret}");
+        assert!(
+            !log.contains(secret),
+            "the log contains the secret {secret}"
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_operators_under_one_number_one_is_accepted() {
     let dir = tempfile::tempdir().unwrap();
-    let deployment = deploy::Deployment::start(only_control(), dir.path()).await;
+    let deployment = deploy::Deployment::start(without_boxes(), dir.path()).await;
     let client = deployment.operator();
     for round in 1..=10 {
         let one = change(
@@ -106,7 +109,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resend_gets_the_first_answer_also_after_a_restart() {
     let dir = tempfile::tempdir().unwrap();
-    let mut deployment = deploy::Deployment::start(only_control(), dir.path()).await;
+    let mut deployment = deploy::Deployment::start(without_boxes(), dir.path()).await;
     let first = change("first", 1, set_service("a"));
     let ahead = change("ahead", 3, set_service("b"));
     let client = deployment.operator();
@@ -116,7 +119,7 @@
     deployment.voters[0].process.take().unwrap().kill();
     deployment.start_voter(0);
     deployment.wait_admin(0).await;
-    deploy::wait("the voter leads", || async {
+    deploy::wait("the voter is the leader", || async {
         client
             .status()
             .await
@@ -124,7 +127,7 @@
     })
     .await;
     assert_eq!(client.change(&first).await.unwrap(), accepted(2));
-    // Told `not applied`, it stays so, also once its base has come.
+    // The answer `NotApplied` is kept for the id, also once the base revision is in force.
     assert_eq!(
         client
             .change(&change("second", 2, set_service("c")))
@@ -133,7 +136,7 @@
         accepted(3)
     );
     assert_eq!(client.change(&ahead).await.unwrap(), refused);
-    // The same id for something else is refused.
+    // The same id with other edits is refused.
     let other = client
         .change(&change("first", 3, set_service("z")))
         .await
@@ -141,32 +144,33 @@
     assert!(matches!(other, Answer::NotApplied { .. }), "{other:?}");
 }
 
-/// Deployments that are held up at most until one decides a change late: about one in four
-/// elects another leader instead.
-const HELD_UP: u32 = 8;
+/// The most deployments that are tried until one leader commits a change late: in about one of
+/// four, another leader is elected instead.
+const MAX_DEPLOYMENTS: u32 = 8;
 
-/// Voters that are held up for longer than an operator is kept waiting decide a change afterwards.
-/// Sent again under another id against the same base, it is refused; under its own, the operator
-/// learns that it was accepted.
+/// A change may be committed after the operator's call has timed out, when the followers are
+/// stopped for longer. A resend under another id against the same base is refused; a resend under
+/// the same id gets the answer that the change was accepted.
 ///
-/// Seen in logs, and allowed: voters that were held up may elect another leader, which never had
-/// the change. Then it is not in force, and sent again under its id it is accepted, once.
+/// The followers may instead elect another leader that never received the change, which is allowed.
+/// The change is then not in force, and a resend under its id is accepted, once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_that_was_decided_late_is_learnt_under_its_id() {
-    for _ in 0..HELD_UP {
-        if is_decided_late().await {
+    for _ in 0..MAX_DEPLOYMENTS {
+        if is_committed_late().await {
             return;
         }
     }
-    panic!("no leader of {HELD_UP} kept its office");
+    panic!("none of {MAX_DEPLOYMENTS} leaders stayed the leader");
 }
 
-/// Holds up the followers of a leader that has a change; whether the change was decided by it.
-async fn is_decided_late() -> bool {
+/// Stops the followers of a leader while it has a change. Returns whether that leader committed the
+/// change after they were resumed.
+async fn is_committed_late() -> bool {
     let dir = tempfile::tempdir().unwrap();
     let plan = deploy::Plan {
         voters: 3,
-        ..only_control()
+        ..without_boxes()
     };
     let deployment = deploy::Deployment::start(plan, dir.path()).await;
     let client = deployment.operator();
@@ -189,14 +193,14 @@
         is_in_force(&client).await || is_led_by_another(&client, &leader).await
     })
     .await;
-    // A leader decides what it finds in its log before it answers operators.
+    // A new leader commits the entries of its log before it answers operators.
     let late = is_in_force(&client).await;
     if !late {
         assert_eq!(client.change(&first).await.unwrap(), accepted(2));
     }
     let anew = change("anew", 1, set_service("a"));
     let Answer::NotApplied { why, .. } = client.change(&anew).await.unwrap() else {
-        panic!("it was accepted twice");
+        panic!("the change was accepted twice");
     };
     let why = why.join("; ");
     assert!(
@@ -221,7 +225,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_that_can_not_stand_is_refused_whole_with_all_reasons() {
     let dir = tempfile::tempdir().unwrap();
-    let deployment = deploy::Deployment::start(only_control(), dir.path()).await;
+    let deployment = deploy::Deployment::start(without_boxes(), dir.path()).await;
     let client = deployment.operator();
     let class = config::Class {
         tier: unit::Tier(99),
@@ -239,7 +243,7 @@
     ];
     let change = operate::new_change(unit::Revision(1), "a test".into(), edits);
     let Answer::NotApplied { why, .. } = client.change(&change).await.unwrap() else {
-        panic!("it was accepted");
+        panic!("the change was accepted");
     };
     insta::assert_snapshot!("refused_change", why.join("\n"));
     assert_eq!(client.config().await.unwrap().revision, unit::Revision(1));
@@ -248,7 +252,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_audit_trail_tells_who_when_what_and_why_without_secrets() {
     let dir = tempfile::tempdir().unwrap();
-    let deployment = deploy::Deployment::start(only_control(), dir.path()).await;
+    let deployment = deploy::Deployment::start(without_boxes(), dir.path()).await;
     let answer = deployment
         .apply(vec![set_service("parts")], "parts come in")
         .await;
@@ -264,13 +268,16 @@
     assert!(record.differences[0].before.is_none());
     let whole = serde_json::to_string(&history).unwrap();
     let hash = scalewood::core::secret::Hash::of(deploy::TEAM).to_string();
-    assert!(!whole.contains(&hash), "the trail holds a token's hash");
+    assert!(
+        !whole.contains(&hash),
+        "the audit trail contains a token's hash"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_bodies_get_clear_errors() {
     let dir = tempfile::tempdir().unwrap();
-    let deployment = deploy::Deployment::start(only_control(), dir.path()).await;
+    let deployment = deploy::Deployment::start(without_boxes(), dir.path()).await;
     let admin = deployment.voters[0].admin;
     let bearer = client::bearer(deploy::OPERATOR);
     let headers = [("authorization", bearer.as_str())];
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -1,4 +1,4 @@
-//! What callers may send wrong, and what becomes of it: a clear error, no lost slot.
+//! Invalid requests, floods and callers that leave: each gets a clear error, and no slot is lost.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// One engine with a single slot, so that a lost slot would show at once.
+/// Returns a plan of one engine with a single slot, so that a lost slot fails the next request.
 fn single_slot() -> Plan {
     Plan {
         boxes: vec![1],
@@ -29,7 +29,7 @@
     }
 }
 
-async fn serves(deployment: &Deployment, prompt: &str) {
+async fn assert_served(deployment: &Deployment, prompt: &str) {
     let token = bearer(deploy::TEAM);
     let headers = [("authorization", token.as_str())];
     let body = chat(deploy::MODEL, prompt, false);
@@ -43,7 +43,7 @@
     );
 }
 
-/// What it is, method, path, headers, body, and the status and code that are due.
+/// A description, the method, path, headers and body, and the expected status and error code.
 type Case<'a> = (
     &'a str,
     &'a str,
@@ -193,11 +193,11 @@
         assert_eq!(answer.verdict(), Some("not-run"), "{what}");
     }
     assert_eq!(deployment.runs(0).len(), ran, "a refused request ran");
-    serves(&deployment, "after all that").await;
+    assert_served(&deployment, "after all that").await;
 }
 
-/// Sends bytes as they are and reads what comes back until the connection closes.
-async fn raw(deployment: &Deployment, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns all that the box sends until it closes the connection.
+async fn send_raw(deployment: &Deployment, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(deployment.entries[0].callers)
         .await
         .unwrap();
@@ -206,7 +206,7 @@
     let read = stream.read_to_end(&mut answer);
     tokio::time::timeout(Duration::from_secs(20), read)
         .await
-        .expect("the box closes")
+        .expect("the box closes the connection")
         .ok();
     String::from_utf8_lossy(&answer).into_owned()
 }
@@ -220,19 +220,19 @@
         flood.push_str(&format!("x-{i}: y\r\n"));
     }
     flood.push_str("\r\n");
-    assert!(raw(&deployment, flood.as_bytes())
+    assert!(send_raw(&deployment, flood.as_bytes())
         .await
         .starts_with("HTTP/1.1 431"));
-    // A head that never ends is cut off after the time for arrivals.
-    raw(&deployment, b"GET /v1/models HTTP/1.1\r\nhost: x\r\n").await;
+    // The connection of a request head that never ends is closed after the arrival timeout.
+    send_raw(&deployment, b"GET /v1/models HTTP/1.1\r\nhost: x\r\n").await;
     let half = format!(
         "POST {CHAT} HTTP/1.1\r\nhost: x\r\nauthorization: {}\r\ncontent-length: 500\r\n\r\n{{\"mod",
         bearer(deploy::TEAM)
     );
-    let answer = raw(&deployment, half.as_bytes()).await;
+    let answer = send_raw(&deployment, half.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
     assert!(answer.contains("\"verdict\":\"not-run\""), "{answer}");
-    serves(&deployment, "after the floods").await;
+    assert_served(&deployment, "after the floods").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -244,16 +244,16 @@
         let mut connection = client::Connection::open(callers).await.unwrap();
         let token = bearer(deploy::TEAM);
         let headers = [("authorization", token.as_str())];
-        // It would hold the only slot for two minutes.
+        // Such an answer holds the only slot for two minutes.
         let body = chat(deploy::MODEL, "a long report len=60000", true);
         let response = connection.send("POST", CHAT, &headers, body).await.unwrap();
         assert_eq!(response.status(), 200);
         drop(response);
         drop(connection);
     }
-    serves(&deployment, "the next in line").await;
-    // One that waits for the slot and leaves is taken out of the queue.
-    deploy::wait("all who left are counted", || async {
+    assert_served(&deployment, "the next in line").await;
+    // A caller that leaves while it waits for the slot is removed from the queue.
+    deploy::wait("all callers that left are counted", || async {
         deployment.metric(0, "scalewood_requests_ended_total{service=\"lm\",class=\"counter\",end=\"caller-left\"").await >= 5.0
     })
     .await;
@@ -271,7 +271,7 @@
         .metric(0, "scalewood_requests_attained_total")
         .await;
     let goodput = deployment.metric(0, "scalewood_goodput_tokens_total").await;
-    serves(&deployment, "one more len=10").await;
+    assert_served(&deployment, "one more len=10").await;
     assert_eq!(
         deployment
             .metric(0, "scalewood_requests_attained_total")
@@ -339,7 +339,7 @@
     let endpoint = Endpoint::start("i-0", (system.host, 9000).into()).await;
     system.announce(0, &endpoint.record(1, State::Ready)).await;
     system.wait_served().await;
-    // The same box with few descriptors.
+    // The same box is started again with few file descriptors.
     drop(system.entry.take());
     let entry = deploy::programs()
         .join("scalewood-entry")
@@ -360,7 +360,7 @@
         );
     }
     let health = std::sync::Arc::new(tokio::sync::Mutex::new(&mut health));
-    deploy::wait("the box says that it takes nobody", || async {
+    deploy::wait("the box reports that it is not ready", || async {
         let mut health = health.lock().await;
         let asked = health.send("GET", "/readyz", &[], "").await.unwrap();
         let status = asked.status().as_u16();
--- a/tests/testsuite/ci.rs
+++ b/tests/testsuite/ci.rs
@@ -2,7 +2,8 @@
 
 use std::{path::Path, process::Command};
 
-/// Reads a list by the script; the names that it passes over, or what it says against it.
+/// Reads a list with the script. Returns the names of the tests to pass over, or the script's
+/// error.
 fn read(list: &str) -> Result<Vec<String>, String> {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("list");
--- a/tests/testsuite/clock.rs
+++ b/tests/testsuite/clock.rs
@@ -1,12 +1,12 @@
-//! The machine's clock.
+//! The system clock.
 
 use std::time::Duration;
 
 use scalewood::util::clock::{Clock as _, System};
 
-/// A machine that was suspended wakes with leases, beliefs and deadlines that are as old as they
-/// are, by the time of the others. The clock that all of them are reckoned by therefore counts the
-/// time of a suspension, as the kernel's own account of the time since boot does.
+/// After a suspension, the leases, cached state and deadlines of a machine must be as old as other
+/// machines count them. The clock that measures them therefore includes the time of the suspension,
+/// as the kernel's uptime does.
 #[test]
 fn the_machines_clock_counts_the_time_that_it_was_suspended() {
     let uptime = || {
@@ -17,7 +17,7 @@
     let clock = System;
     let (before, now, after) = (uptime(), clock.now(), uptime());
     let since_boot = now.checked_sub(System::HEAD_START).unwrap();
-    // The kernel tells whole hundredths of a second.
+    // The kernel reports the uptime in hundredths of a second.
     let slack = Duration::from_millis(20);
     assert!(
         before <= since_boot + slack && since_boot <= after + slack,
--- a/tests/testsuite/control.rs
+++ b/tests/testsuite/control.rs
@@ -1,5 +1,5 @@
-//! The configuration through failures of voters, with real processes: an accepted
-//! change is never lost or reverted, and changes go on while a majority is there.
+//! The configuration while voters fail, with real processes: an accepted change is never lost or
+//! reverted, and changes are accepted while a majority is up.
 
 use std::{
     fs,
@@ -46,7 +46,7 @@
     }
 }
 
-async fn holds(deployment: &Deployment, names: &[String]) {
+async fn assert_contains(deployment: &Deployment, names: &[String]) {
     let config = in_force(deployment).await;
     for name in names {
         let known = config
@@ -58,7 +58,7 @@
     }
 }
 
-/// The configuration in force, once a voter that runs has it.
+/// Returns the configuration in force as soon as a running voter answers with it.
 async fn in_force(deployment: &Deployment) -> admin::Config {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The index of the voter that leads.
+/// Returns the index of the voter that is the leader.
 async fn leader(deployment: &Deployment) -> usize {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
@@ -88,7 +88,7 @@
                 return i;
             }
         }
-        assert!(Instant::now() < until, "nobody leads");
+        assert!(Instant::now() < until, "no voter is the leader");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -108,7 +108,7 @@
         }
         deployment.start_voter(i);
         deployment.wait_admin(i).await;
-        holds(&deployment, &names).await;
+        assert_contains(&deployment, &names).await;
     }
     in_force(&deployment).await;
     let history = deployment.operator().history().await.unwrap().records;
@@ -131,7 +131,7 @@
     }
     process.signal("CONT");
     deployment.voters[frozen].process = Some(process);
-    // A change against the old revision, given to the one that woke, is not applied.
+    // A change against the old revision that is sent to the resumed voter is not applied.
     let stale = Change {
         id: "stale".parse().unwrap(),
         base: unit::Revision(1),
@@ -150,7 +150,7 @@
         }
     };
     assert!(matches!(answer, Answer::NotApplied { .. }), "{answer:?}");
-    holds(&deployment, &names).await;
+    assert_contains(&deployment, &names).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -166,21 +166,22 @@
         .clone();
     deployment.voters[2].process.take().unwrap().kill();
     fs::remove_dir_all(&deployment.voters[2].data).unwrap();
-    // With an empty folder it does not start, and says what to do.
+    // With an empty data folder the voter does not start, and the error names the remedy.
     let refused = deployment.control("run", 2).unwrap_err();
     assert!(refused.contains("scalewood-control join"), "{refused}");
-    // The repair: the old identity goes, the new one joins.
+    // To repair it, the old identity is removed and a new one joins.
     deployment.remove_voter(&old).await;
     deployment.add_voter(2).await;
-    // The new identity counts: the majority survives the loss of another voter.
+    // The new identity has a vote: a majority is left after the loss of another voter.
     deployment.voters[0].process.take().unwrap().kill();
     let after = accept(&deployment, "after").await;
     assert!(after > before);
-    holds(&deployment, &["before".into(), "after".into()]).await;
+    assert_contains(&deployment, &["before".into(), "after".into()]).await;
 }
 
-/// What became of an order to remove a voter is not known when no other voter answers the leader
-/// in time, as on a machine that is overloaded. It is done all the same, and the members tell.
+/// The outcome of a request to remove a voter is unknown if no other voter answers the leader in
+/// time, as on an overloaded machine. The removal is still carried out, and the list of members
+/// shows it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_removal_with_an_unknown_outcome_shows_in_the_members() {
     let dir = tempfile::tempdir().unwrap();
@@ -222,17 +223,17 @@
     assert!(initialised.contains("belongs to c0/"), "{initialised}");
     let journal = deployment.voters[0].data.join("journal");
     let whole = fs::read(&journal).unwrap();
-    // A torn record at the end, here the beginning of the first, was never acknowledged.
+    // A torn record at the end, here the first bytes of the first record, was never acknowledged.
     let mut torn = whole.clone();
     torn.extend(&whole[..20]);
     fs::write(&journal, &torn).unwrap();
     deployment.start_voter(0);
     deployment.wait_admin(0).await;
-    holds(&deployment, &names).await;
+    assert_contains(&deployment, &names).await;
     deployment.voters[0].process.take().unwrap().kill();
     let log = fs::read_to_string(dir.path().join("c0.log")).unwrap();
     assert!(log.contains("\"event\":2202"), "the repair is not logged");
-    // A damaged record that others follow is an error.
+    // A damaged record that is followed by others is an error.
     let mut damaged = whole.clone();
     damaged[40] ^= 1;
     fs::write(&journal, &damaged).unwrap();
@@ -244,7 +245,7 @@
     fs::remove_file(&journal).unwrap();
     let refused = deployment.control("run", 0).unwrap_err();
     assert!(refused.contains("the journal is gone"), "{refused}");
-    // Another box's folder is refused.
+    // The data folder of another box is refused.
     fs::write(&journal, &whole).unwrap();
     let identity = deployment.voters[0].data.join("identity.json");
     let text = fs::read_to_string(&identity)
@@ -294,8 +295,8 @@
         (again.revision, again.document),
         (unit::Revision(501), document)
     );
-    // The resend of a change from before the compaction gets its first answer.
-    deploy::wait("it leads", || async {
+    // A resend of a change from before the compaction still gets the first answer.
+    deploy::wait("the voter is the leader", || async {
         client
             .status()
             .await
@@ -311,12 +312,12 @@
     let dir = tempfile::tempdir().unwrap();
     let plan = Plan {
         boxes: vec![1, 1],
-        // Boxes follow the voters that the members' list names, too.
+        // Boxes also follow the voters that the list of members names.
         listed: Some(6000),
         ..Plan::default()
     };
     let mut deployment = Deployment::start(plan, dir.path()).await;
-    // Box 1 reaches the voter and its peer only over links that can be cut.
+    // Box 1 reaches the voter only over a link that can be cut.
     let to_voter = deployment.address(6000);
     let link = Forwarder::start(to_voter, deployment.voters[0].listen).await;
     deployment.entries[1].process.take().unwrap().kill();
@@ -328,7 +329,7 @@
     let process = deploy::Process::start("e10", "scalewood-entry", &args, dir.path());
     deployment.entries[1].process = Some(process);
     deployment.wait_ready().await;
-    // Its peer would pass the configuration on; it is cut off as well.
+    // The other box would forward the configuration, so it is stopped meanwhile.
     link.set_whole(false);
     deployment.entries[0]
         .process
@@ -361,7 +362,7 @@
     while seen < last.0 as f64 {
         let now = deployment.metric(1, "scalewood_config_revision").await;
         assert!(now >= seen, "the revision went back from {seen} to {now}");
-        assert!(Instant::now() < until, "it does not catch up from {now}");
+        assert!(Instant::now() < until, "the box stays at revision {now}");
         seen = now;
     }
 }
@@ -371,7 +372,8 @@
     let dir = tempfile::tempdir().unwrap();
     let mut deployment = Deployment::start(voters(1), dir.path()).await;
     accept(&deployment, "before").await;
-    // The journal is written anew into this file after some entries; now it can't be.
+    // After some entries the journal is rewritten into this file. A folder of that name makes the
+    // rewrite fail.
     let blocked = deployment.voters[0].data.join("journal.new");
     fs::create_dir(&blocked).unwrap();
     let client = deployment.operator();
@@ -383,8 +385,9 @@
         if refused() {
             break;
         }
-        assert!(Instant::now() < until, "the disk was never refused");
-        // On a busy machine a call may fail for want of a lease; only the disk counts.
+        assert!(Instant::now() < until, "the disk never refused a write");
+        // On a busy machine a call may fail because the leader has no lease. Only a failed write
+        // ends the loop.
         let Ok(config) = client.config().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
@@ -400,7 +403,7 @@
     assert!(process.is_running(), "the voter has ended");
     fs::remove_dir(&blocked).unwrap();
     accept(&deployment, "after").await;
-    holds(&deployment, &accepted).await;
+    assert_contains(&deployment, &accepted).await;
     let process = deployment.voters[0].process.as_mut().unwrap();
     assert!(process.is_running(), "the voter has ended");
 }
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -1,6 +1,6 @@
-//! Cordons: what was acknowledged holds whatever fails, and nothing new goes to a cordoned
-//! zone's endpoints. What voters agree on is tested by the ledger alone; each failure of a
-//! process by a few real ones.
+//! Cordons: an acknowledged order survives any failure, and no new request goes to the endpoints of
+//! a cordoned zone. What voters agree on is tested with the ledger alone, and failures of processes
+//! with a few real ones.
 
 use std::{
     sync::Arc,
@@ -16,7 +16,8 @@
         config,
         cordon::{Act, Mark, Order, MAX_ZONES},
         dispatch::{
-            Ask, Dispatcher, Input, Order as Told, Reason, Report, Settings, Spec, Standing,
+            Ask, Dispatcher, Input, Order as DispatchOrder, Reason, Report, Settings, Spec,
+            Standing,
         },
         ledger::{Command, Ledger, Proposal, Publication},
         name,
@@ -34,11 +35,12 @@
     routed::{routing, text, Endpoint, System},
 };
 
-/// Within this time after the acknowledgement a box that hears voters sends nothing there.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// How long after the acknowledgement a box in touch with voters may still send requests to the
+/// zone.
+const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
 
 /// The longest that an order may take to be acknowledged while a leader can be elected.
-const ACKNOWLEDGED: Duration = Duration::from_secs(5);
+const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(5);
 
 fn mark(act: Act, zone: &str) -> Mark {
     Mark {
@@ -57,7 +59,7 @@
     }
 }
 
-fn give(ledger: &mut Ledger, act: Act, zone: &str, id: Option<&str>) -> Answer {
+fn apply_order(ledger: &mut Ledger, act: Act, zone: &str, id: Option<&str>) -> Answer {
     ledger.apply(&Command::Cordon(order(act, zone, id)))
 }
 
@@ -103,12 +105,27 @@
 #[test]
 fn an_order_makes_a_revision_and_a_record_only_if_it_changes_something() {
     let mut ledger = Ledger::default();
-    assert_eq!(give(&mut ledger, Act::Uncordon, "a", None), accepted(0));
-    assert_eq!(give(&mut ledger, Act::Cordon, "a", None), accepted(1));
-    assert_eq!(give(&mut ledger, Act::Cordon, "a", None), accepted(1));
-    assert_eq!(give(&mut ledger, Act::Cordon, "b", None), accepted(2));
+    assert_eq!(
+        apply_order(&mut ledger, Act::Uncordon, "a", None),
+        accepted(0)
+    );
+    assert_eq!(
+        apply_order(&mut ledger, Act::Cordon, "a", None),
+        accepted(1)
+    );
+    assert_eq!(
+        apply_order(&mut ledger, Act::Cordon, "a", None),
+        accepted(1)
+    );
+    assert_eq!(
+        apply_order(&mut ledger, Act::Cordon, "b", None),
+        accepted(2)
+    );
     assert_eq!(cordoned(ledger.document()), ["a", "b"]);
-    assert_eq!(give(&mut ledger, Act::Uncordon, "a", None), accepted(3));
+    assert_eq!(
+        apply_order(&mut ledger, Act::Uncordon, "a", None),
+        accepted(3)
+    );
     assert_eq!(cordoned(ledger.document()), ["b"]);
     let records: Vec<_> = ledger.records().collect();
     assert_eq!(records.len(), 3);
@@ -122,17 +139,26 @@
 #[test]
 fn a_resend_under_an_id_gets_its_first_answer_and_does_nothing() {
     let mut ledger = Ledger::default();
-    let first = give(&mut ledger, Act::Cordon, "a", Some("one"));
+    let first = apply_order(&mut ledger, Act::Cordon, "a", Some("one"));
     assert_eq!(first, accepted(1));
-    give(&mut ledger, Act::Uncordon, "a", Some("two"));
-    assert_eq!(give(&mut ledger, Act::Cordon, "a", Some("one")), first);
-    assert!(ledger.document().cordoned.is_empty(), "it was taken back");
-    // One that changed nothing keeps its answer too.
-    let idle = give(&mut ledger, Act::Uncordon, "b", Some("idle"));
-    give(&mut ledger, Act::Cordon, "b", None);
-    assert_eq!(give(&mut ledger, Act::Uncordon, "b", Some("idle")), idle);
+    apply_order(&mut ledger, Act::Uncordon, "a", Some("two"));
+    assert_eq!(
+        apply_order(&mut ledger, Act::Cordon, "a", Some("one")),
+        first
+    );
+    assert!(
+        ledger.document().cordoned.is_empty(),
+        "the resend was applied again"
+    );
+    // The answer to an order that changed nothing is kept too.
+    let idle = apply_order(&mut ledger, Act::Uncordon, "b", Some("idle"));
+    apply_order(&mut ledger, Act::Cordon, "b", None);
+    assert_eq!(
+        apply_order(&mut ledger, Act::Uncordon, "b", Some("idle")),
+        idle
+    );
     assert_eq!(cordoned(ledger.document()), ["b"]);
-    let other = give(&mut ledger, Act::Cordon, "c", Some("one"));
+    let other = apply_order(&mut ledger, Act::Cordon, "c", Some("one"));
     assert!(matches!(other, Answer::NotApplied { .. }), "{other:?}");
     assert_eq!(cordoned(ledger.document()), ["b"]);
 }
@@ -141,7 +167,7 @@
 fn a_routing_that_is_published_and_a_change_keep_the_cordons() {
     let mut ledger = Ledger::default();
     publish(&mut ledger, 1);
-    give(&mut ledger, Act::Cordon, "a", None);
+    apply_order(&mut ledger, Act::Cordon, "a", None);
     publish(&mut ledger, 2);
     set_service(&mut ledger, "parts");
     assert_eq!(cordoned(ledger.document()), ["a"]);
@@ -152,17 +178,17 @@
 fn names_that_are_no_zones_can_not_make_the_document_grow_for_ever() {
     let mut ledger = Ledger::default();
     for number in 0..MAX_ZONES {
-        let answer = give(&mut ledger, Act::Cordon, &format!("z{number}"), None);
+        let answer = apply_order(&mut ledger, Act::Cordon, &format!("z{number}"), None);
         assert!(matches!(answer, Answer::Accepted { .. }), "{answer:?}");
     }
-    let answer = give(&mut ledger, Act::Cordon, "more", None);
+    let answer = apply_order(&mut ledger, Act::Cordon, "more", None);
     assert!(matches!(answer, Answer::NotApplied { .. }), "{answer:?}");
-    let again = give(&mut ledger, Act::Cordon, "z0", None);
+    let again = apply_order(&mut ledger, Act::Cordon, "z0", None);
     assert!(matches!(again, Answer::Accepted { .. }), "{again:?}");
 }
 
-/// What was written before there were cordons reads as none, and what is written without
-/// any can be read by what knew none.
+/// A ledger that was written by a version without cordons is read as one without any, and a
+/// document without cordons can be read by such a version.
 #[test]
 fn what_was_written_before_is_read() {
     let mut ledger = Ledger::default();
@@ -175,8 +201,8 @@
     assert_eq!(read.document(), ledger.document());
 }
 
-/// Two replicas, one of which joins by a snapshot in the midst, and two boxes, one by
-/// differences and one that fetches now and then: all end with the same.
+/// Two replicas, one of which joins by a snapshot midway, and two boxes, one that applies each
+/// difference and one that catches up now and then, all reach the same state.
 #[test]
 fn replicas_and_boxes_agree_whatever_is_ordered_between() {
     for seed in 0..200 {
@@ -184,7 +210,7 @@
         let mut ledger = Ledger::default();
         let mut joined: Option<Ledger> = None;
         let joins = random.random_range(0..60);
-        let (by_steps, seldom) = (Feed::default(), Feed::default());
+        let (by_steps, now_and_then) = (Feed::default(), Feed::default());
         for round in 0..60 {
             if round == joins {
                 let snapshot = serde_json::to_string(&ledger).unwrap();
@@ -207,24 +233,24 @@
             if let Some(joined) = &mut joined {
                 assert_eq!(joined.apply(&command), answer, "seed {seed}");
             }
-            follow(&by_steps, &ledger);
+            update_feed(&by_steps, &ledger);
             if random.random_bool(0.2) {
-                follow(&seldom, &ledger);
+                update_feed(&now_and_then, &ledger);
             }
         }
-        follow(&seldom, &ledger);
+        update_feed(&now_and_then, &ledger);
         let joined = joined.unwrap();
         assert_eq!(joined.document(), ledger.document(), "seed {seed}");
         assert_eq!(joined.revision(), ledger.revision(), "seed {seed}");
-        for feed in [&by_steps, &seldom] {
+        for feed in [&by_steps, &now_and_then] {
             assert_eq!(feed.current().document, *ledger.document(), "seed {seed}");
             assert_eq!(feed.current().revision, ledger.revision(), "seed {seed}");
         }
     }
 }
 
-/// Brings a feed up to a ledger, as a voter does.
-fn follow(feed: &Feed, ledger: &Ledger) {
+/// Publishes the newest state of a ledger to a feed, as a voter does.
+fn update_feed(feed: &Feed, ledger: &Ledger) {
     let have = feed.current().revision;
     if ledger.revision() <= have {
         return;
@@ -239,8 +265,8 @@
     }
 }
 
-/// Boxes get what differs, not a whole document: after a cordon, after a cordon beside a
-/// routing, and in a system without routes.
+/// Boxes receive the differences, not the whole document: after a cordon, after a cordon together
+/// with a routing, and in a system without routes.
 #[test]
 fn a_cordon_is_given_on_as_what_differs() {
     for routed in [true, false] {
@@ -251,15 +277,15 @@
             set_service(&mut ledger, "parts");
         }
         let feed = Feed::default();
-        follow(&feed, &ledger);
+        update_feed(&feed, &ledger);
         let from = feed.current().revision;
-        give(&mut ledger, Act::Cordon, "a", None);
-        follow(&feed, &ledger);
+        apply_order(&mut ledger, Act::Cordon, "a", None);
+        update_feed(&feed, &ledger);
         let steps = feed.current().since(from).unwrap();
         assert!(matches!(&steps[0].what, What::Cordons(d) if d.len() == 1));
-        // What a voter that heard of all at once gives on.
-        give(&mut ledger, Act::Uncordon, "a", None);
-        give(&mut ledger, Act::Cordon, "b", None);
+        // A voter that receives several revisions at once publishes them as one step.
+        apply_order(&mut ledger, Act::Uncordon, "a", None);
+        apply_order(&mut ledger, Act::Cordon, "b", None);
         if routed {
             publish(&mut ledger, 2);
         }
@@ -275,7 +301,7 @@
     }
 }
 
-/// A dispatcher's endpoints: one in each zone, with a slot each.
+/// Returns the endpoints of a dispatcher: one in each zone, with one slot each.
 fn specs(cordoned: &[&str]) -> Vec<Spec> {
     let spec = |zone: &str| Spec {
         name: format!("m-{zone}").parse().unwrap(),
@@ -294,7 +320,7 @@
     ["a", "b"].map(spec).into()
 }
 
-fn configure(dispatcher: &mut Dispatcher, cordoned: &[&str], now: Duration) -> Vec<Told> {
+fn configure(dispatcher: &mut Dispatcher, cordoned: &[&str], now: Duration) -> Vec<DispatchOrder> {
     let class = |tier| config::Class {
         tier: unit::Tier(tier),
         preemptible: tier > 0,
@@ -307,7 +333,12 @@
     orders.into_iter().map(|(_, order)| order).collect()
 }
 
-fn asks(dispatcher: &mut Dispatcher, number: u64, prompt: u64, now: Duration) -> Vec<Told> {
+fn send_ask(
+    dispatcher: &mut Dispatcher,
+    number: u64,
+    prompt: u64,
+    now: Duration,
+) -> Vec<DispatchOrder> {
     let urgent = prompt == 0;
     let ask = Ask {
         class: if urgent { "urgent" } else { "bulk" }.parse().unwrap(),
@@ -321,7 +352,7 @@
     let orders = dispatcher.step(Input::Report(own.clone(), Report::Ask(ask)), now);
     let mut told = Vec::new();
     for (_, order) in orders {
-        if let Told::Grant(attempt, _) = &order {
+        if let DispatchOrder::Grant(attempt, _) = &order {
             let started = Report::Started(*attempt);
             dispatcher.step(Input::Report(own.clone(), started), now);
         }
@@ -330,8 +361,8 @@
     told
 }
 
-/// A run in a cordoned zone is not stopped for a more urgent request: its slot stays empty.
-/// The one that gives a slot is, though more is lost by it.
+/// A run in a cordoned zone is not preempted for a more urgent request, since its slot would stay
+/// empty. A run in another zone is preempted instead, though more work is lost.
 #[test]
 fn runs_in_a_cordoned_zone_finish() {
     let mut now = placement::START;
@@ -343,8 +374,8 @@
     dispatcher.step(Input::Report(own, Report::Announced), now);
     let mut at = Vec::new();
     for number in [1, 2] {
-        let orders = asks(&mut dispatcher, number, 100 * number, now);
-        let [Told::Grant(attempt, endpoint)] = orders.as_slice() else {
+        let orders = send_ask(&mut dispatcher, number, 100 * number, now);
+        let [DispatchOrder::Grant(attempt, endpoint)] = orders.as_slice() else {
             panic!("no grant: {orders:?}");
         };
         at.push((
@@ -352,23 +383,22 @@
             endpoint.as_str().trim_start_matches("m-").to_owned(),
         ));
     }
-    // The first one has less to lose.
+    // The first run has the shorter prompt, so less work would be lost with it.
     configure(&mut dispatcher, &[&at[0].1], now);
-    let mut orders = asks(&mut dispatcher, 3, 0, now);
+    let mut orders = send_ask(&mut dispatcher, 3, 0, now);
     for _ in 0..200 {
         now += Duration::from_millis(10);
         let due = dispatcher.step(Input::Tick, now);
         orders.extend(due.into_iter().map(|(_, order)| order));
     }
     let preempted = orders.iter().filter_map(|order| match order {
-        Told::Preempt(attempt) => Some(*attempt),
+        DispatchOrder::Preempt(attempt) => Some(*attempt),
         _ => None,
     });
     assert_eq!(preempted.collect::<Vec<_>>(), [at[1].0], "{orders:?}");
 }
 
-/// Who waits, and who comes, is refused at once when the last zone is cordoned, with the
-/// reason.
+/// When the last zone is cordoned, waiting and new requests are refused at once, with that reason.
 #[test]
 fn with_all_zones_cordoned_requests_are_refused_at_once() {
     let now = placement::START;
@@ -379,23 +409,27 @@
     dispatcher.step(Input::Report(own.clone(), Report::Hello), now);
     dispatcher.step(Input::Report(own, Report::Announced), now);
     for number in [1, 2] {
-        asks(&mut dispatcher, number, 100, now);
+        send_ask(&mut dispatcher, number, 100, now);
     }
-    assert!(asks(&mut dispatcher, 3, 100, now).is_empty(), "it waits");
-    let is_cordoned = |order: &Told| matches!(order, Told::Shed(_, Reason::Cordoned, _));
+    assert!(
+        send_ask(&mut dispatcher, 3, 100, now).is_empty(),
+        "the request waits"
+    );
+    let is_cordoned =
+        |order: &DispatchOrder| matches!(order, DispatchOrder::Shed(_, Reason::Cordoned, _));
     let orders = configure(&mut dispatcher, &["a", "b"], now);
     assert!(
         orders.len() == 1 && orders.iter().all(is_cordoned),
         "{orders:?}"
     );
-    let orders = asks(&mut dispatcher, 4, 100, now);
+    let orders = send_ask(&mut dispatcher, 4, 100, now);
     assert!(
         orders.len() == 1 && orders.iter().all(is_cordoned),
         "{orders:?}"
     );
 }
 
-/// A system of three voters with an endpoint in each of two zones.
+/// Starts a system with a number of voters and an endpoint in each of two zones.
 async fn start(voters: usize, dir: &std::path::Path) -> (System, Vec<Endpoint>) {
     let system = System::start(voters, dir);
     assert_eq!(system.publish(&text(&routing(7))).await, 200);
@@ -420,8 +454,9 @@
     }
 }
 
-/// Calls until a zone's endpoint has had one of them, or so long.
-async fn reaches(system: &System, endpoint: &Endpoint, within: Duration) -> bool {
+/// Sends requests until an endpoint has received one or the time has passed. Returns whether it
+/// has.
+async fn is_reached(system: &System, endpoint: &Endpoint, within: Duration) -> bool {
     let before = endpoint.seen().len();
     let until = Instant::now() + within;
     while Instant::now() < until {
@@ -434,14 +469,19 @@
     false
 }
 
-/// Nothing new reaches an endpoint for a while.
-async fn is_left_alone(system: &System, endpoint: &Endpoint) {
+/// Checks that an endpoint receives none of 40 new requests.
+async fn assert_no_requests(system: &System, endpoint: &Endpoint) {
     let before = endpoint.seen().len();
     for _ in 0..40 {
         let answer = system.call("POST", "/unsafe/after", "after").await;
         assert_eq!(answer.unwrap().status, 200);
     }
-    assert_eq!(endpoint.seen().len(), before, "{} got work", endpoint.name);
+    assert_eq!(
+        endpoint.seen().len(),
+        before,
+        "{} received a request",
+        endpoint.name
+    );
 }
 
 async fn cordons(system: &System) -> Vec<String> {
@@ -450,12 +490,12 @@
         if let Ok(cordons) = system.operator().cordons().await {
             return cordons.cordoned.iter().map(ToString::to_string).collect();
         }
-        assert!(Instant::now() < until, "nobody tells the cordons");
+        assert!(Instant::now() < until, "no voter returns the cordons");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// The index of the voter that leads.
+/// Returns the index of the voter that is the leader.
 async fn leader(system: &System) -> usize {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
@@ -469,7 +509,7 @@
                 return i;
             }
         }
-        assert!(Instant::now() < until, "nobody leads");
+        assert!(Instant::now() < until, "no voter is the leader");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -478,13 +518,14 @@
 async fn a_cordoned_zone_gets_nothing_new_until_it_is_uncordoned() {
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = start(3, dir.path()).await;
-    assert!(reaches(&system, &endpoints[0], Duration::from_secs(10)).await);
+    assert!(is_reached(&system, &endpoints[0], Duration::from_secs(10)).await);
     system.ordered("POST", "z0").await;
-    tokio::time::sleep(IN_FORCE).await;
-    is_left_alone(&system, &endpoints[0]).await;
-    // With the other zone too, nothing is left: a true refusal at once.
+    tokio::time::sleep(IN_FORCE_WITHIN).await;
+    assert_no_requests(&system, &endpoints[0]).await;
+    // With the other zone cordoned too, no endpoint is left: a request is refused at once as not
+    // run.
     system.ordered("POST", "z1").await;
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(IN_FORCE_WITHIN).await;
     let before = (endpoints[0].seen().len(), endpoints[1].seen().len());
     let asked = Instant::now();
     let answer = system.call("POST", "/unsafe/none", "none").await.unwrap();
@@ -500,7 +541,7 @@
         answer.is_ok_and(|answer| answer.status == 200)
     })
     .await;
-    is_left_alone(&system, &endpoints[1]).await;
+    assert_no_requests(&system, &endpoints[1]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -537,7 +578,8 @@
     for round in 0..3 {
         let method = if round % 2 == 0 { "POST" } else { "DELETE" };
         let leads = leader(&system).await;
-        // The order is on its way when its leader dies; it is sent again to the others.
+        // The leader is killed while the order is in flight, which is then sent again to the
+        // others.
         let other = (leads + 1) % 3;
         let process = system.voters[leads].take().unwrap();
         let pause = Duration::from_micros(700 * round);
@@ -553,11 +595,11 @@
         assert_eq!(cordons(&system).await, expected);
         system.start_voter(leads, false);
     }
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(IN_FORCE_WITHIN).await;
     for (zone, endpoint) in endpoints.iter().enumerate() {
         announce(&system, endpoint, u16::try_from(zone).unwrap()).await;
     }
-    is_left_alone(&system, &endpoints[0]).await;
+    assert_no_requests(&system, &endpoints[0]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -573,10 +615,10 @@
     for (zone, endpoint) in endpoints.iter().enumerate() {
         announce(&system, endpoint, u16::try_from(zone).unwrap()).await;
     }
-    // From its first request on: no box serves without knowing the cordons.
+    // This holds from the first request on, since a box serves nothing before it knows the cordons.
     let before = endpoints[0].seen().len();
     system.wait_served().await;
-    is_left_alone(&system, &endpoints[0]).await;
+    assert_no_requests(&system, &endpoints[0]).await;
     assert_eq!(endpoints[0].seen().len(), before);
 }
 
@@ -592,7 +634,8 @@
     assert_eq!(cordons(&system).await, ["z0"]);
 }
 
-/// A voter that is cut off from the others, here since they are frozen, acknowledges nothing.
+/// A leader that is cut off from the other voters, here because they are stopped, acknowledges no
+/// order.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_voter_without_a_majority_acknowledges_no_order() {
     let dir = tempfile::tempdir().unwrap();
@@ -624,11 +667,12 @@
     system.ordered("POST", "z0").await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     entry.signal("CONT");
-    tokio::time::sleep(IN_FORCE).await;
-    is_left_alone(&system, &endpoints[0]).await;
+    tokio::time::sleep(IN_FORCE_WITHIN).await;
+    assert_no_requests(&system, &endpoints[0]).await;
 }
 
-/// Two operators at once: both are acknowledged, and the later one in the trail holds.
+/// Of two concurrent orders both are acknowledged, and the later one in the audit trail is in
+/// force.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_operators_the_last_one_in_the_trail_holds() {
     let dir = tempfile::tempdir().unwrap();
@@ -659,14 +703,14 @@
             let asked = Instant::now();
             system.ordered(method, "z0").await;
             let took = asked.elapsed();
-            assert!(took < ACKNOWLEDGED, "{method} took {took:?}");
+            assert!(took < ACKNOWLEDGED_WITHIN, "{method} took {took:?}");
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     };
     tokio::join!(storm, orders);
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(IN_FORCE_WITHIN).await;
     assert_eq!(cordons(&system).await, ["z0"]);
-    is_left_alone(&system, &endpoints[0]).await;
+    assert_no_requests(&system, &endpoints[0]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -695,12 +739,12 @@
         deployment.add_voter(usize::from(i)).await;
     }
     deployment.voters[0].process.take().unwrap().kill();
-    deploy::wait("the others lead", || async {
+    deploy::wait("the other voters have a leader", || async {
         let cordons = deployment.operator().cordons().await;
         cordons.is_ok_and(|cordons| cordons.cordoned.len() == 1)
     })
     .await;
-    // And the answers, for resends.
+    // The snapshot has the answers too, for resends.
     deploy::wait("a resend is answered", || async {
         let answer = deployment.operator().cordon(&order).await;
         answer.is_ok_and(|answer| answer == first)
@@ -708,25 +752,26 @@
     .await;
 }
 
-/// How long an order takes to be acknowledged by three voters.
+/// Bounds the median time until an order is acknowledged by three voters.
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_are_acknowledged_within_a_round_of_the_voters() {
     let dir = tempfile::tempdir().unwrap();
     let (system, _endpoints) = start(3, dir.path()).await;
     let mut took = Vec::new();
-    let mut unclear = 0;
+    let mut resent = 0;
     for round in 0..200 {
         let method = if round % 2 == 0 { "POST" } else { "DELETE" };
         let asked = Instant::now();
-        // On a busy machine a lead is lost now and then; the wait counts.
+        // On a busy machine a leader is sometimes deposed. The wait for the next one is included in
+        // the time.
         while system.order(round % 3, method, "z0").await != Some(200) {
-            unclear += 1;
+            resent += 1;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         took.push(asked.elapsed());
     }
     took.sort();
-    let (half, nearly) = (took[100], took[197]);
-    println!("acknowledged after {half:?} (p50), {nearly:?} (p99), {unclear} sent again");
-    assert!(half < Duration::from_millis(250), "{half:?}");
+    let (p50, p99) = (took[100], took[197]);
+    println!("acknowledged after {p50:?} (p50), {p99:?} (p99), {resent} sent again");
+    assert!(p50 < Duration::from_millis(250), "{p50:?}");
 }
--- a/tests/testsuite/events.rs
+++ b/tests/testsuite/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events and its page.
+//! The catalogue of log events and the page that documents it.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
     assert_eq!(
         rows.count(),
         Event::ALL.len(),
-        "docs/EVENTS.md lists an event that is not there"
+        "docs/EVENTS.md lists an event that does not exist"
     );
 }
 
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! `scalewood explain`: from a failed request's id to what was decided about it.
+//! `scalewood explain`, which reports what was decided about a failed request, by its id.
 
 use std::{path::Path, process::Command, time::Duration};
 
@@ -21,7 +21,7 @@
     (output.status.success(), format!("{text}{errors}"))
 }
 
-/// The explanation, once the lines of a number have been written.
+/// Waits until the explanation of a request has a number of lines, and returns them.
 async fn explained(id: &str, log: &Path, lines: usize) -> Vec<String> {
     let until = std::time::Instant::now() + Duration::from_secs(20);
     loop {
--- a/tests/testsuite/feed.rs
+++ b/tests/testsuite/feed.rs
@@ -1,5 +1,5 @@
-//! The configuration as it is followed: whatever the sources say, the revision at a box
-//! only rises, and differences lead to the same document as the whole.
+//! Updates of the configuration at a box: whatever the sources send, the revision only rises, and
+//! differences lead to the same document as a transfer of the whole one.
 
 use std::sync::Arc;
 
@@ -58,7 +58,7 @@
         .map(|step| step.revision.0)
         .collect();
     assert_eq!(since, [3, 4]);
-    // What came whole has no differences before it.
+    // There are no differences up to a document that was received whole.
     assert!(state.since(unit::Revision(0)).is_none());
 }
 
@@ -109,8 +109,12 @@
     let What::Routing(difference) = &step.what else {
         panic!("the routing differs: {step:?}");
     };
-    assert_eq!(difference.len(), 3, "r2 changed, r3 went, r4 is new");
-    // A box that follows by steps gets to the same document.
+    assert_eq!(
+        difference.len(),
+        3,
+        "r2 was changed, r3 removed and r4 added"
+    );
+    // A box that applies the steps ends with the same document.
     let follower = Feed::default();
     follower.publish_whole(unit::Revision(4), old);
     assert!(follower.publish_step(Step::clone(step)));
@@ -118,7 +122,7 @@
     assert_eq!(follower.current().revision, unit::Revision(7));
     assert!(
         !follower.publish_step(Step::clone(step)),
-        "it has it already"
+        "the step was already applied"
     );
 }
 
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -1,11 +1,10 @@
 //! How a configuration reaches a box while voters are silent, slow or failing.
 //!
-//! Seen: boxes went on with an old configuration for more than two and a half seconds after a
-//! newer one had been acknowledged, while they served requests in milliseconds. How it came
-//! about: a box fetched from one voter at a time and waited for each answer for two seconds,
-//! whoever else had told of the newer configuration meanwhile; what failed left no line. Cause:
-//! the age of what a box decides by depended on the slowest voter that told first. Proved by
-//! the tests below, with voters that tell and then do not give.
+//! A box that fetches from one voter at a time, and waits two seconds for each answer, depends on
+//! the slowest voter that was first to announce a revision. It may then use an old configuration
+//! for more than two and a half seconds after a newer one was acknowledged, though it serves
+//! requests in milliseconds and other voters have announced the newer one too. The tests use voters
+//! that announce a revision and then do not hand it out, and check that failed fetches are logged.
 
 use std::{
     net::SocketAddr,
@@ -25,12 +24,12 @@
     voter::{Gives, Voter},
 };
 
-/// How soon a box has what any voter gives: well below the two seconds within which an
-/// acknowledged configuration has to be in force.
-const IN_FORCE: Duration = Duration::from_millis(1500);
+/// The time within which a box has a configuration that any voter hands out: well below the two
+/// seconds within which an acknowledged configuration has to be in force.
+const IN_FORCE_WITHIN: Duration = Duration::from_millis(1500);
 
-/// A box that follows stand-ins.
-struct Scene {
+/// A box that follows emulated voters.
+struct Fixture {
     voters: Vec<Voter>,
     health: SocketAddr,
     log: std::path::PathBuf,
@@ -38,8 +37,8 @@
     _serving: Vec<ServerHandle>,
 }
 
-impl Scene {
-    /// Starts it with a first configuration, which all voters give.
+impl Fixture {
+    /// Starts the box with a first configuration, which all voters hand out.
     async fn start(voters: usize, dir: &Path) -> Self {
         let host = deploy::own_host();
         let address = |port: usize| SocketAddr::new(host, u16::try_from(port).unwrap());
@@ -64,7 +63,7 @@
         );
         std::fs::write(&settings, text).unwrap();
         let args = ["--settings".to_owned(), settings.display().to_string()];
-        let scene = Self {
+        let fixture = Self {
             voters: standins,
             health,
             log: dir.join("e1.log"),
@@ -72,10 +71,10 @@
             _serving: serving,
         };
         deploy::wait("the first configuration is in force", || async {
-            scene.metric("scalewood_config_revision").await == Some(1.0)
+            fixture.metric("scalewood_config_revision").await == Some(1.0)
         })
         .await;
-        scene
+        fixture
     }
 
     async fn metric(&self, name: &str) -> Option<f64> {
@@ -89,8 +88,8 @@
         line.rsplit_once(' ')?.1.parse().ok()
     }
 
-    /// How long it takes until a revision is in force.
-    async fn in_force(&self, revision: f64) -> Duration {
+    /// Waits until a revision is in force. Returns how long that took.
+    async fn wait_in_force(&self, revision: f64) -> Duration {
         let since = Instant::now();
         deploy::wait("a newer configuration is in force", || async {
             self.metric("scalewood_config_revision").await == Some(revision)
@@ -105,7 +104,7 @@
     }
 }
 
-/// A configuration with so many services.
+/// Returns a configuration with a number of services.
 fn document(services: u64) -> config::Document {
     let mut document = config::Document::default();
     for i in 0..services {
@@ -118,77 +117,79 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn voters_that_tell_and_do_not_give_hold_up_no_other() {
     let dir = tempfile::tempdir().unwrap();
-    let scene = Scene::start(3, dir.path()).await;
-    let [first, second, good] = &scene.voters[..] else {
+    let fixture = Fixture::start(3, dir.path()).await;
+    let [first, second, good] = &fixture.voters[..] else {
         panic!("three voters")
     };
-    for mute in [first, second] {
-        mute.set(Gives::Nothing);
-        mute.publish(2, &document(2));
+    for silent in [first, second] {
+        silent.set(Gives::Nothing);
+        silent.publish(2, &document(2));
     }
-    deploy::wait("a mute voter is asked", || async {
+    deploy::wait("a silent voter is asked", || async {
         first.asked() + second.asked() > 0
     })
     .await;
     good.publish(2, &document(2));
-    let took = scene.in_force(2.0).await;
-    assert!(took < IN_FORCE, "{took:?}");
+    let took = fixture.wait_in_force(2.0).await;
+    assert!(took < IN_FORCE_WITHIN, "{took:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_fetch_that_fails_is_logged_and_another_voter_is_asked_at_once() {
     let dir = tempfile::tempdir().unwrap();
-    let scene = Scene::start(2, dir.path()).await;
-    scene.voters[0].set(Gives::Errors);
-    for voter in &scene.voters {
+    let fixture = Fixture::start(2, dir.path()).await;
+    fixture.voters[0].set(Gives::Errors);
+    for voter in &fixture.voters {
         voter.publish(2, &document(2));
     }
-    let took = scene.in_force(2.0).await;
-    assert!(took < IN_FORCE, "{took:?}");
-    // Whichever is asked first, the one that fails is seen as soon as it alone has more.
-    scene.voters[0].publish(3, &document(3));
-    deploy::wait("the failure has a line", || async { scene.logged("2005") }).await;
+    let took = fixture.wait_in_force(2.0).await;
+    assert!(took < IN_FORCE_WITHIN, "{took:?}");
+    // Either voter may be asked first. Once only the failing one has a newer revision, it is asked
+    // for certain.
+    fixture.voters[0].publish(3, &document(3));
+    deploy::wait("the failure is logged", || async { fixture.logged("2005") }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_box_tells_for_how_long_voters_have_had_a_newer_configuration() {
     let dir = tempfile::tempdir().unwrap();
-    let scene = Scene::start(1, dir.path()).await;
+    let fixture = Fixture::start(1, dir.path()).await;
     let behind = "scalewood_config_behind_seconds";
-    assert_eq!(scene.metric(behind).await, Some(0.0));
-    scene.voters[0].set(Gives::Nothing);
-    scene.voters[0].publish(2, &document(2));
+    assert_eq!(fixture.metric(behind).await, Some(0.0));
+    fixture.voters[0].set(Gives::Nothing);
+    fixture.voters[0].publish(2, &document(2));
     deploy::wait("the box knows that it is behind", || async {
-        scene
+        fixture
             .metric(behind)
             .await
             .is_some_and(|behind| behind > 1.0)
     })
     .await;
-    assert!(scene.logged("2006"), "a box that is behind says so");
-    scene.voters[0].set(Gives::Well);
-    scene.in_force(2.0).await;
-    assert_eq!(scene.metric(behind).await, Some(0.0));
+    assert!(fixture.logged("2006"), "a box that is behind logs it");
+    fixture.voters[0].set(Gives::Well);
+    fixture.wait_in_force(2.0).await;
+    assert_eq!(fixture.metric(behind).await, Some(0.0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_box_that_hears_voters_gets_each_configuration_once() {
     let dir = tempfile::tempdir().unwrap();
-    let scene = Scene::start(2, dir.path()).await;
-    // A follower that has begun before the voters were heard ends within a second.
+    let fixture = Fixture::start(2, dir.path()).await;
+    // A subscription to a voter as a source that began before the voters were heard ends within a
+    // second.
     deploy::wait("no voter is followed as a source", || async {
-        scene.voters.iter().all(|voter| voter.followed() == 0)
+        fixture.voters.iter().all(|voter| voter.followed() == 0)
     })
     .await;
-    let before: u32 = scene.voters.iter().map(Voter::asked).sum();
-    for voter in &scene.voters {
+    let before: u32 = fixture.voters.iter().map(Voter::asked).sum();
+    for voter in &fixture.voters {
         voter.publish(2, &document(2));
     }
-    scene.in_force(2.0).await;
-    tokio::time::sleep(IN_FORCE).await;
-    let after: u32 = scene.voters.iter().map(Voter::asked).sum();
+    fixture.wait_in_force(2.0).await;
+    tokio::time::sleep(IN_FORCE_WITHIN).await;
+    let after: u32 = fixture.voters.iter().map(Voter::asked).sum();
     assert_eq!(after - before, 1);
-    assert!(scene.voters.iter().all(|voter| voter.followed() == 0));
+    assert!(fixture.voters.iter().all(|voter| voter.followed() == 0));
 }
 
 fn at(i: u16) -> SocketAddr {
@@ -198,8 +199,9 @@
 const START: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(10);
 
-/// A box at revision 1 whose voters have all told of it; the first is in its zone.
-fn at_rest(voters: u16) -> Catchup {
+/// Returns the state of a box at revision 1, which all voters have announced. The first voter is in
+/// its zone.
+fn up_to_date(voters: u16) -> Catchup {
     let mut catchup = Catchup::default();
     for i in 1..=voters {
         catchup.told(at(i), unit::Revision(1), i == 1, START);
@@ -208,8 +210,9 @@
     catchup
 }
 
-/// Whom it asks until a time, and when after the start.
-fn asks(catchup: &mut Catchup, until: Duration) -> Vec<(u16, u128)> {
+/// Returns the ports of the voters that are asked until a time, and the milliseconds after the
+/// start at which each is asked.
+fn asked_until(catchup: &mut Catchup, until: Duration) -> Vec<(u16, u128)> {
     let mut asked = Vec::new();
     let mut now = START;
     while now < START + until {
@@ -223,11 +226,11 @@
 
 #[test]
 fn voters_are_asked_beside_those_that_do_not_answer() {
-    let mut catchup = at_rest(5);
+    let mut catchup = up_to_date(5);
     for i in 1..=5 {
         catchup.told(at(i), unit::Revision(2), i == 1, START);
     }
-    let asked = asks(&mut catchup, Duration::from_secs(3));
+    let asked = asked_until(&mut catchup, Duration::from_secs(3));
     assert_eq!(
         asked,
         [(1, 0), (2, 400), (3, 800)],
@@ -237,7 +240,7 @@
 
 #[test]
 fn a_voter_of_another_zone_waits_for_the_one_of_this_zone() {
-    let mut catchup = at_rest(3);
+    let mut catchup = up_to_date(3);
     catchup.told(at(2), unit::Revision(2), false, START);
     assert_eq!(catchup.next(START), None);
     assert_eq!(catchup.due(START), Some(START + Duration::from_millis(250)));
@@ -247,15 +250,16 @@
 
 #[test]
 fn a_voter_that_fails_is_left_alone_and_the_next_one_asked_at_once() {
-    let mut catchup = at_rest(3);
+    let mut catchup = up_to_date(3);
     for i in 1..=3 {
         catchup.told(at(i), unit::Revision(2), false, START);
     }
     let now = START + Duration::from_millis(250);
     for i in 1..=3 {
-        // None of this zone has it; the others are asked after a moment.
+        // No voter of the own zone has announced the revision, so the others are asked, 250 ms
+        // after the announcement.
         assert_eq!(catchup.next(now), Some(at(i)));
-        assert_eq!(catchup.next(now), None, "one at first");
+        assert_eq!(catchup.next(now), None, "only one at first");
         catchup.answered(at(i), false, now);
     }
     assert_eq!(catchup.next(now), None);
@@ -266,13 +270,17 @@
 
 #[test]
 fn a_box_is_behind_since_a_voter_told_of_what_it_has_not() {
-    let mut catchup = at_rest(2);
+    let mut catchup = up_to_date(2);
     assert_eq!(catchup.behind(START + STEP), Duration::ZERO);
     catchup.told(at(1), unit::Revision(2), true, START);
     catchup.told(at(2), unit::Revision(3), false, START + STEP);
     assert_eq!(catchup.behind(START + 3 * STEP), 3 * STEP);
     assert!(!catchup.reached(unit::Revision(2)));
-    assert_eq!(catchup.behind(START + 3 * STEP), 2 * STEP, "for the third");
+    assert_eq!(
+        catchup.behind(START + 3 * STEP),
+        2 * STEP,
+        "behind since revision 3 was announced"
+    );
     catchup.lost(at(2));
     assert_eq!(catchup.behind(START + 3 * STEP), Duration::ZERO);
 }
--- a/tests/testsuite/help.rs
+++ b/tests/testsuite/help.rs
@@ -1,4 +1,4 @@
-//! The help of each command, and the errors of wrong usage, as operators see them.
+//! The help text of each command, and the errors on wrong usage, as operators see them.
 
 use std::process::Command;
 
