--- a/tests/testsuite/incarnation.rs
+++ b/tests/testsuite/incarnation.rs
@@ -1,5 +1,5 @@
-//! Starts of endpoints: one that comes back under its name, one that is heard late, one that
-//! has gone.
+//! Incarnations of endpoints: restarts under the same name, late heartbeats, and endpoints that
+//! have gone.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -43,19 +43,19 @@
     name.parse().unwrap()
 }
 
-fn start(number: u64) -> Option<unit::Incarnation> {
+fn some_incarnation(number: u64) -> Option<unit::Incarnation> {
     Some(unit::Incarnation(number))
 }
 
-/// The start of each endpoint that a registry would use.
-fn used(registry: &Registry) -> BTreeMap<String, u64> {
+/// Returns the incarnation of each endpoint of a registry that is not displaced by another.
+fn in_use(registry: &Registry) -> BTreeMap<String, u64> {
     let displaced = registry.displaced();
     let records = registry.records().filter(|r| !displaced.contains(&r.name));
     let of = |record: &Record| record.incarnation.map_or(0, |i| i.0);
     records.map(|r| (r.name.to_string(), of(r))).collect()
 }
 
-fn uses<const N: usize>(names: [(&str, u64); N]) -> BTreeMap<String, u64> {
+fn incarnations<const N: usize>(names: [(&str, u64); N]) -> BTreeMap<String, u64> {
     names.map(|(name, start)| (name.to_owned(), start)).into()
 }
 
@@ -64,10 +64,10 @@
     let mut registry = Registry::default();
     assert_eq!(registry.merge(record("i", 5, 40), START), Merged::Changed);
     let stamp = registry.stamp();
-    // Its counts start anew.
+    // The sequence numbers of a new incarnation start again.
     assert_eq!(registry.merge(record("i", 9, 1), START), Merged::Restarted);
     assert_eq!(registry.changed_since(stamp), [record("i", 9, 1)]);
-    // The earlier one is heard late, as leaving too.
+    // Late heartbeats of the earlier incarnation are ignored, also one that says it is leaving.
     assert_eq!(registry.merge(record("i", 5, 41), START), Merged::Nothing);
     let leaving = Record {
         state: State::Leaving,
@@ -85,28 +85,31 @@
     assert!(registry.leave(&named("i")).is_news());
     assert_eq!(registry.merge(record("i", 5, 41), START), Merged::Nothing);
     assert_eq!(registry.merge(record("i", 4, 90), START), Merged::Nothing);
-    // Without an incarnation it is one of before.
+    // A record without an incarnation counts as an earlier one.
     assert_eq!(registry.merge(record("i", 0, 99), START), Merged::Nothing);
     assert_eq!(registry.merge(record("i", 9, 1), START), Merged::Changed);
-    // Its leave is told once more, by a voter that heard it late.
-    assert_eq!(registry.end(&named("i"), start(5)), Merged::Nothing);
-    assert_eq!(used(&registry), uses([("i", 9)]));
-    assert!(registry.end(&named("i"), start(9)).is_news());
-    assert_eq!(used(&registry), uses([]));
+    // A voter that heard of the leave late tells it once more.
+    assert_eq!(
+        registry.end(&named("i"), some_incarnation(5)),
+        Merged::Nothing
+    );
+    assert_eq!(in_use(&registry), incarnations([("i", 9)]));
+    assert!(registry.end(&named("i"), some_incarnation(9)).is_news());
+    assert_eq!(in_use(&registry), incarnations([]));
 }
 
 #[test]
 fn the_leave_of_an_earlier_start_that_was_not_heard_of_does_not_end_a_later_one() {
     let mut registry = Registry::default();
     registry.merge(record("i", 9, 1), START);
-    assert!(registry.end(&named("i"), start(5)).is_news());
+    assert!(registry.end(&named("i"), some_incarnation(5)).is_news());
     assert!(registry.end(&named("i"), None) == Merged::Nothing);
-    assert_eq!(used(&registry), uses([("i", 9)]));
-    // Nor one that tells no start.
+    assert_eq!(in_use(&registry), incarnations([("i", 9)]));
+    // Neither does a leave without an incarnation.
     let mut other = Registry::default();
     other.merge(record("i", 9, 1), START);
     assert!(other.end(&named("i"), None).is_news());
-    assert_eq!(used(&other), uses([("i", 9)]));
+    assert_eq!(in_use(&other), incarnations([("i", 9)]));
 }
 
 #[test]
@@ -115,16 +118,16 @@
     let mut registry = Registry::default();
     registry.merge(record("i", 9, 30), START);
     assert_eq!(registry.expire(later).len(), 1);
-    // What it still holds is told as if it were new.
+    // The records that the voter still has are told as if they were new.
     assert_eq!(registry.merge(record("i", 5, 80), later), Merged::Nothing);
     assert_eq!(registry.restore(record("i", 5, 0), later), Merged::Nothing);
-    // The one that was only silent comes back, as in a cut that has ended.
+    // The incarnation that was only silent comes back, as after a network partition.
     assert_eq!(registry.merge(record("i", 9, 31), later), Merged::Changed);
 }
 
 #[test]
 fn a_leave_ends_the_start_that_is_known_when_it_comes() {
-    // At this voter nobody has announced the endpoint.
+    // The endpoint has not announced itself at this voter.
     let mut voter = Registry::default();
     voter.merge(record("other", 1, 1), START);
     let stamp = voter.stamp();
@@ -132,19 +135,19 @@
     assert_eq!(voter.gone_since(stamp), [named("i")]);
     assert_eq!(voter.left_since(stamp), [named("i")]);
     assert_eq!(voter.ended_since(stamp), []);
-    // A box has heard of it from another voter.
+    // A box has heard of the endpoint from another voter.
     let mut heard = Registry::default();
     heard.merge(record("i", 5, 40), START);
     let news = heard.take_ends(&voter.gone_since(stamp), &[], &voter.left_since(stamp));
     assert_eq!(news, [named("i")]);
-    assert_eq!(used(&heard), uses([]));
+    assert_eq!(in_use(&heard), incarnations([]));
     assert_eq!(heard.merge(record("i", 5, 41), START), Merged::Nothing);
     assert!(heard.merge(record("i", 9, 1), START).is_news());
-    // A box that follows only now isn't told of a leave of long ago.
+    // A box that subscribes only now is not told of a leave of long ago.
     let mut new = Registry::default();
     new.merge(record("i", 9, 1), START);
     new.take_ends(&voter.gone_since(0), &voter.ended_since(0), &[]);
-    assert_eq!(used(&new), uses([("i", 9)]));
+    assert_eq!(in_use(&new), incarnations([("i", 9)]));
 }
 
 #[test]
@@ -163,24 +166,24 @@
     let mut heard = Registry::default();
     heard.merge(record("i", 9, 31), START);
     heard.take_ends(&[], &told, &[]);
-    assert_eq!(used(&heard), uses([]));
+    assert_eq!(in_use(&heard), incarnations([]));
 }
 
 #[test]
 fn of_two_at_one_address_the_later_start_holds_it() {
     let later = START + Duration::from_secs(8);
     let mut registry = Registry::default();
-    // By its sequence the earlier one has run for a second, and it is heard last.
+    // By its sequence number the earlier one has run for only a second, and it is heard last.
     registry.merge(record("new", 9, 50), START);
     registry.merge(record("old", 5, 1), later);
-    assert_eq!(used(&registry), uses([("new", 9)]));
-    // A writer that tells no start holds no address of one that does.
+    assert_eq!(in_use(&registry), incarnations([("new", 9)]));
+    // A record without an incarnation does not displace one that has an incarnation.
     registry.merge(record("stray", 0, 1), later);
-    assert_eq!(used(&registry), uses([("new", 9)]));
+    assert_eq!(in_use(&registry), incarnations([("new", 9)]));
     assert_eq!(registry.displaced_by(&named("stray")), Some(&named("new")));
-    // Nor does a memory of before a loss of power.
+    // Neither does a record that was restored after a power loss.
     registry.restore(record("before", 7, 0), later);
-    assert_eq!(used(&registry), uses([("new", 9)]));
+    assert_eq!(in_use(&registry), incarnations([("new", 9)]));
 }
 
 #[test]
@@ -199,7 +202,11 @@
         for record in order {
             registry.merge(record, START);
         }
-        assert_eq!(used(&registry), uses([("a", 9), ("b", 10)]), "turn {turn}");
+        assert_eq!(
+            in_use(&registry),
+            incarnations([("a", 9), ("b", 10)]),
+            "turn {turn}"
+        );
         assert_eq!(registry.get(&named("a")).unwrap().address.to_string(), two);
     }
 }
@@ -211,11 +218,13 @@
         assert!(registry.merge(record("i", incarnation, 1), START).is_news());
         registry.merge(record("i", incarnation, 2), START);
         if incarnation % 2 == 0 {
-            assert!(registry.end(&named("i"), start(incarnation)).is_news());
+            assert!(registry
+                .end(&named("i"), some_incarnation(incarnation))
+                .is_news());
         }
         let late = registry.merge(record("i", incarnation - 1, 99), START);
         assert_eq!(late, Merged::Nothing, "start {incarnation}");
-        let expected = (incarnation % 2 == 1).then_some(start(incarnation));
+        let expected = (incarnation % 2 == 1).then_some(some_incarnation(incarnation));
         let held = registry.get(&named("i")).map(|held| held.incarnation);
         assert_eq!(held, expected);
     }
@@ -242,12 +251,13 @@
     registry.set_pace(&named("i"), pace::Pace(500));
     registry.merge(record("i", 9, 1), START);
     assert!(registry.paces_since(0).is_empty());
-    // It is measured anew, also where a start before it has gone.
-    registry.end(&named("i"), start(5));
+    // The pace is measured again, also after an earlier incarnation has ended.
+    registry.end(&named("i"), some_incarnation(5));
     assert!(registry.set_pace(&named("i"), pace::Pace(100)));
 }
 
-/// One failure: a box that meets many and nothing else counts as cut off itself.
+/// Returns the news of one failure and one placement. A box that reports many failures and nothing
+/// else would count as cut off itself.
 fn outcome() -> News {
     let count = Count {
         answered: 0,
@@ -277,7 +287,7 @@
     let heard = hub.exchange(&other, false, News::default(), START).news;
     assert!(heard.risks.is_empty(), "{heard:?}");
     assert!(heard.placements.is_empty(), "{heard:?}");
-    // Who was told of the risk is told that it has ended.
+    // A box that was told of the risk is told that it has ended.
     let heard = hub.exchange(&one, false, News::default(), START).news;
     assert_eq!(heard.risks.len(), 1);
     assert_eq!(heard.risks[0].chance.0, 0);
--- a/tests/testsuite/invariant.rs
+++ b/tests/testsuite/invariant.rs
@@ -1,5 +1,5 @@
-//! A broken invariant is counted, shown as a metric and logged; in debug builds it also
-//! stops what broke it.
+//! A broken invariant is counted, exported as a metric and logged; in debug builds the check also
+//! panics.
 
 use std::{
     panic::catch_unwind,
@@ -13,11 +13,11 @@
     util::metric::Metrics,
 };
 
-/// Keeps the numbers of the events that are logged.
+/// Records the key-value pairs of the events that are logged.
 #[derive(Clone, Default)]
-struct Numbers(Arc<Mutex<Vec<String>>>);
+struct Recorder(Arc<Mutex<Vec<String>>>);
 
-impl slog::Drain for Numbers {
+impl slog::Drain for Recorder {
     type Ok = ();
     type Err = slog::Never;
 
@@ -27,14 +27,14 @@
             text.push_str(&format!("{key}={value} "));
             Ok(())
         };
-        // Keeping a text can't fail.
+        // Appending to a string can't fail.
         let _ = slog::KV::serialize(&record.kv(), record, &mut Pairs(&mut keep));
         self.0.lock().unwrap().push(text);
         Ok(())
     }
 }
 
-/// A serializer that hands each pair to a function.
+/// A serializer that passes each pair to a function.
 struct Pairs<'a>(&'a mut dyn FnMut(slog::Key, std::fmt::Arguments<'_>) -> slog::Result);
 
 impl slog::Serializer for Pairs<'_> {
@@ -57,12 +57,12 @@
         text.contains("scalewood_invariant_breaches{rule=\"one-answer\"} 1"),
         "{text}"
     );
-    let numbers = Numbers::default();
-    let log = slog::Logger::root(numbers.clone(), slog::o!());
+    let recorder = Recorder::default();
+    let log = slog::Logger::root(recorder.clone(), slog::o!());
     let watch = tokio::spawn(breach::watch(log));
     tokio::time::sleep(Duration::from_millis(100)).await;
     watch.abort();
-    let logged = numbers.0.lock().unwrap().concat();
+    let logged = recorder.0.lock().unwrap().concat();
     assert!(
         logged.contains("event=1004") && logged.contains("rule=one-answer"),
         "{logged}"
--- a/tests/testsuite/journal.rs
+++ b/tests/testsuite/journal.rs
@@ -1,5 +1,5 @@
-//! The journal through losses of power: what was acknowledged is there, and of what was
-//! not synced any beginning may be there, torn or full of zeros.
+//! The journal after power losses: acknowledged records are there, and of the unsynced bytes any
+//! prefix may be there, torn or zeroed.
 
 use std::{
     collections::BTreeMap,
@@ -19,17 +19,17 @@
 
 use crate::random::{agree::Trail, random, runs};
 
-/// Bytes before a record's text.
-const HEADER: usize = 12;
+/// The length of a record's header, which precedes its text.
+const HEADER_BYTES: usize = 12;
 
-/// A file: what is synced, and what is not.
+/// A file: the bytes that are synced, and those that are not.
 #[derive(Clone, Debug, Default)]
 struct File {
     synced: Vec<u8>,
     pending: Vec<u8>,
 }
 
-/// Files in memory that lose what was not synced.
+/// Files in memory that lose unsynced bytes on a power loss.
 #[derive(Clone, Debug, Default)]
 struct Memory {
     files: Arc<Mutex<BTreeMap<String, File>>>,
@@ -71,7 +71,8 @@
 }
 
 impl Memory {
-    /// Loses power: of what was not synced, some beginning is there, maybe as zeros.
+    /// Simulates a power loss, after which a prefix of the unsynced bytes is there, possibly
+    /// zeroed.
     fn lose_power(&self, keep: usize, zeros: bool) {
         for file in self.files.lock().unwrap().values_mut() {
             let kept = keep.min(file.pending.len());
@@ -106,7 +107,8 @@
     Truncate,
     Vote,
     Compact,
-    /// Power is lost after some bytes of the next record.
+    /// Power is lost after a number of bytes of the next record, which are zeroed if the flag is
+    /// set.
     Power(usize, bool),
     Restart,
 }
@@ -124,7 +126,7 @@
     (0..60).map(step).collect()
 }
 
-/// The writes of a step, as a voter would make them.
+/// Returns the writes of a step, as a voter would make them.
 fn writes(step: Step, kept: &Kept<Trail>) -> Vec<Write<Trail>> {
     let first = kept.snapshot.index.0 + 1;
     let last = kept.entries.last().map_or(first - 1, |entry| entry.index.0);
@@ -174,7 +176,7 @@
             match *step {
                 Step::Restart => keeper = reopen(&media),
                 Step::Power(keep, zeros) => {
-                    // A record is on its way to the disk when the power goes.
+                    // Power is lost while a record is being written.
                     let torn = writes(Step::Append(2), &acknowledged);
                     let mut half = media.clone();
                     let before = media.read("journal").unwrap().unwrap().len();
@@ -216,8 +218,8 @@
             .unwrap();
     }
     let whole = media.read("journal").unwrap().unwrap();
-    let last = whole.len() - HEADER - {
-        // The last record's text, as long as those before it.
+    let last = whole.len() - HEADER_BYTES - {
+        // The text of the last record, which has the same length as the others.
         serde_json::to_vec(&[Write::<Trail>::Append(vec![entry(5, 1)])])
             .unwrap()
             .len()
@@ -230,10 +232,7 @@
         let lost = |kept: &Kept<Trail>| kept.entries.len() < 5;
         match opened {
             Err(Error::Damaged(_)) => {}
-            Ok(opened) => assert!(
-                !lost(&opened.kept),
-                "damage at {at} loses records in silence"
-            ),
+            Ok(opened) => assert!(!lost(&opened.kept), "damage at {at} silently loses records"),
             Err(error) => panic!("damage at {at}: {error}"),
         }
     }
--- a/tests/testsuite/lock.rs
+++ b/tests/testsuite/lock.rs
@@ -1,4 +1,4 @@
-//! Locks are taken in one order.
+//! Locks are always taken in the same order.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -32,9 +32,10 @@
     let _one = lock(&one);
 }
 
-/// One in some hundred boxes wrote nothing more and answered nobody, a second after its start: one
-/// thread asked for permits while it held the limits that endpoints set, another one read
-/// these for a new dispatcher, which it held.
+/// Guards against a deadlock about a second after the start of a box, which hit one in some hundred
+/// boxes: one thread asked for permits while it held the lock of the limits that endpoints set, and
+/// another held the lock of a new dispatcher while it read these limits. The box then logged
+/// nothing more and answered no request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_box_that_starts_takes_its_locks_in_one_order() {
     let dir = tempfile::tempdir().unwrap();
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,6 +1,7 @@
-//! The tests: a module for each feature, and a small support module.
+//! The integration tests: a module for each feature, and a small support module.
 
-// Nothing here outlasts a suspension of the machine.
+// Nothing here runs on after a suspension of the machine, so clocks that stand still meanwhile do
+// no harm.
 #![allow(clippy::disallowed_methods)]
 
 mod admin;
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to endpoints: given by the leader under its lease only, whether endpoints check
-//! that or not, through kills and freezes of the leader.
+//! Orders to endpoints: only the leader sends them, and only under its lease, whether endpoints
+//! check the term or not, and while leaders are killed or stopped.
 
 use std::{
     path::PathBuf,
@@ -16,7 +16,8 @@
     deploy::{self, Deployment, Plan, Process, Standin},
 };
 
-/// Two stand-ins beside a deployment of voters: one that checks orders, one that does not.
+/// Adds two stand-ins to a deployment of voters: one that rejects orders of an older term, and one
+/// that does not check the term.
 fn add_standins(deployment: &mut Deployment) {
     for (i, fencing) in [true, false].into_iter().enumerate() {
         let name = format!("ordered{i}");
@@ -59,7 +60,7 @@
     deployment.standins.iter().map(set).collect()
 }
 
-/// The orders that a stand-in took: term, number, model.
+/// Returns the orders that a stand-in has accepted: term, number and model.
 async fn taken(standin: &Standin) -> Vec<(u64, u64, String)> {
     let answer = client::ask(standin.address, "GET", "/standin/orders", &[], "")
         .await
@@ -79,7 +80,8 @@
     orders.iter().map(read).collect()
 }
 
-/// Waits until the stand-ins listen: on a busy machine they start after the first changes.
+/// Waits until the stand-ins listen. On a busy machine they may otherwise start only after the
+/// first changes.
 async fn wait_started(deployment: &Deployment) {
     for standin in &deployment.standins {
         deploy::wait("the stand-in listens", || async {
@@ -104,7 +106,7 @@
     }
 }
 
-/// No endpoint took an order of an older term after one of a newer.
+/// Checks that no endpoint accepted an order of an older term after one of a newer term.
 async fn check_order(deployment: &Deployment) {
     for standin in &deployment.standins {
         let orders = taken(standin).await;
@@ -129,7 +131,7 @@
         if let Some(found) = found {
             return found;
         }
-        assert!(Instant::now() < until, "nobody leads");
+        assert!(Instant::now() < until, "no voter is the leader");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -153,7 +155,8 @@
     accept(&deployment, services()).await;
     accept(&deployment, loads(&deployment, "a")).await;
     wait_loaded(&deployment, "a").await;
-    // The leader is frozen at once after a change, wakes late, and must not go on.
+    // The leader is stopped right after a change. It resumes after its lease has expired, and must
+    // send no more orders.
     let frozen = leader(&deployment).await;
     accept(&deployment, loads(&deployment, "b")).await;
     let process = deployment.voters[frozen].process.take().unwrap();
@@ -165,7 +168,7 @@
     check_order(&deployment).await;
     wait_loaded(&deployment, "c").await;
     deployment.voters[frozen].process = Some(process);
-    // The leader is killed; the next one gives what is still due.
+    // The leader is killed, and the next one sends the orders that are still due.
     let killed = leader(&deployment).await;
     deployment.voters[killed].process.take().unwrap().kill();
     accept(&deployment, loads(&deployment, "a")).await;
@@ -190,15 +193,15 @@
         panic!("{answer:?}")
     };
     assert!(why[0].contains("does not serve model z"), "{why:?}");
-    // The service can't go while endpoints name it.
+    // A service can't be removed while endpoints refer to it.
     accept(&deployment, loads(&deployment, "a")).await;
     let remove = Edit::Remove(Key::Service("ordered".parse().unwrap()));
     let answer = deployment.apply(vec![remove], "too early").await;
     assert!(matches!(answer, Answer::NotApplied { .. }), "{answer:?}");
 }
 
-/// An endpoint that turns an order away says for how long it wants nothing. The leader gave the
-/// order again ten times a second: it read the status of the answer, and nothing else of its head.
+/// An endpoint that refuses an order may ask for a rest, in a header of its answer. A leader that
+/// reads only the status and ignores the headers would repeat the order ten times a second.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_asks_for_rest_gets_no_orders_meanwhile() {
     let dir = tempfile::tempdir().unwrap();
@@ -218,7 +221,7 @@
     tokio::time::sleep(Duration::from_millis(2500)).await;
     for (i, standin) in deployment.standins.iter().enumerate() {
         let (rests, most) = deploy::rests(standin, |_, _| String::new()).await;
-        assert!(rests > 0, "{}: no order was given", standin.name);
+        assert!(rests > 0, "{}: no order was sent", standin.name);
         assert!(most <= 2, "{}: {most} orders within a rest", standin.name);
         deployment.faults(i, serde_json::json!({})).await;
     }
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: requests served end to end by separate processes.
+//! End-to-end tests: requests are served by separate processes.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 #[path = "../../src/bin/scalewood-standin/answer.rs"]
 pub(crate) mod answer;
 
-/// What a stand-in answers to a prompt.
+/// Returns what a stand-in answers to a prompt.
 pub(crate) fn expected(prompt: &str) -> String {
     answer::tokens(prompt, None).concat()
 }
--- a/tests/testsuite/regions.rs
+++ b/tests/testsuite/regions.rs
@@ -1,4 +1,5 @@
-//! Regions: calls of plain services stay near while there is room, and no longer.
+//! Regions: calls of plain services stay in their region as long as it has free slots, and no
+//! longer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +11,11 @@
 
 use crate::placement::{ask, START};
 
-/// Zones with their regions.
+/// The zones and their regions.
 const ZONES: [(&str, &str); 4] = [("a", "r0"), ("b", "r0"), ("c", "r1"), ("d", "r2")];
 const SLOTS: u32 = 4;
 
-/// A dispatcher of a box in the first zone, with an endpoint in each.
+/// Returns the dispatcher of a box in the first zone, with an endpoint in each zone.
 fn dispatcher(region: Option<&str>) -> Dispatcher {
     let specs = ZONES
         .iter()
@@ -47,9 +48,9 @@
     dispatcher
 }
 
-/// Where so many calls go, none of which ends.
+/// Starts a number of calls, none of which ends. Returns the number of calls at each endpoint.
 fn calls(dispatcher: &mut Dispatcher, count: u64) -> BTreeMap<String, u32> {
-    let mut at = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for number in 0..count {
         let mut ask = ask(number, "short", number);
         ask.placed = None;
@@ -58,12 +59,12 @@
         let [(_, Order::Grant(_, endpoint))] = orders.as_slice() else {
             panic!("no grant: {orders:?}");
         };
-        *at.entry(endpoint.to_string()).or_default() += 1;
+        *counts.entry(endpoint.to_string()).or_default() += 1;
     }
-    at
+    counts
 }
 
-fn at(places: &[(&str, u32)]) -> BTreeMap<String, u32> {
+fn counts_at(places: &[(&str, u32)]) -> BTreeMap<String, u32> {
     let places = places.iter();
     places
         .map(|(name, count)| ((*name).to_owned(), *count))
@@ -72,13 +73,13 @@
 
 #[test]
 fn calls_take_the_slots_of_their_region_before_those_of_others() {
-    // All but the last slot of the other zone.
+    // All slots of the region but the last one of its other zone.
     let near = u64::from(2 * SLOTS - 1);
     let all = [("i-a", SLOTS), ("i-b", SLOTS - 1)];
-    assert_eq!(calls(&mut dispatcher(Some("r0")), near), at(&all));
+    assert_eq!(calls(&mut dispatcher(Some("r0")), near), counts_at(&all));
     let more = calls(&mut dispatcher(Some("r0")), near + 4);
     let elsewhere = more["i-c"] + more["i-d"];
-    assert!(elsewhere >= 3, "the others take what is over: {more:?}");
+    assert!(elsewhere >= 3, "the other regions take the rest: {more:?}");
 }
 
 #[test]
--- a/tests/testsuite/registry.rs
+++ b/tests/testsuite/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: endpoints that announce themselves, late, twice and for the last time.
+//! The registry: endpoints whose heartbeats are late, repeated or the last before they leave.
 
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
         Merged::Nothing
     );
     assert!(registry.get(&"i".parse().unwrap()).is_none());
-    // Another voter may hear of its end only.
+    // Another voter may hear only that the endpoint has left.
     let mut other = Registry::default();
     assert_eq!(other.leave(&"i".parse().unwrap()), Merged::Changed);
     assert_eq!(
@@ -69,7 +69,7 @@
     registry.merge(record("b", 1, State::Ready), START);
     let stamp = registry.stamp();
     assert_eq!(registry.changed_since(0).len(), 2);
-    // A heartbeat that says nothing new is no news.
+    // A heartbeat that changes nothing is not told.
     assert_eq!(
         registry.merge(record("a", 2, State::Ready), START),
         Merged::Alive
@@ -110,7 +110,11 @@
     registry.merge(record("back", 7, State::Ready), START);
     registry.leave(&"went".parse().unwrap());
     let again = registry.restore(record("went", 0, State::Ready), START);
-    assert_eq!(again, Merged::Nothing, "what has gone stays gone");
+    assert_eq!(
+        again,
+        Merged::Nothing,
+        "an endpoint that has left stays away"
+    );
     let restored = Timing::default().restored();
     let before = START + restored - Duration::from_millis(1);
     assert!(registry.expire_restored(before).is_empty());
@@ -128,7 +132,7 @@
     }
 }
 
-/// Which of some endpoints count as displaced.
+/// Returns for each of some endpoints whether it counts as displaced.
 fn displaced(registry: &Registry, names: &[&str]) -> Vec<bool> {
     let displaced = |name: &&str| registry.displaced_by(&name.parse().unwrap()).is_some();
     names.iter().map(displaced).collect()
@@ -136,7 +140,7 @@
 
 #[test]
 fn a_late_heartbeat_does_not_bring_back_what_crashed_at_the_same_address() {
-    // The old one ran for a minute; its last heartbeat was held up for four seconds.
+    // The old endpoint ran for a minute, and its last heartbeat was delayed by four seconds.
     let (old, new) = (at("10.0.0.1:80", "old", 50), at("10.0.0.1:80", "new", 1));
     let later = START + Duration::from_secs(3);
     let mut registry = Registry::default();
@@ -147,7 +151,8 @@
         displaced(&registry, &["old", "new", "other"]),
         [true, false, false]
     );
-    // In the other order, as another voter may hear it, and once the new one has gone on.
+    // Another voter may hear of them in the other order, and after further heartbeats of the new
+    // one.
     let mut other = Registry::default();
     other.merge(at("10.0.0.1:80", "old", 48), START);
     assert_eq!(displaced(&other, &["old"]), [false]);
@@ -159,7 +164,7 @@
         other.displaced_by(&"old".parse().unwrap()),
         Some(&"new".parse().unwrap())
     );
-    // When the new one goes, nothing holds the address against the old one.
+    // After the new endpoint has left, the old one is no longer displaced from the address.
     other.leave(&"new".parse().unwrap());
     assert_eq!(displaced(&other, &["old"]), [false]);
 }
@@ -174,7 +179,7 @@
 
 #[test]
 fn an_endpoint_that_was_taken_for_a_displaced_one_is_used_again_soon() {
-    // The one before it lived for a second, and its heartbeat came seven seconds late.
+    // The earlier endpoint ran for a second, and its heartbeat came seven seconds late.
     let mut registry = Registry::default();
     registry.merge(at("10.0.0.1:80", "new", 1), START);
     let late = START + Duration::from_secs(5);
@@ -185,10 +190,11 @@
     assert_eq!(displaced(&registry, &["new"]), [false]);
 }
 
-/// An endpoint says in each answer that it leaves; its heartbeats are heard late, and in any order.
+/// A leaving endpoint says so in each of its answers, while its heartbeats may arrive late and in
+/// any order.
 #[test]
 fn what_an_endpoint_said_of_leaving_in_an_answer_is_taken_back_by_a_new_start_alone() {
-    let beat = |sequence, incarnation| Record {
+    let heartbeat = |sequence, incarnation| Record {
         incarnation: Some(unit::Incarnation(incarnation)),
         ..record("i", sequence, State::Ready)
     };
@@ -196,45 +202,46 @@
     let name = "i".parse().unwrap();
     let state = |registry: &Registry| registry.get(&name).map(|record| record.state);
     let mut registry = Registry::default();
-    // Nothing is known of it yet.
+    // The endpoint is not known yet.
     assert_eq!(registry.note_leaving(&name, start(1)), Merged::Nothing);
-    registry.merge(beat(5, 1), START);
+    registry.merge(heartbeat(5, 1), START);
     let stamp = registry.stamp();
     assert_eq!(registry.note_leaving(&name, start(1)), Merged::Changed);
     assert_eq!(state(&registry), Some(State::Leaving));
     assert_eq!(registry.leaving_since(stamp).len(), 1);
     assert_eq!(registry.note_leaving(&name, start(1)), Merged::Nothing);
-    // From before, and from after.
+    // Heartbeats from before the answer, and from after it.
     for sequence in [4, 6, 60] {
-        assert!(!registry.merge(beat(sequence, 1), START).is_news());
+        assert!(!registry.merge(heartbeat(sequence, 1), START).is_news());
         assert_eq!(state(&registry), Some(State::Leaving));
     }
-    // Told to another process, it holds there too, whatever that hears first.
+    // Another process that is told of it marks the endpoint as leaving too, whatever it has heard
+    // before.
     let mut other = Registry::default();
-    other.merge(beat(61, 1), START);
+    other.merge(heartbeat(61, 1), START);
     for told in registry.leaving_since(0) {
         assert_eq!(other.note_leaving(&told.name, told.start), Merged::Changed);
     }
     assert_eq!(state(&other), Some(State::Leaving));
-    // The next start has said nothing; what the one before said comes late.
-    assert_eq!(registry.merge(beat(1, 2), START), Merged::Restarted);
+    // The next incarnation has not said that it leaves; what the earlier one said is told late.
+    assert_eq!(registry.merge(heartbeat(1, 2), START), Merged::Restarted);
     assert_eq!(state(&registry), Some(State::Ready));
     assert_eq!(registry.note_leaving(&name, start(1)), Merged::Nothing);
     assert_eq!(state(&registry), Some(State::Ready));
     assert!(registry.leaving_since(0).is_empty());
-    // It goes all the same.
+    // A leave removes the endpoint all the same.
     registry.note_leaving(&name, start(2));
     registry.leave(&name);
     assert_eq!(state(&registry), None);
 }
 
-/// Voters were stalled for 16 s, while endpoints told them nothing; then all was well, and each call was
-/// refused from then on: no endpoint. Boxes forget an endpoint after 7 s without word of it, voters
-/// after 30 s. A voter that heard of it in between found nothing new in that, told boxes that it had
-/// heard of the name alone, and they had nothing by that name.
+/// Boxes forget an endpoint after 7 s without news of it, voters after 30 s. If voters stall for a
+/// time in between, such as 16 s, the next heartbeat changes nothing in their records. A voter that
+/// then told boxes only the name that it had heard would leave them without a record of it, and
+/// they would refuse each call from then on for want of an endpoint.
 #[test]
 fn an_endpoint_that_was_silent_for_so_long_that_boxes_forgot_it_is_told_anew() {
-    const FORGET: Duration = Duration::from_secs(7);
+    const FORGET_AFTER: Duration = Duration::from_secs(7);
     let (mut voter, mut own) = (Registry::default(), Registry::default());
     let name = "i".parse().unwrap();
     voter.merge(record("i", 1, State::Ready), START);
@@ -247,7 +254,7 @@
         stamp = voter.stamp();
     };
     tell(&voter, &mut own, START);
-    // Heartbeats that come as they should tell nothing new.
+    // Heartbeats that arrive in time change nothing, and are not told.
     let before = voter.stamp();
     let second = START + Duration::from_millis(1200);
     assert_eq!(
@@ -256,11 +263,11 @@
     );
     assert_eq!(voter.stamp(), before);
     tell(&voter, &mut own, second);
-    let later = second + FORGET + Duration::from_secs(1);
-    assert_eq!(own.expire(later.saturating_sub(FORGET)).len(), 1);
+    let later = second + FORGET_AFTER + Duration::from_secs(1);
+    assert_eq!(own.expire(later.saturating_sub(FORGET_AFTER)).len(), 1);
     voter.merge(record("i", 3, State::Ready), later);
     tell(&voter, &mut own, later);
-    assert!(own.get(&name).is_some(), "it is known again");
+    assert!(own.get(&name).is_some(), "the box knows the endpoint again");
 }
 
 fn at_place(number: u32, sequence: u64) -> Record {
@@ -272,8 +279,8 @@
     }
 }
 
-/// What a change costs does not grow with how many endpoints there are: a record is compared with
-/// those at its address alone, and a follower is told what changed alone.
+/// The cost of a change does not grow with the number of endpoints: a record is compared only with
+/// those at its address, and a follower is told only what changed.
 #[test]
 fn a_change_looks_at_no_other_endpoint() {
     for endpoints in [100, 20_000] {
@@ -293,7 +300,7 @@
         assert_eq!(registry.changed_since(stamp).len(), 1, "{endpoints}");
         assert_eq!(registry.gone_since(stamp).len(), 1, "{endpoints}");
         assert_eq!(registry.at_address(at_place(8, 1).address).len(), 0);
-        // Another one at the address of the first is found, and it alone.
+        // Another endpoint at the address of the first one is found, and no others.
         let later = Record {
             address,
             ..record("later", 1, State::Ready)
@@ -304,10 +311,11 @@
     }
 }
 
-/// A box with a slow link took more than two seconds for all records, in which it heard nothing.
+/// All records in one message take more than two seconds over a slow link, during which the box
+/// hears nothing else. They are therefore told in parts.
 #[test]
 fn all_records_are_told_in_parts_that_lose_none() {
-    const PAGE: usize = 256;
+    const PART_RECORDS: usize = 256;
     let mut registry = Registry::default();
     for number in 0..2000 {
         registry.merge(at_place(number, 1), START);
@@ -318,11 +326,11 @@
     let mut other = Registry::default();
     let mut after = 0;
     while after < registry.stamp() {
-        let to = registry.stamp_within(after, PAGE);
+        let to = registry.stamp_within(after, PART_RECORDS);
         assert!(to > after);
         let span = Span { after, to };
         let (changed, gone) = (registry.changed_since(span), registry.gone_since(span));
-        assert!(changed.len() <= PAGE && gone.len() <= PAGE);
+        assert!(changed.len() <= PART_RECORDS && gone.len() <= PART_RECORDS);
         for record in changed {
             other.merge(record, START);
         }
@@ -334,8 +342,9 @@
     assert_eq!(names(&other), names(&registry));
 }
 
-/// Seen: voters that started together ended by themselves, over their memory. Cause: each told the
-/// others all that it remembered, with what it had heard of them, and took that for new each time.
+/// Guards against voters that start together and exceed their memory limit: if each told the others
+/// all records that it remembered, including those that it had heard from them, and took these for
+/// new each time, the exchange would never end.
 #[test]
 fn voters_that_start_together_tell_each_other_once_what_they_remember() {
     const VOTERS: u32 = 4;
@@ -363,9 +372,12 @@
         assert_eq!(
             voter.for_box(&mut told, START).len(),
             40,
-            "boxes hear all of it"
+            "boxes are told all records"
+        );
+        assert!(
+            voter.for_box(&mut told, START).is_empty(),
+            "they are told once"
         );
-        assert!(voter.for_box(&mut told, START).is_empty(), "once");
         assert!(voter.for_box(&mut 0, until).is_empty());
     }
 }
--- a/tests/testsuite/report.rs
+++ b/tests/testsuite/report.rs
@@ -1,5 +1,5 @@
-//! Reports of usage to a provider: whole and the same through the loss of the holder and an
-//! outage of the provider, by separate processes.
+//! Usage reports to a provider, with separate processes: they are complete and consistent when
+//! their holder is lost and when the provider is down.
 
 use std::{
     collections::BTreeMap,
@@ -8,7 +8,7 @@
 
 use crate::support::{client, deploy, provider};
 
-/// Sends so many requests to each box; each is answered whole.
+/// Sends a number of requests to each box. Each must succeed.
 async fn send(deployment: &deploy::Deployment, count: usize) {
     for entry in &deployment.entries {
         let mut connection = client::Connection::open(entry.callers).await.unwrap();
@@ -20,7 +20,7 @@
     }
 }
 
-/// The requests that the model's stand-ins have run.
+/// Returns the number of requests that the model's stand-ins have run.
 fn run_by_standins(deployment: &deploy::Deployment) -> u64 {
     let models = deployment.standins_of(true).into_iter();
     let runs = models.map(|i| deployment.runs(i).len());
@@ -40,7 +40,7 @@
         }
         assert!(
             Instant::now() < until,
-            "reported are {totals:?} of {expected}"
+            "{totals:?} of {expected} requests are reported"
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -59,7 +59,7 @@
                 return i;
             }
         }
-        assert!(Instant::now() < until, "nobody leads");
+        assert!(Instant::now() < until, "no voter is the leader");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -76,7 +76,8 @@
     let provider = provider::Provider::start(deployment.address(9950)).await;
     send(&deployment, 10).await;
     wait_reported(&provider, &deployment).await;
-    // Busy, then failing, then silent: what was counted meanwhile is reported afterwards.
+    // The provider is busy, then failing, then silent. What is counted meanwhile is reported
+    // afterwards.
     for status in [429, 500, 0] {
         provider.answers(status);
         send(&deployment, 5).await;
@@ -84,10 +85,10 @@
     }
     provider.answers(200);
     wait_reported(&provider, &deployment).await;
-    // The holder is killed between two windows; another one goes on.
-    let held = leader(&deployment).await;
+    // The holder is killed between two windows, and another voter takes over.
+    let holder = leader(&deployment).await;
     send(&deployment, 5).await;
-    if let Some(process) = deployment.voters[held].process.take() {
+    if let Some(process) = deployment.voters[holder].process.take() {
         process.kill();
     }
     send(&deployment, 5).await;
@@ -97,5 +98,5 @@
         .into_iter()
         .map(|(at, by)| (by, at))
         .collect();
-    assert!(holders.len() >= 2, "nobody took over: {holders:?}");
+    assert!(holders.len() >= 2, "no other voter took over: {holders:?}");
 }
--- a/tests/testsuite/residency.rs
+++ b/tests/testsuite/residency.rs
@@ -1,4 +1,4 @@
-//! Residency: a request goes nowhere but where the configuration in force allows it.
+//! Data residency: a request goes only to regions that the configuration in force allows.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -41,15 +41,15 @@
     assert!(north.and(&only(&["south"])).is_nowhere());
 }
 
-/// A configuration whose stream route and team are bound to regions.
+/// Returns a configuration whose routes and team are restricted to regions.
 fn document(route: Allowed, team: Allowed) -> config::Document {
     let mut document = config::Document::default();
-    document.replace_routing(Arc::new(bound(1, route, team)));
+    document.replace_routing(Arc::new(restricted(1, route, team)));
     document
 }
 
-/// The tests' routing with all routes and the team bound to regions.
-fn bound(version: u64, route: Allowed, team: Allowed) -> Routing {
+/// Returns the tests' routing with all routes and the team restricted to regions.
+fn restricted(version: u64, route: Allowed, team: Allowed) -> Routing {
     let mut routing = routing(version);
     for item in routing.routes.values_mut() {
         item.allowed = route.clone();
@@ -78,7 +78,11 @@
     assert_eq!(found(&both, None), only(&["r0", "r1"]));
     assert_eq!(found(&both, Some("gone")), only(&["r0"]));
     let empty = config::Document::default();
-    assert_eq!(found(&empty, Some("t1")), last, "all of it is gone");
+    assert_eq!(
+        found(&empty, Some("t1")),
+        last,
+        "neither the route nor the team is left"
+    );
     assert_eq!(found(&empty, None), last);
 }
 
@@ -113,14 +117,14 @@
 fn an_empty_list_is_refused_with_the_configuration_and_unknown_regions_are_told() {
     assert!(routing(1).check().is_empty());
     let nowhere = Allowed::only([]);
-    let empty = bound(1, nowhere.clone(), nowhere);
+    let empty = restricted(1, nowhere.clone(), nowhere);
     let problems = empty.check();
     let about = |item: &str| problems.iter().any(|problem| problem.item == item);
     assert!(about("route safe") && about("team t1"), "{problems:?}");
-    let apart = bound(1, only(&["r0"]), only(&["r1"]));
+    let apart = restricted(1, only(&["r0"]), only(&["r1"]));
     assert!(
         apart.check().is_empty(),
-        "it is taken: requests are refused"
+        "the configuration is accepted, and requests are refused"
     );
 
     let zone = |zone: &str, region: &str| (zone.parse().unwrap(), region.parse().unwrap());
@@ -133,7 +137,7 @@
     assert_eq!(residency::unknown(&many, &regions, 2).len(), 2);
 }
 
-/// An endpoint with so many slots in a region.
+/// Returns an endpoint with a number of slots in a region.
 fn spec(name: &str, slots: u32, region: &str) -> Spec {
     Spec {
         name: name.parse().unwrap(),
@@ -181,8 +185,14 @@
     dispatcher
 }
 
-/// Asks for a slot for a request; by free slots, or by where its prompt is kept.
-fn asks(dispatcher: &mut Dispatcher, number: u64, allowed: &Allowed, placed: bool) -> Vec<Order> {
+/// Asks for a slot for a request. The request is placed by the prefix of its prompt if `placed` is
+/// set, and by free slots otherwise.
+fn send_ask(
+    dispatcher: &mut Dispatcher,
+    number: u64,
+    allowed: &Allowed,
+    placed: bool,
+) -> Vec<Order> {
     let mut ask = ask(number, "short", number);
     ask.allowed = allowed.clone();
     ask.placed = ask.placed.filter(|_| placed);
@@ -202,18 +212,19 @@
         let mut dispatcher = dispatcher(&[spec("i-0", 1, "r0"), spec("i-1", 2, "r1")]);
         let (r0, r1) = (only(&["r0"]), only(&["r1"]));
         assert_eq!(
-            endpoint_of(&asks(&mut dispatcher, 1, &r0, placed)),
+            endpoint_of(&send_ask(&mut dispatcher, 1, &r0, placed)),
             Some("i-0")
         );
         for waits in [2, 3] {
-            assert_eq!(asks(&mut dispatcher, waits, &r0, placed), []);
+            assert_eq!(send_ask(&mut dispatcher, waits, &r0, placed), []);
         }
-        let other = asks(&mut dispatcher, 4, &r1, placed);
+        let other = send_ask(&mut dispatcher, 4, &r1, placed);
         assert_eq!(endpoint_of(&other), Some("i-1"));
-        let anywhere = asks(&mut dispatcher, 5, &Allowed::default(), placed);
+        let anywhere = send_ask(&mut dispatcher, 5, &Allowed::default(), placed);
         assert_eq!(endpoint_of(&anywhere), Some("i-1"));
         assert_eq!(dispatcher.waiting(), 2);
-        // The slot that comes free goes to the one that waited for its region first.
+        // The slot that becomes free goes to the request that has waited for its region the
+        // longest.
         let end = Report::End(ask(1, "short", 1).attempt, End::Done, unit::Tokens(1));
         let freed = report(&mut dispatcher, end);
         assert_eq!(
@@ -229,13 +240,13 @@
 #[test]
 fn a_request_that_no_region_can_serve_is_refused_at_once_with_a_reason_of_its_own() {
     let mut dispatcher = dispatcher(&[spec("i-0", 1, "r0")]);
-    let refused = asks(&mut dispatcher, 1, &only(&["r1"]), true);
+    let refused = send_ask(&mut dispatcher, 1, &only(&["r1"]), true);
     assert!(
         matches!(refused[..], [Order::Shed(_, Reason::Residency, wait)] if !wait.is_zero()),
         "{refused:?}"
     );
     configured(&mut dispatcher, &[]);
-    let refused = asks(&mut dispatcher, 2, &only(&["r1"]), true);
+    let refused = send_ask(&mut dispatcher, 2, &only(&["r1"]), true);
     assert!(matches!(
         refused[..],
         [Order::Shed(_, Reason::NoEndpoint, _)]
@@ -246,8 +257,8 @@
 fn one_that_waits_when_its_last_endpoint_moves_out_of_its_regions_is_refused() {
     let mut dispatcher = dispatcher(&[spec("i-0", 1, "r0"), spec("i-1", 1, "r1")]);
     let r0 = only(&["r0"]);
-    assert!(endpoint_of(&asks(&mut dispatcher, 1, &r0, false)).is_some());
-    assert_eq!(asks(&mut dispatcher, 2, &r0, false), []);
+    assert!(endpoint_of(&send_ask(&mut dispatcher, 1, &r0, false)).is_some());
+    assert_eq!(send_ask(&mut dispatcher, 2, &r0, false), []);
     let moved = configured(
         &mut dispatcher,
         &[spec("i-0", 1, "r2"), spec("i-1", 1, "r1")],
@@ -279,7 +290,7 @@
     assert_eq!(preempted, [Order::Preempt(ask(2, "short", 2).attempt)]);
 }
 
-/// A system with an entry box in region r0, an endpoint in it, and one in region r1.
+/// Starts a system with an entry box in region r0, an endpoint in it, and one in region r1.
 async fn regions(dir: &std::path::Path, more: &str) -> (System, [Endpoint; 2]) {
     let zones = r#""zones": [{ "zone": "z0", "region": "r0" }, { "zone": "z1", "region": "r1" }]"#;
     let system = System::start_with(1, dir, &format!("{zones}{more}"));
@@ -289,8 +300,9 @@
         Endpoint::start(&format!("i-{i}"), address).await
     };
     let endpoints = [start(0).await, start(1).await];
-    // Calls go to the own zone first, so the other endpoint is asked for by itself.
-    let first = bound(6, only(&["r1"]), Allowed::default());
+    // Calls go to the zone of the box first, so a routing that allows only r1 comes first, to wait
+    // until the endpoint there is known.
+    let first = restricted(6, only(&["r1"]), Allowed::default());
     for (i, routing) in [(1, first), (0, routing(7))] {
         assert_eq!(system.publish(&text(&routing)).await, 200);
         for (endpoint, zone) in endpoints.iter().zip(["z0", "z1"]) {
@@ -312,9 +324,14 @@
     }
 }
 
-/// Publishes a configuration and waits until requests are served by it: those of this name
-/// are served, and reach the second endpoint only.
-async fn bind(system: &System, endpoints: &[Endpoint; 2], routing: &Routing, path: &str) {
+/// Publishes a configuration and waits until it is in force, which is when calls of a path reach
+/// only the second endpoint.
+async fn publish_and_wait(
+    system: &System,
+    endpoints: &[Endpoint; 2],
+    routing: &Routing,
+    path: &str,
+) {
     assert_eq!(system.publish(&text(routing)).await, 200);
     deploy::wait("the configuration is in force", || async {
         let before = seen(&endpoints[..1], path);
@@ -330,14 +347,14 @@
 async fn calls_go_to_the_allowed_region_and_are_refused_truly_where_none_is_left() {
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = regions(dir.path(), "").await;
-    let only_r1 = bound(8, Allowed::default(), only(&["r1"]));
-    bind(&system, &endpoints, &only_r1, "/safe/bind").await;
+    let only_r1 = restricted(8, Allowed::default(), only(&["r1"]));
+    publish_and_wait(&system, &endpoints, &only_r1, "/safe/bind").await;
     for number in 0..10 {
         let path = format!("/unsafe/{number}");
         assert_eq!(system.call("POST", &path, "u").await.unwrap().status, 200);
         assert_eq!(seen(&endpoints[..1], &path), 0);
     }
-    let apart = bound(9, only(&["r0"]), only(&["r1"]));
+    let apart = restricted(9, only(&["r0"]), only(&["r1"]));
     assert_eq!(system.publish(&text(&apart)).await, 200);
     deploy::wait("no region is left", || async {
         system.call("GET", "/safe/x", "left").await.unwrap().status == 503
@@ -350,24 +367,24 @@
         .unwrap();
     assert!(
         began.elapsed() < Duration::from_secs(1),
-        "it is refused at once"
+        "the request is not refused at once"
     );
     assert_eq!((refused.status, refused.verdict()), (503, Some("not-run")));
     assert!(refused.header("retry-after").is_some());
     let body = String::from_utf8(refused.body.to_vec()).unwrap();
     assert!(body.contains("residency"), "{body}");
     assert_eq!(seen(&endpoints, "/unsafe/refused"), 0);
-    // The list of the caller's team alone is the one that binds a public route's key.
-    let unknown = bound(10, only(&["r9"]), Allowed::default());
+    // A region that no zone belongs to is accepted in a list, and the box logs the route.
+    let unknown = restricted(10, only(&["r9"]), Allowed::default());
     assert_eq!(system.publish(&text(&unknown)).await, 200);
     let log = dir.path().join("e1.log");
-    deploy::wait("the unknown region is told", || async {
+    deploy::wait("the unknown region is logged", || async {
         std::fs::read_to_string(&log)
             .unwrap()
             .contains("route safe")
     })
     .await;
-    let empty = bound(11, Allowed::only([]), Allowed::default());
+    let empty = restricted(11, Allowed::only([]), Allowed::default());
     assert!((400..500).contains(&system.publish(&text(&empty)).await));
 }
 
@@ -382,8 +399,8 @@
             seen(&endpoints[..1], "/sresume/moves") == 1
         })
         .await;
-        let r1 = bound(9, only(&["r1"]), Allowed::default());
-        bind(&system, &endpoints, &r1, "/safe/r1").await;
+        let r1 = restricted(9, only(&["r1"]), Allowed::default());
+        publish_and_wait(&system, &endpoints, &r1, "/safe/r1").await;
     };
     let (answer, ()) = tokio::join!(stream, change);
     let answer = answer.unwrap();
@@ -400,9 +417,9 @@
 async fn what_waits_when_a_region_is_taken_away_is_served_elsewhere_at_once() {
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = regions(dir.path(), "").await;
-    let r0 = bound(8, only(&["r0"]), Allowed::default());
+    let r0 = restricted(8, only(&["r0"]), Allowed::default());
     assert_eq!(system.publish(&text(&r0)).await, 200);
-    // One slot is left there, and it is taken for long.
+    // One slot is left in r0, and a request holds it for long.
     let narrow = Record {
         slots: unit::Slots(1),
         ..in_zone(&endpoints[0], "z0", 2)
@@ -432,8 +449,8 @@
         let waiting = system.call("POST", "/unsafe/waits", "waits");
         let change = async {
             tokio::time::sleep(Duration::from_millis(200)).await;
-            assert_eq!(seen(&endpoints, "/unsafe/waits"), 0, "it waits");
-            let r1 = bound(9, only(&["r1"]), Allowed::default());
+            assert_eq!(seen(&endpoints, "/unsafe/waits"), 0, "the request waits");
+            let r1 = restricted(9, only(&["r1"]), Allowed::default());
             assert_eq!(system.publish(&text(&r1)).await, 200);
         };
         let (answer, ()) = tokio::join!(waiting, change);
@@ -451,8 +468,8 @@
     }
 }
 
-/// Fills the queue of connections that a listener has not taken, so that the next one waits
-/// until the kernel asks again after a second.
+/// Fills the accept queue of a listener, so that the next connection waits until the kernel sends
+/// its SYN again after a second.
 async fn fill(
     address: std::net::SocketAddr,
 ) -> (tokio::net::TcpListener, Vec<tokio::net::TcpStream>) {
@@ -475,7 +492,7 @@
     let dir = tempfile::tempdir().unwrap();
     let more = r#", "limits": { "connect": "3s" }"#;
     let (system, endpoints) = regions(dir.path(), more).await;
-    // The only endpoint in r0 that stays is one where connections wait to be taken.
+    // The only endpoint that stays in r0 is one whose accept queue is full.
     let address = (system.host, 9005).into();
     let (listener, taken) = fill(address).await;
     let slow = Record {
@@ -487,18 +504,18 @@
     let leaving = endpoints[0].record(2, State::Leaving);
     system.announce(0, &leaving).await;
     let log = dir.path().join("e1.log");
-    deploy::wait("the other one leaves", || async {
+    deploy::wait("the other endpoint leaves", || async {
         std::fs::read_to_string(&log)
             .unwrap()
             .contains("\"sequence\":2")
     })
     .await;
-    // The dispatcher hears of it with the next tick of the desk, 20 ms later.
+    // The dispatcher is told at the next tick of its task, 20 ms later.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let call = system.call("POST", "/unsafe/dial", "dial");
     let change = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let r1 = bound(9, only(&["r1"]), Allowed::default());
+        let r1 = restricted(9, only(&["r1"]), Allowed::default());
         assert_eq!(system.publish(&text(&r1)).await, 200);
         deploy::wait("the configuration is in force", || async {
             let call = system.call("GET", "/safe/force", "force");
@@ -537,8 +554,8 @@
         allowed: only(&["r1"]),
         ..team.clone()
     };
-    bind(&system, &endpoints, &open, "/safe/bind").await;
-    // Without a key the route alone binds.
+    publish_and_wait(&system, &endpoints, &open, "/safe/bind").await;
+    // Without a key, only the regions of the route apply.
     let before = endpoints[0].seen().len();
     deploy::wait("callers without a key reach both", || async {
         let mut connection = client::Connection::open(system.callers()).await.unwrap();
--- a/tests/testsuite/route.rs
+++ b/tests/testsuite/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which one holds, where it leads, and in which order requests stand.
+//! Routes: which one matches, which service it leads to, and how requests are ranked.
 
 use std::collections::BTreeMap;
 
@@ -131,8 +131,8 @@
     assert_eq!(Table::new(&routing).team("k1"), None);
 }
 
-/// Read out of the code, not seen: dispatchers compared a class's tier among routes with the ranks
-/// of requests, which also count teams. So a class stood above its own less urgent teams.
+/// The ranks of requests take teams into account, and the tiers of routes do not. A dispatcher that
+/// compared a class's tier with such ranks would place the class above its own less urgent teams.
 #[test]
 fn a_class_has_the_rank_of_its_least_urgent_team() {
     let table = Table::new(&routing());
--- a/tests/testsuite/routed.rs
+++ b/tests/testsuite/routed.rs
@@ -1,5 +1,5 @@
-//! Requests of routes and the voters behind them, with real processes: what callers get
-//! when endpoints misbehave, and what stays in force when voters do.
+//! Requests of routes, with real processes: what callers get when endpoints misbehave, and what
+//! stays in force when voters fail.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
         .unwrap();
     assert!(
         (1..=4000).contains(&left),
-        "the route holds it for 4 s: {left}"
+        "the timeout of the route is 4 s: {left}"
     );
 }
 
@@ -91,7 +91,8 @@
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = serving(1, dir.path()).await;
     system.entry.as_ref().unwrap().signal("TERM");
-    // Its callers still come for a moment; the stop is known everywhere in the box by now.
+    // Callers still connect for a moment after the signal. By now, every part of the box knows of
+    // the stop.
     tokio::time::sleep(Duration::from_millis(120)).await;
     endpoints[0].next(Act::Refuse);
     let answer = system.call("POST", "/unsafe/late", "l").await.unwrap();
@@ -106,7 +107,10 @@
         endpoint.next(Act::Foreign);
     }
     let answer = system.call("POST", "/unsafe/once", "u").await.unwrap();
-    assert_eq!(answer.status, 502, "another request's answer is nobody's");
+    assert_eq!(
+        answer.status, 502,
+        "an answer to another request is not delivered"
+    );
     assert_eq!(answer.verdict(), Some("may-have-run"));
     assert_eq!(seen(&endpoints, "/unsafe/once"), 1);
     // The other endpoint still answers its next request with a foreign id.
@@ -127,7 +131,7 @@
     assert_eq!(answer.verdict(), Some("not-run"));
     assert!(
         answer.header("retry-after").is_some(),
-        "it is told when to come back"
+        "the caller is told when to come back"
     );
     let answer = system.call("POST", "/unsafe/fail", "g").await.unwrap();
     assert_eq!(answer.status, 200);
@@ -145,9 +149,12 @@
         endpoint.next(Act::Mistaken);
     }
     let answer = system.call("POST", "/unsafe/moved", "m").await.unwrap();
-    assert_eq!(answer.status, 200, "one of six is what it says");
+    assert_eq!(
+        answer.status, 200,
+        "one of six endpoints is the one expected"
+    );
     let sent = seen(&endpoints, "/unsafe/moved");
-    // Who was found to be another one is asked no more.
+    // An endpoint that was found to be another one gets no further requests.
     for n in 0..6 {
         let answer = system.call("POST", "/unsafe/more", &format!("n{n}")).await;
         assert_eq!(answer.unwrap().status, 200);
@@ -155,14 +162,15 @@
     let mistaken = sent - 1 + seen(&endpoints, "/unsafe/more") - 6;
     assert!(
         mistaken <= 5,
-        "each of five is asked once at most: {mistaken}"
+        "each of five endpoints is sent one request at most: {mistaken}"
     );
 }
 
-/// Seen: a quarter more arrivals at a service than the boxes may send again, while many of its
-/// endpoints were replaced at once. How it came about: requests went on to the next endpoint
-/// at once, up to seven times, and only tries that an endpoint meant took from the budget. Cause:
-/// one count for two things, what a request may still try and what a service may still be sent.
+/// Guards against resends beyond the retry budget while many endpoints of a service are replaced at
+/// once. A request that is turned away goes on to the next endpoint at once, up to seven times. If
+/// only attempts that reached the expected endpoint were charged to the budget, a service would
+/// receive a quarter more requests than boxes may send again. The attempts left to a request and
+/// the resends left to a service are therefore counted separately.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_endpoints_turn_away_is_paid_for_as_what_is_sent_again() {
     const REQUESTS: usize = 12;
@@ -183,15 +191,18 @@
         .sum();
     let retry::Allowance { ratio, slack } = retry::Allowance::default();
     let allowed = ratio * REQUESTS as f64 + slack;
-    assert!(arrivals > REQUESTS, "some are sent again");
+    assert!(arrivals > REQUESTS, "no request was sent again");
     assert!(
         ((arrivals - REQUESTS) as f64) <= allowed,
         "{arrivals} for {REQUESTS}"
     );
-    // Once the endpoints that have gone are known, or the budget is earned, all is served.
+    // Once the replaced endpoints are known, or the budget has recovered, all requests are served.
     endpoints.iter().for_each(Endpoint::calm);
     system.wait_served().await;
-    assert!(served < REQUESTS, "the budget was dry before the end");
+    assert!(
+        served < REQUESTS,
+        "the budget was not used up before the end"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -213,7 +224,7 @@
     assert_eq!(
         String::from_utf8_lossy(&answer.body),
         whole,
-        "no piece is lost or doubled"
+        "a piece is lost or repeated"
     );
     let resumed = endpoints.iter().flat_map(Endpoint::seen);
     let resumed = resumed.filter(|seen| seen.path == "/sresume/on");
@@ -266,11 +277,11 @@
     system
         .announce(0, &endpoints[0].record(5, State::Leaving))
         .await;
-    // A late heartbeat does not bring it back.
+    // A late heartbeat does not make the endpoint ready again.
     system
         .announce(0, &endpoints[0].record(4, State::Ready))
         .await;
-    deploy::wait("the box has heard of it", || async {
+    deploy::wait("the box knows that the endpoint leaves", || async {
         let before = endpoints[0].seen().len();
         for i in 0..8 {
             let _ = system.call("GET", "/safe/leaving", &format!("l{i}")).await;
@@ -289,8 +300,8 @@
     assert_eq!(endpoints[0].seen().len(), before);
 }
 
-/// The record of a start of an endpoint.
-fn of_start(endpoint: &Endpoint, start: u64, sequence: u64) -> Record {
+/// Returns the record of an incarnation of an endpoint.
+fn record_of(endpoint: &Endpoint, start: u64, sequence: u64) -> Record {
     Record {
         incarnation: Some(unit::Incarnation(start)),
         ..endpoint.record(sequence, State::Ready)
@@ -302,37 +313,38 @@
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = serving(1, dir.path()).await;
     let old = &endpoints[0];
-    system.announce(0, &of_start(old, 5, 40)).await;
-    // A connection to it is kept, and it goes on listening: what reaches it is a mistake.
+    system.announce(0, &record_of(old, 5, 40)).await;
+    // The old process keeps listening, and a connection to it stays open. Any request that reaches
+    // it from now on is misrouted.
     system.wait_served().await;
     let address = (system.host, 9100).into();
     let new = Endpoint::start(&old.name, address).await;
-    system.announce(0, &of_start(&new, 9, 1)).await;
+    system.announce(0, &record_of(&new, 9, 1)).await;
     deploy::wait("the later start is used", || async {
         let _ = system.call("GET", "/safe/again", "a").await;
         !new.seen().is_empty()
     })
     .await;
     let before = old.seen().len();
-    // The earlier one is heard late, by way of the same voter.
-    system.announce(0, &of_start(old, 5, 41)).await;
+    // A late heartbeat of the earlier incarnation arrives at the same voter.
+    system.announce(0, &record_of(old, 5, 41)).await;
     for i in 0..20 {
         let call = system.call("POST", "/unsafe/more", &format!("m{i}")).await;
         assert_eq!(call.unwrap().status, 200);
     }
     assert_eq!(old.seen().len(), before);
-    // It goes, and starts once more.
+    // The endpoint leaves, and then starts once more.
     let path = format!("/v1/endpoints/{}", new.name);
     let leave = client::ask(system.publish_address(0), "DELETE", &path, &[], "");
     assert_eq!(leave.await.unwrap().status, 200);
-    system.announce(0, &of_start(&new, 9, 7)).await;
-    deploy::wait("the one that has gone gets nothing", || async {
+    system.announce(0, &record_of(&new, 9, 7)).await;
+    deploy::wait("the endpoint that has left gets no requests", || async {
         let before = new.seen().len();
         let _ = system.call("GET", "/safe/gone", "g").await;
         new.seen().len() == before
     })
     .await;
-    system.announce(0, &of_start(&new, 10, 1)).await;
+    system.announce(0, &record_of(&new, 10, 1)).await;
     system.wait_served().await;
     assert_eq!(old.seen().len(), before);
 }
@@ -341,8 +353,8 @@
 async fn a_heartbeat_that_another_writer_sent_harms_nothing() {
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = serving(1, dir.path()).await;
-    system.announce(0, &of_start(&endpoints[0], 5, 40)).await;
-    let good = serde_json::to_value(of_start(&endpoints[0], 6, 1)).unwrap();
+    system.announce(0, &record_of(&endpoints[0], 5, 40)).await;
+    let good = serde_json::to_value(record_of(&endpoints[0], 6, 1)).unwrap();
     let with = |field: &str, value: serde_json::Value| {
         let mut bad = good.clone();
         bad[field] = value;
@@ -366,8 +378,8 @@
         let short: String = body.chars().take(200).collect();
         assert_eq!(answer.await.unwrap().status, status, "{short}");
     }
-    let figures = client::ask(system.admin_address(0), "GET", "/metrics", &[], "").await;
-    let figures = String::from_utf8(figures.unwrap().body.to_vec()).unwrap();
+    let metrics = client::ask(system.admin_address(0), "GET", "/metrics", &[], "").await;
+    let metrics = String::from_utf8(metrics.unwrap().body.to_vec()).unwrap();
     for (reason, count) in [
         ("unreadable", 2),
         ("mistyped", 4),
@@ -376,9 +388,9 @@
         ("unknown", 1),
     ] {
         let line = format!("scalewood_refused_heartbeats_total{{reason=\"{reason}\"}} {count}");
-        assert!(figures.lines().any(|l| l == line), "{line}: {figures}");
+        assert!(metrics.lines().any(|l| l == line), "{line}: {metrics}");
     }
-    // A line for each of five reasons, and no more, however many there are.
+    // There is one log line for each of five reasons, however many heartbeats are refused.
     let lines = || {
         let log = std::fs::read_to_string(dir.path().join("c0.log")).unwrap();
         log.matches("\"event\":2323").count()
@@ -406,7 +418,11 @@
     other.routes.clear();
     assert_eq!(system.publish(&text(&other)).await, 200);
     assert_eq!(system.publish(&text(&routing(8))).await, 200);
-    assert_eq!(system.read().await, newer, "it is read back as it was sent");
+    assert_eq!(
+        system.read().await,
+        newer,
+        "the routing is read back as it was sent"
+    );
     let mut broken = routing(10);
     broken.services.clear();
     assert_eq!(system.publish(&text(&broken)).await, 400);
@@ -428,7 +444,7 @@
     let dir = tempfile::tempdir().unwrap();
     let mut system = System::start(3, dir.path());
     assert_eq!(system.publish(&text(&routing(1))).await, 200);
-    // All are killed at once and come back.
+    // All voters are killed at once and started again.
     for voter in &mut system.voters {
         voter.take().unwrap().kill();
     }
@@ -436,7 +452,7 @@
         system.start_voter(i, false);
     }
     assert_eq!(system.read().await, text(&routing(1)));
-    // Each loses its disk in turn, right after an acknowledgement.
+    // Each voter in turn loses its disk, right after an acknowledgement.
     for (i, version) in (0..3).zip(2..) {
         let newer = text(&routing(version));
         assert_eq!(system.publish(&newer).await, 200);
@@ -448,12 +464,12 @@
     }
 }
 
-/// Waits until a voter that came back votes again and no other is a member: only then may
-/// the next one be lost.
+/// Waits until a voter that came back votes again and there are no members but the three. Only then
+/// may the next voter be lost.
 async fn wait_settled(system: &System, i: usize) {
-    let figures = system.admin_address(i);
+    let address = system.admin_address(i);
     deploy::wait("the membership is whole", || async move {
-        let answer = client::ask(figures, "GET", "/metrics", &[], "").await;
+        let answer = client::ask(address, "GET", "/metrics", &[], "").await;
         let text = answer.map(|answer| String::from_utf8_lossy(&answer.body).into_owned());
         let text = text.unwrap_or_default();
         let holds = |line: &str| text.lines().any(|l| l == line);
@@ -515,9 +531,10 @@
     system.voters[3].as_ref().unwrap().signal("STOP");
     wait_members(&system, &[0, 1, 2], 3).await;
     system.voters[3].as_ref().unwrap().signal("CONT");
-    // It does not know that it is none any more: nobody speaks to it.
+    // The voter does not know that it was removed, since no other one sends it anything.
     wait_members(&system, &[0, 1, 2, 3], 4).await;
-    // So the loss of two disks is borne again: two of four hold what was acknowledged.
+    // So the loss of two disks is tolerated again: two of four voters still have what was
+    // acknowledged.
     let newer = text(&routing(2));
     assert_eq!(system.publish(&newer).await, 200);
     for i in [1, 2] {
@@ -529,7 +546,7 @@
     assert_eq!(system.read().await, newer);
 }
 
-/// Waits until each of these voters votes among so many.
+/// Waits until each of these voters has a vote in a membership of a given size.
 async fn wait_members(system: &System, voters: &[usize], count: usize) {
     for voter in voters {
         let address = system.admin_address(*voter);
@@ -550,13 +567,13 @@
     let dir = tempfile::tempdir().unwrap();
     let (system, _endpoints) = serving(2, dir.path()).await;
     assert_eq!(system.publish("{").await, 400);
-    let figures = |address| async move {
+    let metrics = |address| async move {
         let answer = client::ask(address, "GET", "/metrics", &[], "")
             .await
             .unwrap();
         String::from_utf8(answer.body.to_vec()).unwrap()
     };
-    let voter = figures(system.admin_address(0)).await;
+    let voter = metrics(system.admin_address(0)).await;
     for line in [
         "scalewood_publications_total{outcome=\"accepted\"} 1",
         "scalewood_publications_total{outcome=\"refused\"} 1",
@@ -570,7 +587,7 @@
             "{line} is missing in:\n{voter}"
         );
     }
-    let entry = figures(system.health()).await;
+    let entry = metrics(system.health()).await;
     let offered = "scalewood_requests_offered_total{service=\"lm\",class=\"safe\"}";
     assert!(entry.contains(offered), "{offered} is missing in:\n{entry}");
 }
@@ -579,18 +596,18 @@
 async fn endpoints_that_can_not_be_reached_cost_no_call_that_another_could_serve() {
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = serving(1, dir.path()).await;
-    // The one that serves is farther away, so that the others go first.
+    // The endpoint that works is in another zone, so that the others are tried first.
     let mut far = endpoints[0].record(2, State::Ready);
     far.zone = "z1".parse().unwrap();
     system.announce(0, &far).await;
-    // Nobody listens there: nothing of a request can have arrived.
+    // Nothing listens at these addresses, so no part of a request can have arrived.
     for i in 0..4 {
         let mut record = endpoints[0].record(1, State::Ready);
         record.name = format!("i-dead-{i}").parse().unwrap();
         record.address = (system.host, 9500 + i).into();
         system.announce(0, &record).await;
     }
-    deploy::wait("the box has heard of them", || async {
+    deploy::wait("the box knows the endpoints", || async {
         let log = std::fs::read_to_string(dir.path().join("e1.log")).unwrap();
         log.contains("i-dead-3")
     })
@@ -620,7 +637,7 @@
         voter.take().unwrap().kill();
     }
     system.entry.take().unwrap().kill();
-    // One of three elects nobody, and the endpoint announces itself to no one.
+    // One voter of three can elect no leader, and the endpoint announces itself to none.
     system.start_voter(0, false);
     system.start_entry();
     system.wait_served().await;
@@ -628,12 +645,17 @@
     assert_eq!(answer.status, 200);
     let newer = text(&routing(8));
     let asked = client::ask(system.publish_address(0), "PUT", "/v1/routing", &[], newer);
-    assert_eq!(asked.await.unwrap().status, 503, "nothing is decided alone");
+    assert_eq!(
+        asked.await.unwrap().status,
+        503,
+        "one voter alone commits nothing"
+    );
 }
 
-/// A voter's disk is lost, and all other voters and the boxes lose power at the same moment, right
-/// after a routing was acknowledged. Two of three voters have it on their disks by then, whoever
-/// acknowledged it, so one that is left has it, and no majority can be had without that one.
+/// A voter loses its disk, and all other voters and the boxes lose power at the same moment, right
+/// after a routing was acknowledged. Two of three voters have the routing on their disks by then,
+/// whichever of them acknowledged it. So one of the remaining voters has it, and there is no
+/// majority without that one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_routing_outlives_a_disk_that_is_lost_as_all_others_lose_power() {
     let dir = tempfile::tempdir().unwrap();
@@ -661,13 +683,13 @@
             let record = endpoint.record(1, State::Ready);
             let path = format!("/v1/endpoints/{}", record.name);
             let body = serde_json::to_string(&record).unwrap();
-            // One that has lost its disk may not take part yet.
+            // The voter that has lost its disk may not be a member yet.
             let at = system.publish_address(voter);
             let _ = client::ask(at, "PUT", &path, &[], body).await;
         }
         system.wait_served().await;
-        // Whoever lost its disk counts again before the next one is lost.
-        deploy::wait("it counts under a new identity", || async {
+        // The voter that lost its disk votes again before the next disk is lost.
+        deploy::wait("the voter votes under a new identity", || async {
             let status = system.operator().status().await;
             status.is_ok_and(|status| {
                 let members = &status.voter.members;
