--- a/tests/testsuite/scaling.rs
+++ b/tests/testsuite/scaling.rs
@@ -1,7 +1,7 @@
-//! How many endpoints are ordered, where and of which kind. Each test names the pattern of load
-//! or loss that it answers; the emulated provider starts endpoints after four seconds, takes
-//! all interruptible ones of a zone away with two seconds of notice, and has none there for
-//! ten seconds: figures as the users' provider shows them.
+//! Autoscaling: how many endpoints are ordered, in which zones and of which kind. Each test names
+//! the pattern of load or loss that it covers. As the users' provider does, the emulated one starts
+//! endpoints after four seconds, takes all interruptible ones of a zone away with two seconds of
+//! notice, and has none there for ten seconds.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,14 +16,14 @@
 
 const ZONES: [&str; 4] = ["z0", "z1", "z2", "z3"];
 const SLOTS: u32 = 12;
-const MAX: u32 = 56;
+const MAX_PER_ZONE: u32 = 56;
 const TICK: Duration = Duration::from_millis(250);
-const STARTS: Duration = Duration::from_secs(4);
+const START_TIME: Duration = Duration::from_secs(4);
 const NOTICE: Duration = Duration::from_millis(2000);
-const DRY: Duration = Duration::from_secs(10);
+const OUTAGE: Duration = Duration::from_secs(10);
 
-/// The demands below are laid out for three tenths of the slots in use: with room to order more
-/// in each zone, and to give up.
+/// Returns settings that aim at three tenths of the slots in use. The demands in the tests assume
+/// this, which leaves room to order more endpoints in each zone and to give some up.
 fn settings() -> Settings {
     Settings {
         utilisation: 0.3,
@@ -34,7 +34,7 @@
 fn offer() -> Offer {
     Offer {
         min: 1,
-        max: MAX,
+        max: MAX_PER_ZONE,
         start_ms: 4000,
         interruptible_price: Some(0.22),
         zone_prices: ZONES
@@ -48,24 +48,25 @@
 #[derive(Clone, Debug, Default)]
 struct Stock {
     serving: u32,
-    /// Those that start, and when they serve.
+    /// When endpoints that are starting will serve, and how many.
     starting: Vec<(Duration, u32)>,
-    /// Those that go, and when they have gone.
+    /// When endpoints that are being taken away will be gone, and how many.
     going: Option<(Duration, u32)>,
 }
 
-/// A provider and what orders make of it.
+/// An emulated provider, and the endpoints that were ordered from it.
 struct World {
     now: Duration,
     scaler: Scaler,
     stock: BTreeMap<(name::Zone, Kind), Stock>,
-    dry: BTreeMap<name::Zone, Duration>,
+    /// Until when a zone has no interruptible endpoints.
+    outages: BTreeMap<name::Zone, Duration>,
     orders: Vec<Order>,
     cordoned: BTreeSet<name::Zone>,
 }
 
 impl World {
-    /// A service with so many ordinary endpoints in each zone.
+    /// Creates a service with a number of ordinary endpoints in each zone.
     fn new(ordinary: u32) -> Self {
         let now = Duration::from_secs(100);
         let stock = ZONES.iter().map(|zone| {
@@ -79,7 +80,7 @@
             now,
             scaler: Scaler::new(settings(), now),
             stock: stock.collect(),
-            dry: BTreeMap::new(),
+            outages: BTreeMap::new(),
             orders: Vec::new(),
             cordoned: BTreeSet::new(),
         }
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Plays for some time with so many slots in use.
-    fn play(&mut self, long: Duration, in_use: u32) {
-        let until = self.now + long;
+    /// Runs for a time with a number of slots in use.
+    fn run(&mut self, time: Duration, in_use: u32) {
+        let until = self.now + time;
         while self.now < until {
             self.now += TICK;
             for stock in self.stock.values_mut() {
@@ -126,8 +127,8 @@
     }
 
     fn take(&mut self, order: &Order) -> Answer {
-        let dry = self
-            .dry
+        let is_out = self
+            .outages
             .get(&order.zone)
             .is_some_and(|until| *until > self.now);
         let stock = self
@@ -136,10 +137,12 @@
             .or_default();
         let has = stock.serving + stock.starting.iter().map(|(_, count)| count).sum::<u32>();
         if order.count > has {
-            if dry && order.kind == Kind::Interruptible {
+            if is_out && order.kind == Kind::Interruptible {
                 return Answer::NoneLeft;
             }
-            stock.starting.push((self.now + STARTS, order.count - has));
+            stock
+                .starting
+                .push((self.now + START_TIME, order.count - has));
         } else {
             let mut less = has - order.count;
             while less > 0 {
@@ -158,7 +161,7 @@
         Answer::Taken
     }
 
-    /// All interruptible endpoints of a zone are about to go.
+    /// Gives notice that all interruptible endpoints of a zone are taken away.
     fn reclaim(&mut self, zone: &str) {
         let zone: name::Zone = zone.parse().unwrap();
         let stock = self
@@ -168,10 +171,10 @@
         stock.going = Some((self.now + NOTICE, stock.serving));
         stock.serving = 0;
         stock.starting.clear();
-        self.dry.insert(zone, self.now + DRY);
+        self.outages.insert(zone, self.now + OUTAGE);
     }
 
-    /// What no order may break: the provider's bounds for both kinds together.
+    /// Checks the provider's bound on the endpoints of both kinds together.
     fn check(&self) {
         for zone in ZONES {
             let zone: name::Zone = zone.parse().unwrap();
@@ -182,7 +185,7 @@
                 })
             };
             let both = count(Kind::Ordinary) + count(Kind::Interruptible);
-            assert!(both <= MAX, "{both} in {zone} at {:?}", self.now);
+            assert!(both <= MAX_PER_ZONE, "{both} in {zone} at {:?}", self.now);
         }
     }
 
@@ -196,13 +199,13 @@
     }
 }
 
-/// Before there is any demand, what was found is replaced by what costs less, and at no time
-/// does less serve than was found.
+/// Before there is any demand, the endpoints found at the start are replaced by cheaper ones, which
+/// serve before the others are given up.
 #[test]
 fn what_was_found_is_replaced_before_it_is_given_up() {
     let mut world = World::new(28);
     for _ in 0..80 {
-        world.play(TICK, 0);
+        world.run(TICK, 0);
         assert!(
             f64::from(world.all()) >= 112.0 * 0.85,
             "{} serve",
@@ -214,13 +217,13 @@
 }
 
 /// A demand of a quarter of the slots, then a burst of three times as much for nine seconds:
-/// the order is out within a tick, and is not taken back while bursts come again.
+/// endpoints are ordered within a tick, and are not given up while bursts recur.
 #[test]
 fn a_burst_is_ordered_for_at_once_and_kept_for_the_next_one() {
     let mut world = World::new(28);
-    world.play(Duration::from_secs(20), 330);
+    world.run(Duration::from_secs(20), 330);
     let before = world.all();
-    world.play(TICK, 1000);
+    world.run(TICK, 1000);
     let ordered: u32 = world
         .orders
         .iter()
@@ -229,65 +232,68 @@
         .map(|order| order.count)
         .sum();
     assert!(ordered > before, "{ordered} ordered, {before} serve");
-    world.play(Duration::from_secs(9), 1000);
+    world.run(Duration::from_secs(9), 1000);
     let grown = world.all();
     assert!(grown > before, "{grown} serve, {before} did");
-    world.play(Duration::from_secs(8), 330);
+    world.run(Duration::from_secs(8), 330);
     assert!(world.all() >= grown, "given up between two bursts");
-    world.play(Duration::from_secs(30), 330);
+    world.run(Duration::from_secs(30), 330);
     assert!(world.all() < grown, "never given up");
 }
 
-/// All interruptible endpoints of a zone go in the middle of a demand: those of the others are
-/// enough for it, replacements are ordered in the tick of the notice, and the zone is full
-/// again soon after they are to be had.
+/// All interruptible endpoints of a zone are taken away under load: those of the other zones
+/// suffice for it, replacements are ordered in the tick of the notice, and the zone has endpoints
+/// again soon after they are available.
 #[test]
 fn a_zone_that_loses_its_interruptible_endpoints_is_covered() {
     let mut world = World::new(28);
-    world.play(Duration::from_secs(30), 330);
+    world.run(Duration::from_secs(30), 330);
     let needed = 330_u32.div_ceil(SLOTS);
     world.reclaim("z1");
     world.orders.clear();
-    world.play(TICK, 330);
+    world.run(TICK, 330);
     let elsewhere = world
         .orders
         .iter()
         .filter(|order| order.zone.as_str() != "z1");
     assert!(elsewhere.count() > 0, "nothing is ordered elsewhere");
-    // Until they are to be had, the order is given again, and they start: with a tick each.
-    let back_within = DRY + Duration::from_secs(2) + STARTS + 4 * TICK;
+    // The outage, the time until the order is repeated, and the time of a start, with some ticks.
+    let back_within = OUTAGE + Duration::from_secs(2) + START_TIME + 4 * TICK;
     let until = world.now + back_within;
     while world.now < until {
-        world.play(TICK, 330);
+        world.run(TICK, 330);
         assert!(world.all() >= 2 * needed, "{} serve", world.all());
     }
     let back = &world.stock[&("z1".parse().unwrap(), Kind::Interruptible)];
     assert!(back.serving > 0, "none came back: {back:?}");
 }
 
-/// None are to be had anywhere under a demand that strains what is left: ordinary ones are
-/// ordered, and given up once others serve in their place.
+/// No interruptible endpoints are available anywhere, and the demand strains the rest: ordinary
+/// ones are ordered, and given up once others serve in their place.
 #[test]
 fn ordinary_endpoints_stand_in_while_no_others_are_to_be_had() {
     let mut world = World::new(28);
-    world.play(Duration::from_secs(30), 900);
+    world.run(Duration::from_secs(30), 900);
     for zone in ZONES {
         world.reclaim(zone);
     }
-    world.play(Duration::from_secs(8), 900);
+    world.run(Duration::from_secs(8), 900);
     let ordinary = world.serving(Kind::Ordinary);
-    assert!(f64::from(ordinary * SLOTS) >= 900.0, "{ordinary} stand in");
-    world.play(Duration::from_secs(60), 900);
+    assert!(
+        f64::from(ordinary * SLOTS) >= 900.0,
+        "{ordinary} ordinary endpoints serve"
+    );
+    world.run(Duration::from_secs(60), 900);
     assert_eq!(world.serving(Kind::Ordinary), 0, "they are still paid for");
 }
 
-/// A zone is cordoned under a demand: what serves elsewhere is at least what the demand asks
-/// for, ordered in the tick of the cordon; the zone's own orders stay as they are; and after
-/// it is uncordoned nothing is given up for as long as is looked back on.
+/// A zone is cordoned under load: endpoints are ordered elsewhere in the tick of the cordon, until
+/// those there suffice for the demand. The orders for the zone itself stay as they are. After it is
+/// uncordoned, nothing is given up within the look-back time.
 #[test]
 fn a_cordoned_zone_is_no_capacity_and_keeps_its_own() {
     let mut world = World::new(28);
-    world.play(Duration::from_secs(30), 300);
+    world.run(Duration::from_secs(30), 300);
     let cordoned: name::Zone = "z1".parse().unwrap();
     let here = |world: &World| -> u32 {
         let stock = world
@@ -300,36 +306,36 @@
     assert!(before > 0);
     world.orders.clear();
     world.cordoned.insert(cordoned.clone());
-    world.play(TICK, 300);
+    world.run(TICK, 300);
     assert!(!world.orders.is_empty(), "nothing is ordered in its place");
     for order in &world.orders {
         assert_ne!(order.zone, cordoned, "{order:?}");
     }
-    world.play(STARTS + TICK, 300);
+    world.run(START_TIME + TICK, 300);
     let needed = (300.0 / 0.3 / f64::from(SLOTS)).ceil() as u32;
     let elsewhere = world.all() - here(&world);
     assert!(elsewhere >= needed, "{elsewhere} of {needed}");
-    world.play(Duration::from_secs(30), 300);
+    world.run(Duration::from_secs(30), 300);
     assert_eq!(here(&world), before);
     let all = world.all();
     world.orders.clear();
     world.cordoned.clear();
-    world.play(Settings::default().look_back - TICK, 300);
+    world.run(Settings::default().look_back - TICK, 300);
     assert_eq!(world.all(), all, "given up at once: {:?}", world.orders);
-    world.play(Duration::from_secs(30), 300);
+    world.run(Duration::from_secs(30), 300);
     assert!(world.all() < all, "never given up");
 }
 
-/// At a demand that leaves room elsewhere, the others together get as many as there were with
-/// the cordoned zone, so that as many of them may go at once as before.
+/// At a demand that leaves room elsewhere, the other zones together get as many endpoints as there
+/// were with the cordoned zone, so that as many of them may be lost at once as before.
 #[test]
 fn what_stood_in_a_cordoned_zone_is_replaced_in_full() {
     let mut world = World::new(28);
-    world.play(Duration::from_secs(60), 100);
+    world.run(Duration::from_secs(60), 100);
     let before = world.all();
     let cordoned: name::Zone = "z1".parse().unwrap();
     world.cordoned.insert(cordoned.clone());
-    world.play(STARTS + 2 * TICK, 100);
+    world.run(START_TIME + 2 * TICK, 100);
     let here = world
         .stock
         .iter()
@@ -339,27 +345,27 @@
     assert!(elsewhere >= before, "{elsewhere} in place of {before}");
 }
 
-/// Without any other zone nothing is ordered, and nothing is given up.
+/// With all zones cordoned, nothing is ordered and nothing is given up.
 #[test]
 fn nothing_is_ordered_while_all_zones_are_cordoned() {
     let mut world = World::new(28);
-    world.play(Duration::from_secs(30), 900);
+    world.run(Duration::from_secs(30), 900);
     let all = world.all();
     world.orders.clear();
     world.cordoned = ZONES.iter().map(|zone| zone.parse().unwrap()).collect();
-    world.play(Duration::from_secs(20), 900);
+    world.run(Duration::from_secs(20), 900);
     assert!(world.orders.is_empty(), "{:?}", world.orders);
     assert_eq!(world.all(), all);
 }
 
-/// Any demand, losses and outages by turns: the bounds hold at each tick, and a service with
-/// demand is never left without endpoints for longer than a start takes.
+/// Random demand, losses and cordons: the bound holds at each tick, and a service with demand is
+/// never without endpoints for longer than an outage and two starts.
 #[test]
 fn bounds_hold_through_any_order_of_demand_and_losses() {
     for seed in 0..30 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut world = World::new(random.random_range(1..40));
-        let mut without = Duration::ZERO;
+        let mut unserved_time = Duration::ZERO;
         for _ in 0..400 {
             if random.random_bool(0.03) {
                 world.reclaim(ZONES[random.random_range(0..ZONES.len())]);
@@ -371,19 +377,22 @@
                 let zone = ZONES[random.random_range(0..ZONES.len())];
                 world.cordoned.insert(zone.parse().unwrap());
             }
-            world.play(TICK, random.random_range(1..2000));
-            without = if world.all() == 0 {
-                without + TICK
+            world.run(TICK, random.random_range(1..2000));
+            unserved_time = if world.all() == 0 {
+                unserved_time + TICK
             } else {
                 Duration::ZERO
             };
-            assert!(without < DRY + STARTS * 2, "seed {seed}: nothing serves");
+            assert!(
+                unserved_time < OUTAGE + START_TIME * 2,
+                "seed {seed}: nothing serves"
+            );
         }
     }
 }
 
-/// Where nothing costs less, the number still follows the demand, and no interruptible ones
-/// are ordered.
+/// If the provider has no interruptible endpoints, the number of ordinary ones still follows the
+/// demand, and no others are ordered.
 #[test]
 fn a_provider_without_interruptible_endpoints_gets_orders_of_the_others_only() {
     let mut scaler = Scaler::new(settings(), Duration::ZERO);
@@ -413,8 +422,8 @@
     }
 }
 
-/// Endpoints that have come and are cold bear too little to stand in for others: these stay
-/// until they are warm. They are not ordered again meanwhile.
+/// Endpoints that have just started and are cold take too little load to replace others, which stay
+/// until the new ones are warm. The new ones are not ordered again meanwhile.
 #[test]
 fn ordinary_endpoints_are_kept_until_those_that_replace_them_are_warm() {
     let seen = |warming| {
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: everything that is wrong is told at once, with line and remedy.
+//! Settings: all errors are reported at once, each with its line and a remedy.
 
 use scalewood::{
     ops::{control, entry},
@@ -70,7 +70,7 @@
     assert!(error.to_string().contains("it can't be read"), "{error}");
 }
 
-/// A provider's settings that make no sense put its tasks off; the voter starts all the same.
+/// Invalid settings of a provider disable its tasks, and the voter starts all the same.
 #[test]
 fn a_provider_that_makes_no_sense_is_told_and_stops_no_voter() {
     use scalewood::ops::control::{provider::Task, Settings};
--- a/tests/testsuite/sight.rs
+++ b/tests/testsuite/sight.rs
@@ -1,4 +1,5 @@
-//! What boxes see of a large fleet: whom they track, and how long a silent endpoint is believed in.
+//! What boxes know of a large fleet: which voters they track, and how long a silent endpoint stays
+//! known.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,11 +16,11 @@
 
 const NOW: Duration = Duration::from_secs(1000);
 
-/// So many voters in each of six zones, all of them in touch.
-fn voters(a_zone: u8) -> BTreeMap<SocketAddr, Candidate> {
+/// Returns a number of voters in each of six zones, all of them in touch.
+fn voters(per_zone: u8) -> BTreeMap<SocketAddr, Candidate> {
     let mut voters = BTreeMap::new();
     for zone in 0..6u8 {
-        for number in 0..a_zone {
+        for number in 0..per_zone {
             let candidate = Candidate {
                 zone: Some(format!("z{zone}").parse().unwrap()),
                 state: Stand::InTouch,
@@ -36,24 +37,25 @@
     follow::choose(&own, &"z1".parse().unwrap(), voters, NOW)
 }
 
-/// Every box followed every voter, so a fleet of 985 boxes and 24 voters had 23,640 subscriptions;
-/// all boxes of a zone exchanged their loads with the one of the lowest address.
+/// If every box followed every voter, a fleet of 985 boxes and 24 voters would have 23,640
+/// subscriptions. The choice is spread over the voters of a zone; otherwise all its boxes would
+/// exchange their loads with the one of the lowest address.
 #[test]
 fn a_box_tracks_two_voters_of_its_zone_however_many_there_are() {
-    for a_zone in [4, 8] {
-        let voters = voters(a_zone);
+    for per_zone in [4, 8] {
+        let voters = voters(per_zone);
         let mut first = BTreeMap::new();
         for number in 0..200 {
             let tracked = chosen(number, &voters);
-            assert_eq!(tracked.len(), follow::TRACKED, "{a_zone}");
+            assert_eq!(tracked.len(), follow::TRACKED, "{per_zone}");
             let zone = "z1".parse().unwrap();
             assert!(tracked
                 .iter()
                 .all(|at| voters[at].zone.as_ref() == Some(&zone)));
             *first.entry(tracked[0]).or_insert(0) += 1;
         }
-        let even = 200 / usize::from(a_zone);
-        assert_eq!(first.len(), usize::from(a_zone), "each has its boxes");
+        let even = 200 / usize::from(per_zone);
+        assert_eq!(first.len(), usize::from(per_zone), "each has its boxes");
         assert!(first.values().all(|boxes| *boxes <= even * 2), "{first:?}");
     }
 }
@@ -67,14 +69,14 @@
     let beside = chosen(7, &voters);
     assert_eq!(beside.len(), 3);
     assert_eq!(beside[..2], tracked[..]);
-    // Its zone has no others, so the third one stands in another zone.
+    // The zone has no other voters, so the third one is in another zone.
     assert_ne!(voters[&beside[2]].zone, voters[&tracked[0]].zone);
-    // One that was just asked has some time to answer.
+    // A voter that was just asked has some time to answer.
     voters.get_mut(&tracked[0]).unwrap().state = Stand::Asked(NOW);
     assert_eq!(chosen(7, &voters), tracked);
     voters.get_mut(&tracked[0]).unwrap().state = Stand::Asked(NOW - Duration::from_secs(1));
     assert_eq!(chosen(7, &voters).len(), 3);
-    // Where none answers, all are tried.
+    // If no voter answers, all are tracked.
     for voter in voters.values_mut() {
         voter.state = Stand::Unknown;
     }
@@ -82,7 +84,8 @@
     assert_eq!(all.len(), voters.len());
 }
 
-/// Boxes that tracked two of eight voters went on with an old configuration for nine seconds.
+/// Boxes that track only two of eight voters may use an old configuration for nine seconds, so all
+/// are tracked if there are few.
 #[test]
 fn of_few_voters_all_are_tracked() {
     let voters = voters(1);
@@ -90,7 +93,8 @@
     assert_eq!(chosen(7, &voters).len(), voters.len());
 }
 
-/// The voters of a zone that is cut off tell their boxes all that they know all the same.
+/// Voters of a zone that is cut off still tell its boxes what they know, so two of them stay
+/// tracked.
 #[test]
 fn of_a_zone_whose_voters_are_cut_off_two_are_tracked() {
     let mut voters = voters(8);
@@ -122,14 +126,14 @@
     }
 }
 
-/// One that hears what another process has of endpoints.
-struct Hearer {
+/// A process that is told the endpoints that another process knows.
+struct Listener {
     registry: Registry,
     voucher: Voucher,
     stamp: u64,
 }
 
-impl Hearer {
+impl Listener {
     fn new(timing: Timing) -> Self {
         let mut registry = Registry::new(timing);
         let voucher = registry.voucher(&"w".parse().unwrap()).unwrap();
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Takes all news; returns how many records and names that took.
+    /// Applies all news. Returns the number of records and names that it consists of.
     fn hear(&mut self, from: &Registry, now: Duration) -> usize {
         let changed = from.told_since(self.stamp, now);
         let silent = from.silent_since(self.stamp);
@@ -160,12 +164,13 @@
     }
 }
 
-/// The voter that an endpoint tells of itself, a voter of a box's zone, and the box.
+/// The path of a heartbeat: the voter that an endpoint announces itself to, a voter of a box's
+/// zone, and the box.
 struct Path {
     timing: Timing,
     voter: Registry,
-    zone: Hearer,
-    own: Hearer,
+    zone: Listener,
+    own: Listener,
 }
 
 impl Path {
@@ -176,13 +181,14 @@
         Self {
             timing,
             voter: Registry::new(timing),
-            zone: Hearer::new(timing),
-            own: Hearer::new(timing),
+            zone: Listener::new(timing),
+            own: Listener::new(timing),
         }
     }
 
-    /// A second's news, to the end; returns what the box was told.
-    fn second(&mut self, now: Duration) -> usize {
+    /// Passes the news of a second along the path. Returns the number of records and names that the
+    /// box was told.
+    fn forward(&mut self, now: Duration) -> usize {
         self.voter.expire_silent(now);
         self.zone.hear(&self.voter, now);
         self.own.hear(&self.zone.registry, now)
@@ -193,8 +199,9 @@
     }
 }
 
-/// Bounds of 3 to 7 s stood for heartbeats of 1.2 s, whatever the settings said; lists of all names
-/// went to each box every 3 s.
+/// The time for which a silent endpoint stays known follows the heartbeat interval of the settings:
+/// fixed bounds of 3 to 7 s would only fit heartbeats of 1.2 s. Heartbeats without news are not
+/// told to boxes, which spares each box a list of all names every 3 s.
 #[test]
 fn an_endpoint_that_lives_is_known_at_any_pace_and_one_that_died_is_not() {
     for heartbeat_ms in [500, 1200, 5000] {
@@ -207,13 +214,13 @@
             let now = NOW + Duration::from_secs(second.into());
             while next <= now {
                 sequence += 1;
-                // Each fifth one is lost.
+                // Every fifth heartbeat is lost.
                 if sequence % 5 != 0 {
                     path.voter.merge(record(sequence), next);
                 }
                 next += heartbeat;
             }
-            told += path.second(now);
+            told += path.forward(now);
             assert!(path.knows(), "{heartbeat_ms} ms, second {second}");
         }
         assert_eq!(
@@ -225,14 +232,14 @@
         let mut now = died;
         while path.knows() {
             now += Duration::from_secs(1);
-            path.second(now);
+            path.forward(now);
             assert!(now <= died + bound, "{heartbeat_ms} ms");
         }
     }
 }
 
-/// A voter that is lost takes none of its endpoints with it while another one hears of them, and the
-/// endpoints of one that is cut off are forgotten.
+/// When a voter is lost, its endpoints stay known as long as another voter hears of them. Endpoints
+/// that no voter in touch hears of are forgotten.
 #[test]
 fn an_endpoint_is_known_while_anybody_vouches_for_it() {
     let timing = Timing::default();
@@ -249,13 +256,13 @@
         own.vouched(second, now);
         assert!(own.expire_silent(now).is_empty());
     }
-    // The second one starts anew and has not told of it yet.
+    // The second voter starts again and has not told of the endpoint yet.
     own.voucher(&"b".parse().unwrap()).unwrap();
     now += timing.silence() - Duration::from_millis(1);
     own.vouched(second, now);
     assert!(
         own.expire_silent(now).is_empty(),
-        "it was vouched for just before"
+        "the endpoint was vouched for just before"
     );
     assert_eq!(own.expire_silent(now + Duration::from_millis(2)).len(), 1);
 }
--- a/tests/testsuite/tenure.rs
+++ b/tests/testsuite/tenure.rs
@@ -1,5 +1,6 @@
-//! Who does what only one process may do: through races, freezes, restarts and splits of the
-//! lead no token is used by two, none falls, and no two act by turns within the rest.
+//! Tenure of tasks that only one process may perform: through races, stalls, restarts and split
+//! leadership, no token is used by two processes, tokens never decrease, and no two processes
+//! alternate within the rest.
 
 use std::time::Duration;
 
@@ -27,8 +28,9 @@
     token: Token,
 }
 
-/// Plays voters whose lead moves at random, with restarts that forget; `rest` is what they keep.
-fn play(seed: u64, rest: Duration) -> Vec<Act> {
+/// Simulates voters among which leadership moves at random, with restarts that lose their state.
+/// `rest` is the time for which they wait before they act under a new token.
+fn simulate(seed: u64, rest: Duration) -> Vec<Act> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut now = Duration::from_secs(100);
     let nodes: Vec<_> = (0..5).map(node).collect();
@@ -40,7 +42,7 @@
         now += TICK;
         match random.random_range(0..60) {
             0 => leader = None,
-            // The lead goes back and forth between two more often than not.
+            // Leadership alternates between two voters more often than not.
             1 | 2 => leader = Some(random.random_range(0..2)),
             3 => leader = Some(random.random_range(0..nodes.len())),
             4 => {
@@ -53,7 +55,7 @@
         for (i, voter) in voters.iter_mut().enumerate() {
             match voter.step(&nodes[i], leader == Some(i), holder.as_ref(), now) {
                 Step::Wait => {}
-                // A proposal is lost now and then.
+                // Proposals are lost at random.
                 Step::Take if random.random_bool(0.3) => {
                     holder = Some(Holder::next(holder.as_ref(), nodes[i].clone()));
                 }
@@ -69,12 +71,13 @@
     acts
 }
 
-/// What a receiver that looks at nothing would hold against the acts.
+/// Returns the first violation among the acts, as seen by a receiver that does not check tokens
+/// itself.
 fn breach(acts: &[Act]) -> Option<String> {
     for (i, act) in acts.iter().enumerate() {
         let before = &acts[..i];
         if before.iter().any(|b| b.token > act.token) {
-            return Some(format!("a token falls: {act:?}"));
+            return Some(format!("a token decreases: {act:?}"));
         }
         if before
             .iter()
@@ -97,15 +100,15 @@
 #[test]
 fn tokens_rise_and_no_two_act_by_turns() {
     for seed in 0..60 {
-        let acts = play(seed, REST);
-        assert!(acts.len() > 200, "seed {seed}: hardly anybody acts");
+        let acts = simulate(seed, REST);
+        assert!(acts.len() > 200, "seed {seed}: hardly any voter acts");
         assert_eq!(breach(&acts), None, "seed {seed}");
     }
 }
 
 #[test]
 fn without_a_rest_two_would_act_by_turns() {
-    let breaches = (0..20).filter_map(|seed| breach(&play(seed, Duration::ZERO)));
+    let breaches = (0..20).filter_map(|seed| breach(&simulate(seed, Duration::ZERO)));
     let by_turns = breaches.filter(|breach| breach.contains("by turns"));
     assert!(by_turns.count() > 10, "the check finds nothing");
 }
@@ -119,7 +122,8 @@
     assert_eq!(tenure.step(&one, true, None, start), Step::Take);
     let act = tenure.step(&one, true, Some(&first), start);
     assert_eq!(act, Step::Act(Token(1)));
-    // Another one has run for long and takes over: nothing of its own lies behind it.
+    // Another process, which has run for long, takes over. It has not acted before, so it need not
+    // wait.
     let second = Holder::next(Some(&first), other.clone());
     let later = start + Duration::from_secs(60);
     let mut tenure = Tenure::new(REST, start);
--- a/tests/testsuite/usage.rs
+++ b/tests/testsuite/usage.rs
@@ -1,5 +1,5 @@
-//! Usage by team: whatever is lost, told twice or told elsewhere, each request counts once, and
-//! what was agreed on for a window stays.
+//! Usage by team: each request counts once, whatever is lost, repeated or told to another voter,
+//! and what was agreed on for a window does not change.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,7 +13,7 @@
     usage::{difference, Book, Closed, Counts, Log, Page, Source, Tally, Voters, Window},
 };
 
-const LENGTH: Duration = Duration::from_secs(5);
+const WINDOW_LENGTH: Duration = Duration::from_secs(5);
 const START_MS: u64 = 1_790_000_000_000;
 
 fn team(i: usize) -> name::Team {
@@ -24,22 +24,22 @@
     pairs.iter().map(|(i, count)| (team(*i), *count)).collect()
 }
 
-/// A box that counts, tells one of some voters, and is killed now and then.
-struct Teller {
+/// A box that counts requests, tells the counts to one of several voters, and is sometimes killed.
+struct CountingBox {
     source: Source,
     tally: Tally,
     voter: usize,
     told: BTreeMap<Window, Counts>,
 }
 
-impl Teller {
+impl CountingBox {
     fn new(i: usize, start: u64) -> Self {
         Self {
             source: Source {
                 name: format!("e{i}").parse().unwrap(),
                 start,
             },
-            tally: Tally::new(LENGTH),
+            tally: Tally::new(WINDOW_LENGTH),
             voter: i % 3,
             told: BTreeMap::new(),
         }
@@ -54,14 +54,15 @@
     }
 }
 
-/// Boxes tell three voters by turns over links that lose messages and answers; the sums of
-/// what was told are exact, and only what a killed box had not told is missing.
+/// Boxes tell their counts to one of three voters at a time, over links that lose messages and
+/// answers. The sums of what was told are exact, and only what a killed box had not told is
+/// missing.
 #[test]
 fn each_request_counts_once_through_losses_moves_and_kills() {
     for seed in 0..40 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut books: Vec<_> = (0..3).map(|_| Book::default()).collect();
-        let mut boxes: Vec<_> = (0..12).map(|i| Teller::new(i, 0)).collect();
+        let mut boxes: Vec<_> = (0..12).map(|i| CountingBox::new(i, 0)).collect();
         let mut truth: BTreeMap<Window, Counts> = BTreeMap::new();
         for step in 0..300_u64 {
             let now_ms = START_MS + 100 * step;
@@ -75,25 +76,25 @@
                 if told {
                     let page = boxes[i].page(now_ms);
                     books[boxes[i].voter].take(page);
-                    // An answer is lost: the box tells the same once more.
+                    // If the answer is lost, the box tells the same once more.
                     if random.random_bool(0.8) {
                         boxes[i].told = boxes[i].tally.windows().clone();
                     }
                 }
                 if random.random_bool(0.01) {
-                    // It goes to another voter and tells everything anew.
+                    // The box moves to another voter and tells everything again.
                     boxes[i].voter = random.random_range(0..3);
                     boxes[i].told.clear();
                 } else if told && random.random_bool(0.005) && step < 250 {
                     add(&mut truth, boxes[i].tally.windows());
-                    boxes[i] = Teller::new(i, step + 1);
+                    boxes[i] = CountingBox::new(i, step + 1);
                 }
             }
         }
-        for teller in &boxes {
-            add(&mut truth, teller.tally.windows());
+        for counting_box in &boxes {
+            add(&mut truth, counting_box.tally.windows());
         }
-        // The holder brings the voters' books together, twice.
+        // The holder merges the books of all voters, twice.
         let mut all = Book::default();
         for _ in 0..2 {
             for book in &books {
@@ -123,8 +124,8 @@
 
 #[test]
 fn a_box_that_was_not_heard_after_the_end_is_waited_for_until_it_starts_again() {
-    let window = Window::at(START_MS, LENGTH).unwrap();
-    let end = window.end_ms(LENGTH);
+    let window = Window::at(START_MS, WINDOW_LENGTH).unwrap();
+    let end = window.end_ms(WINDOW_LENGTH);
     let mut book = Book::default();
     let page = |name: &str, start, heard_ms| Page {
         source: Source {
@@ -144,23 +145,23 @@
             .map(|(source, _)| source.name.to_string())
             .collect()
     };
-    assert_eq!(behind(&book), ["e2"], "e3 has long gone");
+    assert_eq!(behind(&book), ["e2"], "e3 was last heard long ago");
     book.take(page("e2", 2, end + 500));
     assert_eq!(behind(&book), Vec::<String>::new());
 }
 
 #[test]
 fn changes_tell_only_what_is_new_to_the_one_who_asks() {
-    let mut teller = Teller::new(1, 0);
+    let mut counting_box = CountingBox::new(1, 0);
     let mut book = Book::default();
-    teller.tally.count(&team(1), START_MS);
-    teller.tally.count(&team(2), START_MS);
-    book.take(teller.page(START_MS));
+    counting_box.tally.count(&team(1), START_MS);
+    counting_box.tally.count(&team(2), START_MS);
+    book.take(counting_box.page(START_MS));
     let first = book.changed_since(0);
     assert_eq!(first.pages[0].rows[0].counts, counts(&[(1, 1), (2, 1)]));
     assert!(book.changed_since(first.stamp).pages.is_empty());
-    teller.tally.count(&team(2), START_MS);
-    book.take(teller.page(START_MS));
+    counting_box.tally.count(&team(2), START_MS);
+    book.take(counting_box.page(START_MS));
     let second = book.changed_since(first.stamp);
     assert_eq!(second.pages[0].rows[0].counts, counts(&[(2, 2)]));
 }
@@ -182,7 +183,7 @@
     log.close(&closed(8, &[(1, 1)], &[7]));
     assert!(log.windows()[&Window(7)].reported);
     assert!(!log.windows()[&Window(8)].reported);
-    // The log is bounded; a window that was dropped is never agreed on anew.
+    // The log is bounded, and a window that was dropped is never agreed on again.
     for window in 9..200 {
         log.close(&closed(window, &[(1, 1)], &[window - 1]));
     }
@@ -192,37 +193,37 @@
     assert!(!log.windows().contains_key(&Window(7)));
 }
 
-/// A window of 27,000 teams on 390 boxes, by the bytes that boxes tell and the log keeps.
+/// Bounds the bytes that boxes tell and the log keeps for a window of 27,000 teams on 390 boxes.
 #[test]
 fn a_window_of_many_teams_stays_within_its_bounds() {
-    let window = Window::at(START_MS, LENGTH).unwrap();
+    let window = Window::at(START_MS, WINDOW_LENGTH).unwrap();
     let mut book = Book::default();
     let mut told = 0;
     for i in 0..390 {
-        let mut teller = Teller::new(i, 0);
-        // 5,800 requests a second are 75 of a box in a window.
+        let mut counting_box = CountingBox::new(i, 0);
+        // 5,800 requests a second are 75 for each box and window.
         for request in 0..75 {
-            teller
+            counting_box
                 .tally
                 .count(&team((i * 75 + request) % 27_000), START_MS);
         }
-        let page = teller.page(START_MS);
+        let page = counting_box.page(START_MS);
         told += serde_json::to_vec(&page.rows).unwrap().len();
         book.take(page);
     }
     let totals = book.totals(window);
     assert_eq!(totals.values().sum::<u64>(), 390 * 75);
-    let a_box_and_second = told / 390 / 5;
+    let bytes_per_box_second = told / 390 / 5;
     assert!(
-        a_box_and_second < 1024,
-        "{a_box_and_second} bytes a box and second"
+        bytes_per_box_second < 1024,
+        "{bytes_per_box_second} bytes per box and second"
     );
     let report = serde_json::to_vec(&totals).unwrap().len();
     assert!(report < 512 * 1024, "{report} bytes a report");
 }
 
-/// Seen: a voter that had just become the holder closed windows with what its own boxes had
-/// told, a quarter of all, since it had not asked the others yet and so missed none of them.
+/// A voter that has just become the holder has not asked the other voters yet. If it counted them
+/// as heard, it would close windows with only what its own boxes had told, a quarter of all.
 #[test]
 fn nobody_is_heard_before_the_others_were_asked() {
     let names: Vec<name::Box> = ["c1", "c2"].map(|name| name.parse().unwrap()).into();
@@ -231,7 +232,7 @@
     assert_eq!(voters.unheard_since(at(10)), None);
     voters.note([(&names[0], true), (&names[1], false)].into_iter(), at(11));
     assert_eq!(voters.unheard_since(at(10)), Some(vec![names[1].clone()]));
-    // It is taken off the members meanwhile, and is still waited for.
+    // The voter is removed from the members meanwhile, and is still waited for.
     voters.note([(&names[0], true)].into_iter(), at(20));
     assert_eq!(voters.unheard_since(at(15)), Some(vec![names[1].clone()]));
     voters.note([(&names[0], true)].into_iter(), at(27));
--- a/tests/testsuite/wall.rs
+++ b/tests/testsuite/wall.rs
@@ -1,4 +1,4 @@
-//! The time of day that boxes agree on: clocks that jump move nothing while most do not.
+//! The time of day that boxes agree on, which does not move when a minority of the clocks jumps.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 };
 
 const VOTERS: usize = 6;
-/// The true time of day when the steady clock shows zero.
+/// The true time of day when the monotonic clock shows zero.
 const EPOCH_MS: u64 = 1_790_000_000_000;
 
 fn voter(i: usize) -> name::Box {
     format!("c{i}").parse().unwrap()
 }
 
-/// Plays voters of which a third jumps by two seconds at some time; returns the furthest that
-/// the agreed time of one that jumped was off, in milliseconds.
-fn furthest(seed: u64, jump_ms: i64) -> u64 {
+/// Simulates voters, a third of whose clocks jump midway. Returns the largest error of the agreed
+/// time at a voter whose clock jumped, in milliseconds.
+fn max_error_ms(seed: u64, jump_ms: i64) -> u64 {
     let mut random = SmallRng::seed_from_u64(seed);
     let skews: Vec<i64> = (0..VOTERS).map(|_| random.random_range(-30..30)).collect();
     let mut readings = Readings::default();
-    let mut furthest = 0;
+    let mut max_error_ms = 0;
     for step in 0..200_u64 {
         let now = Duration::from_millis(100 * step);
         let true_ms = EPOCH_MS + 100 * step;
@@ -41,17 +41,17 @@
         }
         let agreed = readings.agree(told(0), VOTERS, now).unix_ms(now);
         if step > 10 {
-            furthest = furthest.max(agreed.abs_diff(true_ms));
+            max_error_ms = max_error_ms.max(agreed.abs_diff(true_ms));
         }
     }
-    furthest
+    max_error_ms
 }
 
 #[test]
 fn a_third_of_the_clocks_that_jumps_moves_nothing() {
     for seed in 0..50 {
         for jump_ms in [2000, -2000, 60_000] {
-            let off = furthest(seed, jump_ms);
+            let off = max_error_ms(seed, jump_ms);
             assert!(off <= 60, "seed {seed}, jump {jump_ms}: {off} ms off");
         }
     }
@@ -64,7 +64,7 @@
         readings.note(&voter(i), EPOCH_MS, Duration::ZERO, Duration::ZERO);
     }
     let agreed = readings.agree(EPOCH_MS, VOTERS, Duration::ZERO);
-    // Cut off from the others, its own clock jumps.
+    // The voter is cut off from the others, and its own clock jumps.
     let later = Duration::from_secs(60);
     let jumped = EPOCH_MS + 62_000;
     assert_eq!(readings.agree(jumped, VOTERS, later), agreed);
@@ -75,9 +75,9 @@
     let mut follower = Follower::default();
     let asked = Duration::from_secs(10);
     assert_eq!(follower.unix_ms(123, asked), 123, "nothing is known yet");
-    // The answer was slow; then one came fast, and one slow again.
-    for (way_ms, shown_ms) in [(400, 390), (2, 1), (300, 20)] {
-        let answered = asked + Duration::from_millis(way_ms);
+    // The first answer is slow, the second fast, and the third slow again.
+    for (round_trip_ms, shown_ms) in [(400, 390), (2, 1), (300, 20)] {
+        let answered = asked + Duration::from_millis(round_trip_ms);
         follower.note(EPOCH_MS + shown_ms, asked, answered);
     }
     let now = asked + Duration::from_secs(1);
@@ -86,8 +86,9 @@
     assert_eq!(follower.error(), Some(Duration::from_millis(1)));
 }
 
-/// Seen: a voter that had been frozen for 7.6 s took what the others had told it before as their
-/// time now, and its boxes counted five seconds of requests into windows long past.
+/// Readings that were in flight while a voter was frozen are ignored. A voter that was frozen for
+/// 7.6 s and took them as the current time would make its boxes count five seconds of requests into
+/// windows long past.
 #[test]
 fn what_was_under_way_during_a_freeze_tells_no_time() {
     let mut readings = Readings::default();
