--- a/benches/capacity/config.rs
+++ b/benches/capacity/config.rs
@@ -1,4 +1,4 @@
-//! The configuration by its number of teams: memory, bytes, and time for a change.
+//! The cost of the configuration by its number of teams: memory, bytes, and the time for a change.
 
 use std::{sync::Arc, time::Instant};
 
@@ -72,7 +72,7 @@
     document
 }
 
-/// Prints the slopes.
+/// Measures and prints the slopes.
 pub(crate) fn measure() {
     println!("configuration: 14 services, 70 classes, 600 endpoints, 390 boxes, by teams");
     let sizes = [3000, 9000, 18_000, 27_000];
--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -1,5 +1,5 @@
-//! Voters: the time from accept to in force everywhere, the cost of a change by the
-//! number of subscribers, changes a second, and the time to a new leader.
+//! Voters: the time from the acceptance of a change until it is in force everywhere, the cost of a
+//! change by the number of subscribers, and the time to a new leader.
 
 use std::time::{Duration, Instant};
 
@@ -18,10 +18,10 @@
     support::{client, deploy},
 };
 
-/// Changes of the timed parts.
+/// The number of changes that each part times.
 const CHANGES: usize = 100;
 
-/// Prints the figures.
+/// Measures and prints the figures.
 pub(crate) async fn measure() {
     in_force().await;
     subscribers().await;
@@ -91,7 +91,7 @@
         .expect("a connection");
     let who = format!("subscriber-{number}").parse().expect("a box");
     let subscription = client.follow(who, from).await.expect("a subscription");
-    // The connection lives as long as the subscription is read.
+    // The connection must stay open as long as the subscription is read.
     std::mem::forget(client);
     subscription
 }
--- a/benches/capacity/fit.rs
+++ b/benches/capacity/fit.rs
@@ -1,13 +1,13 @@
-//! A line through measured points.
+//! A least-squares line through measured points.
 
-/// The slope and the offset of the line that fits best.
+/// Returns the slope and the offset of the line that fits best.
 pub(crate) fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
     let mean_y = points.iter().map(|p| p.1).sum::<f64>() / n;
-    let along: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
-    let spread: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
-    let slope = along / spread;
+    let covariance: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let variance: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let slope = covariance / variance;
     (slope, mean_y - slope * mean_x)
 }
 
--- a/benches/capacity/gossip.rs
+++ b/benches/capacity/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership and loads by the number of boxes in a zone: messages and bytes.
+//! The messages and bytes of membership and loads, by the number of boxes in a zone.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     format!("entry-box-{i}").parse().expect("a box")
 }
 
-/// The loads of a full message: three dispatchers with five tiers.
+/// Returns the loads of a full message: three dispatchers with five tiers each.
 fn loads() -> Vec<(name::Service, Load)> {
     let load = |i: u32| {
         let waits = (0..5).map(|tier| (unit::Tier(tier), Duration::from_millis(1234)));
@@ -34,10 +34,11 @@
     (0..3).map(load).collect()
 }
 
-/// Bytes that JSON-RPC and the frames add to a message, about.
-const ENVELOPE: usize = 80;
+/// The approximate number of bytes that JSON-RPC and the frames add to a message.
+const ENVELOPE_BYTES: usize = 80;
 
-/// Bytes and messages a second that a box of a zone sends, while boxes come and go.
+/// Returns the bytes and messages a second that a box of a zone sends while there is always news of
+/// other boxes.
 fn rate(boxes: usize) -> (f64, f64) {
     let mut now = Duration::from_secs(10);
     let mut members: Vec<_> = (0..boxes)
@@ -49,13 +50,13 @@
         })
         .collect();
     let (mut bytes, mut messages) = (0, 0);
-    let span = 60;
+    let span_s = 60;
     let zone: name::Zone = "zone-0".parse().expect("a zone");
     let loads = loads();
-    for _ in 0..span * 20 {
+    for _ in 0..span_s * 20 {
         now += Duration::from_millis(50);
         for i in 0..boxes {
-            // The last eighth of the boxes is dead: news is always under way.
+            // The last eighth of the boxes is dead, so there is always news to send.
             if i >= boxes - boxes / 8 {
                 continue;
             }
@@ -68,7 +69,7 @@
                         members: message,
                         loads: loads.clone(),
                     };
-                    bytes += serde_json::to_string(&probe).expect("a text").len() + ENVELOPE;
+                    bytes += serde_json::to_string(&probe).expect("a text").len() + ENVELOPE_BYTES;
                     messages += 1;
                     probe.members
                 };
@@ -83,11 +84,11 @@
             }
         }
     }
-    let per = (boxes * span) as f64;
+    let per = (boxes * span_s) as f64;
     (bytes as f64 / per, f64::from(messages) / per)
 }
 
-/// Prints the slopes.
+/// Measures and prints the slopes.
 pub(crate) fn measure() {
     println!("gossip: what a box sends, by the boxes of its zone, each message full of loads");
     let sizes = [8, 16, 36, 72];
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,9 +1,10 @@
-//! The slopes behind `docs/CAPACITY.md`: what a daemon's work costs by its size.
+//! The slopes in `docs/CAPACITY.md`: how the cost of a daemon's work grows with its size.
 //!
-//! `cargo bench --bench capacity`. Each slope is a fit (least squares) over several
-//! sizes in one run; names as arguments pick some of the parts.
+//! Run with `cargo bench --bench capacity`. Each slope is a least-squares fit over several sizes in
+//! one run. Arguments select parts by name.
 
-// Nothing here outlasts a suspension of the machine.
+// Nothing here runs on after a suspension of the machine, so clocks that stand still meanwhile do
+// no harm.
 #![allow(clippy::disallowed_methods)]
 
 #[path = "../../tests/testsuite/support/mod.rs"]
@@ -21,11 +22,11 @@
 mod streams;
 
 fn main() {
-    let picked: Vec<String> = std::env::args()
+    let selected: Vec<String> = std::env::args()
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
-    let runs = |name: &str| picked.is_empty() || picked.iter().any(|p| p == name);
+    let runs = |name: &str| selected.is_empty() || selected.iter().any(|p| p == name);
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
     if runs("config") {
         config::measure();
--- a/benches/capacity/process.rs
+++ b/benches/capacity/process.rs
@@ -2,13 +2,13 @@
 
 use std::{fs, time::Duration};
 
-/// Ticks of processor time in a second, as Linux counts them in `/proc`.
-const TICKS: f64 = 100.0;
+/// The unit of processor time in `/proc` on Linux: ticks in a second.
+const TICKS_PER_S: f64 = 100.0;
 
-/// Processor time that a process has used, in seconds.
+/// Returns the processor time that a process has used, in seconds.
 pub(crate) fn cpu(pid: u32) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name in parentheses may hold spaces; the fields after it do not.
+    // The name in parentheses may contain spaces; the fields after it do not.
     let fields: Vec<_> = stat
         .rsplit(')')
         .next()
@@ -21,10 +21,10 @@
             .and_then(|f| f.parse::<f64>().ok())
             .unwrap_or_default()
     };
-    (field(11) + field(12)) / TICKS
+    (field(11) + field(12)) / TICKS_PER_S
 }
 
-/// Memory that a process holds, in MiB.
+/// Returns the resident memory of a process, in MiB.
 pub(crate) fn memory(pid: u32) -> f64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status
@@ -38,8 +38,8 @@
     kib.unwrap_or_default() / 1024.0
 }
 
-/// Processor time that a process uses while something runs, in seconds, and how long
-/// that took.
+/// Runs a future to its end. Returns the processor time that a process used meanwhile, in seconds,
+/// how long it took, and the output.
 pub(crate) async fn during<F: std::future::Future>(
     pid: u32,
     work: F,
@@ -49,7 +49,7 @@
     (cpu(pid) - before, begin.elapsed(), output)
 }
 
-/// An empty folder for a part of the benchmark.
+/// Creates an empty folder for a part of the benchmark.
 pub(crate) fn folder(name: &str) -> std::path::PathBuf {
     let dir = std::env::temp_dir().join(format!("scalewood-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
--- a/benches/capacity/streams.rs
+++ b/benches/capacity/streams.rs
@@ -1,5 +1,5 @@
-//! One entry box: processor time for each request and token, memory for each stream,
-//! and what it costs when nobody calls.
+//! One entry box: processor time for each request and token, memory for each stream, and the cost
+//! without callers.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
     support::{client, deploy},
 };
 
-/// Callers of the loaded parts.
+/// The number of callers in the part with load.
 const CALLERS: usize = 32;
 
-/// Prints the slopes.
+/// Measures and prints the slopes.
 pub(crate) async fn measure() {
     loaded().await;
     held().await;
--- a/benches/decisions/baseline.rs
+++ b/benches/decisions/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines: every request goes to an engine at once and waits inside of it.
+//! The baselines: every request is sent to an engine at once and waits in its queue.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
     RoundRobin,
-    /// The least of what load reports said some time ago.
+    /// The fewest outstanding requests, by load reports that lag.
     LeastOutstanding,
 }
 
-/// How old load reports are at most.
-const LAG: Duration = Duration::from_millis(500);
-/// How long a dead or leaving engine is still chosen: the platform's list lags.
+/// The maximal age of load reports.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(500);
+/// How long a dead or leaving engine is still chosen, since the platform's list of engines lags.
 const LIST_LAG: Duration = Duration::from_secs(5);
 
 pub(crate) struct Baseline {
@@ -27,7 +27,7 @@
     turn: usize,
     loads: Vec<usize>,
     reported: Duration,
-    /// From when on an engine is known to be gone.
+    /// The time from which on an engine is known to be gone.
     gone: Vec<Option<Duration>>,
     random: SmallRng,
 }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends a request to an engine, and again elsewhere if that is dead.
+    /// Sends a request to an engine, and to another one if that is dead.
     fn send(&mut self, world: &mut World, request: usize) {
         let zone = world.requests[request].zone;
         for _ in 0..3 {
@@ -75,35 +75,36 @@
                 break;
             };
             if !world.engines[engine].up {
-                // Its load looks the same until the list says so.
+                // The engine looks alive until the list tells otherwise, so its load is counted as
+                // usual.
                 self.loads[engine] += 1;
                 continue;
             }
             self.loads[engine] += 1;
             world.engines[engine].queue.push_back(request);
-            self.pump(world, engine);
+            self.start_queued(world, engine);
             return;
         }
         world.end(request, End::Shed);
     }
 
-    fn pump(&mut self, world: &mut World, engine: usize) {
+    fn start_queued(&mut self, world: &mut World, engine: usize) {
         while world.engines[engine].up && world.engines[engine].running < world.service.slots {
             let Some(request) = world.engines[engine].queue.pop_front() else {
                 return;
             };
-            if world.fates[request].end.is_none() {
+            if world.progress[request].end.is_none() {
                 world.start(request, engine);
             }
         }
     }
 
-    fn lose(&mut self, world: &mut World, engine: usize) {
+    fn lose_engine(&mut self, world: &mut World, engine: usize) {
         for run in world.runs_at(engine) {
             let Some(run) = world.stop(run, false) else {
                 continue;
             };
-            if world.fates[run.request].first.is_some() {
+            if world.progress[run.request].first.is_some() {
                 world.end(run.request, End::Broken);
             } else {
                 self.send(world, run.request);
@@ -111,7 +112,7 @@
         }
         let queued: Vec<_> = world.engines[engine].queue.drain(..).collect();
         for request in queued {
-            if world.fates[request].end.is_none() {
+            if world.progress[request].end.is_none() {
                 self.send(world, request);
             }
         }
@@ -126,13 +127,13 @@
     }
 
     fn leave(&mut self, world: &mut World, request: usize) {
-        if world.fates[request].end.is_some() || world.fates[request].first.is_some() {
+        if world.progress[request].end.is_some() || world.progress[request].first.is_some() {
             return;
         }
         let run = world.run_of(request);
         world.end(request, End::Left);
         if let Some(run) = run.and_then(|run| world.stop(run, false)) {
-            self.pump(world, run.engine);
+            self.start_queued(world, run.engine);
         }
     }
 
@@ -142,12 +143,12 @@
 
     fn done(&mut self, world: &mut World, run: u64) {
         if let Some(run) = world.done(run) {
-            self.pump(world, run.engine);
+            self.start_queued(world, run.engine);
         }
     }
 
     fn tick(&mut self, world: &mut World) {
-        if world.now >= self.reported + LAG {
+        if world.now >= self.reported + MAX_REPORT_AGE {
             self.reported = world.now;
             let load = |engine: &crate::world::Engine| engine.queue.len() + engine.running as usize;
             self.loads = world.engines.iter().map(load).collect();
@@ -158,12 +159,12 @@
         match fault {
             Fault::Crash(engine) | Fault::Gone(engine) => {
                 self.gone[engine].get_or_insert(world.now + LIST_LAG);
-                self.lose(world, engine);
+                self.lose_engine(world, engine);
             }
             Fault::Recover(engine) => self.gone[engine] = None,
             Fault::Leaving(engine) => self.gone[engine] = Some(world.now + LIST_LAG),
             Fault::Cut(zone) => {
-                let abroad: Vec<_> = world
+                let cut_runs: Vec<_> = world
                     .runs
                     .iter()
                     .filter(|(_, run)| {
@@ -175,10 +176,10 @@
                     .map(|(id, _)| *id)
                     .collect();
                 let _ = zone;
-                for id in abroad {
+                for id in cut_runs {
                     if let Some(run) = world.stop(id, false) {
                         world.end(run.request, End::Broken);
-                        self.pump(world, run.engine);
+                        self.start_queued(world, run.engine);
                     }
                 }
             }
--- a/benches/decisions/cost.rs
+++ b/benches/decisions/cost.rs
@@ -1,4 +1,4 @@
-//! What one decision costs, by the number of endpoints and of waiting requests.
+//! The cost of one decision, by the numbers of endpoints and of waiting requests.
 
 use std::{
     collections::BTreeMap,
@@ -11,12 +11,12 @@
     name, unit,
 };
 
-/// Decisions that are timed.
+/// The number of decisions that are timed.
 const DECISIONS: u64 = 20_000;
-/// Slots of an endpoint.
+/// The slots of each endpoint.
 const SLOTS: u32 = 8;
 
-/// Prints nanoseconds for each decision: a run ends, and the next request starts.
+/// Prints the nanoseconds for each decision, in which a run ends and the next request starts.
 pub(crate) fn measure() {
     println!("\nnanoseconds for each decision (a run ends, a request comes, one starts)");
     for endpoints in [10, 100, 600] {
--- a/benches/decisions/fingerprint.rs
+++ b/benches/decisions/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What it costs to tell whether a request is one under which endpoints end.
+//! The cost of telling whether a request is held back because endpoints ended while they ran it.
 
 use std::{hint::black_box, time::Duration, time::Instant};
 
@@ -8,22 +8,23 @@
     name,
 };
 
-/// Requests that are timed; fewer for the largest bodies.
+/// The number of requests that are timed, which is smaller for the largest bodies.
 const ROUNDS: usize = 20_000;
-const ROUNDS_OF_LARGE: usize = 20;
-/// The largest body that is taken by default.
-const LARGE: usize = 4 << 20;
+const ROUNDS_LARGE: usize = 20;
+/// The size in bytes of the largest body that is accepted by default.
+const LARGE_BYTES: usize = 4 << 20;
 
-/// Prints the time for each request: where nothing is known of any, of others only, and of it.
+/// Prints the time for each request: with no request known, with only others known, and with the
+/// request itself known.
 pub(crate) fn measure() {
     println!("\ntime for each request to tell whether it is held back");
     let nothing = Book::default();
     let others = book(b"another");
-    for length in [5_000, LARGE] {
+    for length in [5_000, LARGE_BYTES] {
         let body = vec![b'x'; length];
         let own = book(&body);
-        let rounds = if length == LARGE {
-            ROUNDS_OF_LARGE
+        let rounds = if length == LARGE_BYTES {
+            ROUNDS_LARGE
         } else {
             ROUNDS
         };
@@ -59,7 +60,7 @@
     book
 }
 
-/// What a box does for each request before it is sent.
+/// Does what a box does for each request before it is sent.
 fn is_held_back(book: &Book, body: &[u8]) -> bool {
     if book.is_empty() {
         return false;
--- a/benches/decisions/load.rs
+++ b/benches/decisions/load.rs
@@ -1,17 +1,17 @@
-//! The two deployments of the brief, their classes, and their requests.
+//! The deployments of the two users, their classes and their requests.
 
 use std::time::Duration;
 
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use scalewood::core::{config, unit};
 
-/// A class of requests and what it looks like.
+/// A class of requests and the shape of its load.
 #[derive(Clone, Debug)]
 pub(crate) struct Class {
     pub(crate) name: &'static str,
     pub(crate) config: config::Class,
-    /// Its part of the work that is offered.
-    pub(crate) part: f64,
+    /// Its fraction of the offered work.
+    pub(crate) work_fraction: f64,
     /// The median of its answers' lengths, in tokens.
     pub(crate) tokens: f64,
     /// The mean of its prompts' lengths, in tokens.
@@ -29,33 +29,33 @@
     pub(crate) boxes: Vec<usize>,
     pub(crate) slots: u32,
     /// Seconds for each token of an answer.
-    pub(crate) token: f64,
-    /// Seconds for each token of a prompt; a plain service's calls are all prompt.
-    pub(crate) prefill: f64,
-    /// One way between zones.
+    pub(crate) token_s: f64,
+    /// Seconds for each token of a prompt. Calls of plain services consist of a prompt alone.
+    pub(crate) prefill_s: f64,
+    /// The one-way latency between zones.
     pub(crate) link: Duration,
     pub(crate) model: bool,
 }
 
-/// How the lengths of answers spread (the sigma of a log-normal).
-const SPREAD: f64 = 0.7;
+/// The sigma of the log-normal distribution of the lengths of answers.
+const LENGTH_SIGMA: f64 = 0.7;
 
 impl Class {
-    /// The mean length of its answers.
+    /// Returns the mean length of its answers.
     fn mean_tokens(&self) -> f64 {
-        self.tokens * (SPREAD * SPREAD / 2.0).exp()
+        self.tokens * (LENGTH_SIGMA * LENGTH_SIGMA / 2.0).exp()
     }
 }
 
 impl Service {
-    /// The mean time that a request of a class holds a slot, in seconds.
+    /// Returns the mean time for which a request of a class holds a slot, in seconds.
     pub(crate) fn hold(&self, class: &Class) -> f64 {
         let answer = if self.model {
-            class.mean_tokens() * self.token
+            class.mean_tokens() * self.token_s
         } else {
             0.0
         };
-        class.prompt * self.prefill + answer
+        class.prompt * self.prefill_s + answer
     }
 
     pub(crate) fn total_slots(&self) -> f64 {
@@ -71,7 +71,7 @@
     share: f64,
     shape: (f64, f64, f64),
 ) -> Class {
-    let (part, tokens, prompt) = shape;
+    let (work_fraction, tokens, prompt) = shape;
     let config = config::Class {
         tier: unit::Tier(tier),
         target: Duration::from_millis(target_ms),
@@ -85,13 +85,13 @@
     Class {
         name,
         config,
-        part,
+        work_fraction,
         tokens,
         prompt,
     }
 }
 
-/// The services of both users.
+/// Returns the services of both users.
 pub(crate) fn services() -> Vec<Service> {
     let catalogue = Service {
         name: "catalogue model",
@@ -104,8 +104,8 @@
         endpoints: vec![5, 5, 5, 5],
         boxes: vec![3, 2, 2, 2],
         slots: 16,
-        token: 0.03,
-        prefill: 0.0001,
+        token_s: 0.03,
+        prefill_s: 0.0001,
         link: Duration::from_micros(500),
         model: true,
     };
@@ -117,7 +117,7 @@
         ],
         endpoints: vec![1, 1, 1, 1],
         slots: 8,
-        prefill: 0.0005,
+        prefill_s: 0.0005,
         model: false,
         ..catalogue.clone()
     };
@@ -159,24 +159,25 @@
     pub(crate) prompt: u64,
 }
 
-/// The load before and after a burst, as a part of capacity.
-const CALM: f64 = 0.6;
-/// When the burst begins and ends, and when the last request comes.
-pub(crate) const BURST: (f64, f64, f64) = (30.0, 90.0, 150.0);
+/// The load before and after the burst, as a fraction of capacity.
+const BASE_LOAD: f64 = 0.6;
+/// When the burst begins and ends, and when the last request arrives, in seconds.
+pub(crate) const BURST_S: (f64, f64, f64) = (30.0, 90.0, 150.0);
 
-/// The requests of a run: calm, a burst at `factor` times capacity, calm.
+/// Returns the requests of a run: the base load, a burst at `factor` times capacity, and the base
+/// load again.
 pub(crate) fn requests(service: &Service, factor: f64, seed: u64) -> Vec<Request> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut requests = Vec::new();
     for (index, class) in service.classes.iter().enumerate() {
         // Requests a second at a load of 1.
-        let rate = service.total_slots() * class.part / service.hold(class);
+        let rate = service.total_slots() * class.work_fraction / service.hold(class);
         let mut at = 0.0;
-        while at < BURST.2 {
-            let load = if (BURST.0..BURST.1).contains(&at) {
+        while at < BURST_S.2 {
+            let load = if (BURST_S.0..BURST_S.1).contains(&at) {
                 factor
             } else {
-                CALM
+                BASE_LOAD
             };
             at += -random.random_range(f64::EPSILON..1.0f64).ln() / (rate * load);
             requests.push(request(service, class, index, at, &mut random));
@@ -199,7 +200,7 @@
         .sum::<f64>()
         - 6.0;
     let tokens = if service.model {
-        class.tokens * (SPREAD * normal).exp()
+        class.tokens * (LENGTH_SIGMA * normal).exp()
     } else {
         1.0
     };
@@ -209,7 +210,7 @@
         class: index,
         zone,
         entry: random.random_range(0..service.boxes[zone]),
-        // Positive and small, so the casts are exact enough.
+        // The values are positive and small, so the casts are exact enough.
         tokens: tokens.ceil().clamp(1.0, 4000.0) as u64,
         prompt: prompt.ceil().max(1.0) as u64,
     }
--- a/benches/decisions/main.rs
+++ b/benches/decisions/main.rs
@@ -1,11 +1,12 @@
-//! How good the decisions are, and what one costs.
+//! The quality of the decisions, and the cost of one.
 //!
-//! `cargo bench --bench decisions` runs the two deployments of the brief in virtual
-//! time, with bursts and faults, under round robin, least outstanding on lagged
-//! reports, our dispatchers, and the same with known output lengths. All four see
-//! the same requests and faults. Names of services as arguments pick some.
+//! `cargo bench --bench decisions` runs the deployments of the two users in virtual time, with
+//! bursts and faults, under round robin, least outstanding requests by lagged reports, the
+//! dispatchers of this project, and the same with known output lengths. All four get the same
+//! requests and faults. Arguments select services by name.
 
-// Nothing here outlasts a suspension of the machine.
+// Nothing here runs on after a suspension of the machine, so clocks that stand still meanwhile do
+// no harm.
 #![allow(clippy::disallowed_methods)]
 
 use std::time::Duration;
@@ -22,7 +23,7 @@
 
 use world::{Event, Fault, World};
 
-/// What is measured: where requests go.
+/// A routing strategy that is measured.
 trait Router {
     fn arrive(&mut self, world: &mut World, request: usize);
     fn leave(&mut self, world: &mut World, request: usize);
@@ -40,23 +41,23 @@
     fn order(&mut self, world: &mut World, zone: usize, order: dispatch::Order);
 }
 
-/// How often routers are told that time has passed.
+/// The interval of the ticks that routers get.
 const TICK: Duration = Duration::from_millis(20);
 /// The seeds of the runs.
 const SEEDS: [u64; 3] = [11, 12, 13];
 
 fn main() {
-    let picked: Vec<String> = std::env::args()
+    let selected: Vec<String> = std::env::args()
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
     for service in load::services() {
         let named = |name: &String| service.name.contains(name.as_str());
-        if picked.is_empty() || picked.iter().any(named) {
+        if selected.is_empty() || selected.iter().any(named) {
             measure(&service);
         }
     }
-    if picked.is_empty() || picked.iter().any(|name| name == "cost") {
+    if selected.is_empty() || selected.iter().any(|name| name == "cost") {
         cost::measure();
         fingerprint::measure();
     }
@@ -101,7 +102,7 @@
         world.at(world.requests[i].at, Event::Arrive(i));
     }
     if faults {
-        schedule(&mut world);
+        schedule_faults(&mut world);
     }
     world.at(Duration::ZERO, Event::Tick);
     match kind {
@@ -121,9 +122,9 @@
     score::Outcome::of(&world)
 }
 
-/// The faults of a run: a crash mid-stream, a slow engine, an entry box lost, a zone
-/// cut off, and an endpoint that leaves, all during the burst and after it.
-fn schedule(world: &mut World) {
+/// Schedules the faults of a run: a crash mid-stream, a slow engine, a lost entry box, a zone that
+/// is cut off, and an endpoint that leaves, all during the burst and after it.
+fn schedule_faults(world: &mut World) {
     let last = world.engines.len() - 1;
     let zones = world.service.boxes.len();
     for (at, fault) in [
@@ -147,7 +148,7 @@
             Event::Arrive(request) => {
                 let (zone, entry) = (world.requests[request].zone, world.requests[request].entry);
                 if world.lost[zone][entry] {
-                    // The balancer sends it to another box of the zone.
+                    // The load balancer sends the request to another box of the zone.
                     let alive = world.lost[zone].iter().position(|lost| !lost);
                     world.requests[request].entry = alive.expect("a box is left");
                 }
@@ -159,7 +160,7 @@
             Event::Report(zone, from, report) => router.report(world, zone, from, *report),
             Event::Order(zone, order) => router.order(world, zone, order),
             Event::Fault(fault) => {
-                begin(world, fault);
+                apply_fault(world, fault);
                 router.fault(world, fault);
             }
             Event::Tick => {
@@ -172,7 +173,7 @@
     }
 }
 
-fn begin(world: &mut World, fault: Fault) {
+fn apply_fault(world: &mut World, fault: Fault) {
     match fault {
         Fault::Crash(engine) | Fault::Gone(engine) => world.engines[engine].up = false,
         Fault::Recover(engine) => world.engines[engine].up = true,
--- a/benches/decisions/ours.rs
+++ b/benches/decisions/ours.rs
@@ -1,5 +1,5 @@
-//! Our dispatchers, one for each zone, with links that take time and summaries that
-//! lag: the code of `core`, driven by virtual time.
+//! The project's own dispatchers, one for each zone, with links that have latency and summaries
+//! that lag: the code of `core`, driven by virtual time.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,18 +14,18 @@
     Router,
 };
 
-/// One way between two boxes of a zone.
-const NEAR: Duration = Duration::from_micros(200);
-/// How long it takes until a lost box counts as dead.
-const DETECT: Duration = Duration::from_millis(1500);
-/// How often summaries are exchanged between zones.
-const EXCHANGE: Duration = Duration::from_millis(500);
-/// How long it takes to see an endpoint's sign that it leaves.
-const SIGN: Duration = Duration::from_millis(500);
+/// The one-way latency between two boxes of a zone.
+const ZONE_LATENCY: Duration = Duration::from_micros(200);
+/// The time until a lost box is detected as dead.
+const DETECTION_TIME: Duration = Duration::from_millis(1500);
+/// The interval at which zones exchange summaries.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
+/// The time until it is seen that an endpoint leaves.
+const LEAVING_DELAY: Duration = Duration::from_millis(500);
 
-/// Where a request of ours stands.
+/// The state of a request: its attempt, the zone that dispatches it, and its run.
 #[derive(Clone, Debug)]
-struct Place {
+struct RequestState {
     attempt: attempt::Attempt,
     /// The zone whose dispatcher has it.
     zone: usize,
@@ -37,9 +37,9 @@
 pub(crate) struct Ours {
     known_lengths: bool,
     dispatchers: Vec<Dispatcher>,
-    /// Which entry box of each zone dispatches.
-    homes: Vec<usize>,
-    places: BTreeMap<usize, Place>,
+    /// The entry box of each zone that runs the dispatcher.
+    dispatching_boxes: Vec<usize>,
+    states: BTreeMap<usize, RequestState>,
     summaries: Vec<Summary>,
     exchanged: Duration,
     /// Zones whose dispatcher was lost, and when the next one takes over.
@@ -49,7 +49,7 @@
     budget: retry::Budget,
 }
 
-/// The attempt of an order; the dispatchers here give no others.
+/// Returns the attempt of an order. The dispatchers here send only orders about attempts.
 fn attempt_of(order: &Order) -> attempt::Attempt {
     order.attempt().expect("the order is about an attempt")
 }
@@ -76,8 +76,8 @@
         let mut ours = Self {
             known_lengths,
             dispatchers: Vec::new(),
-            homes: Vec::new(),
-            places: BTreeMap::new(),
+            dispatching_boxes: Vec::new(),
+            states: BTreeMap::new(),
             summaries: vec![Summary::default(); zones],
             exchanged: Duration::ZERO,
             lost: vec![None; zones],
@@ -86,7 +86,7 @@
             budget: retry::Budget::new(retry::Settings::default()),
         };
         for zone in 0..zones {
-            ours.homes.push(home(world, zone));
+            ours.dispatching_boxes.push(dispatching_box(world, zone));
             let settings = dispatch::Settings {
                 settle: Duration::ZERO,
                 ..Default::default()
@@ -128,25 +128,25 @@
         dispatcher
     }
 
-    /// One way from a box to a zone's dispatcher.
-    fn distance(&self, world: &World, from: (usize, usize), zone: usize) -> Duration {
+    /// Returns the one-way latency from a box to the dispatcher of a zone.
+    fn latency(&self, world: &World, from: (usize, usize), zone: usize) -> Duration {
         if from.0 != zone {
             return world.service.link;
         }
-        if from.1 == self.homes[zone] {
+        if from.1 == self.dispatching_boxes[zone] {
             Duration::ZERO
         } else {
-            NEAR
+            ZONE_LATENCY
         }
     }
 
-    fn tell(&self, world: &mut World, request: usize, report: Report) {
-        let Some(place) = self.places.get(&request) else {
+    fn send_report(&self, world: &mut World, request: usize, report: Report) {
+        let Some(state) = self.states.get(&request) else {
             return;
         };
         let from = (world.requests[request].zone, world.requests[request].entry);
-        let wait = self.distance(world, from, place.zone);
-        world.after(wait, Event::Report(place.zone, from, Box::new(report)));
+        let wait = self.latency(world, from, state.zone);
+        world.after(wait, Event::Report(state.zone, from, Box::new(report)));
     }
 
     fn step(&mut self, world: &mut World, zone: usize, input: Input) {
@@ -158,7 +158,7 @@
             let request = usize::try_from(attempt_of(&order).request.0).expect("a request");
             let from = (world.requests[request].zone, world.requests[request].entry);
             debug_assert_eq!(box_name(from), to);
-            let wait = self.distance(world, from, zone);
+            let wait = self.latency(world, from, zone);
             world.after(wait, Event::Order(zone, order));
         }
     }
@@ -166,11 +166,11 @@
     fn ask_of(&self, world: &World, request: usize, attempt: attempt::Attempt) -> dispatch::Ask {
         let offered = &world.requests[request];
         let class = world.class(request);
-        let fate = &world.fates[request];
+        let progress = &world.progress[request];
         let age = world.now - offered.at;
-        // What has begun to stream gets its deadline anew.
+        // A request that has begun to stream gets a new deadline.
         let deadline = class.config.deadline
-            + if fate.delivered > 0 {
+            + if progress.delivered > 0 {
                 age
             } else {
                 Duration::ZERO
@@ -185,14 +185,14 @@
             patience: None,
             returned: false,
             prompt: unit::Tokens(offered.prompt),
-            delivered: unit::Tokens(fate.delivered),
+            delivered: unit::Tokens(progress.delivered),
             prefix: None,
             placed: None,
             allowed: Default::default(),
             preemptible: world.service.model && class.config.preemptible,
-            preempted: fate.preempted,
+            preempted: progress.preempted,
             avoid: self
-                .places
+                .states
                 .get(&request)
                 .and_then(|p| p.avoid)
                 .map(endpoint_name),
@@ -204,17 +204,17 @@
     /// Queues a request, for the first time or again.
     fn ask(&mut self, world: &mut World, request: usize, attempt: attempt::Attempt) {
         let zone = self.zone_for(world, request);
-        let avoid = self.places.get(&request).and_then(|place| place.avoid);
-        let place = Place {
+        let avoid = self.states.get(&request).and_then(|state| state.avoid);
+        let state = RequestState {
             attempt,
             zone,
             run: None,
             granted: world.now,
             avoid,
         };
-        self.places.insert(request, place);
+        self.states.insert(request, state);
         let ask = self.ask_of(world, request, attempt);
-        self.tell(world, request, Report::Ask(ask));
+        self.send_report(world, request, Report::Ask(ask));
     }
 
     fn zone_for(&self, world: &World, request: usize) -> usize {
@@ -223,30 +223,30 @@
         let zones: Vec<_> = (0..self.summaries.len()).map(zone_name).collect();
         let usable = (0..zones.len()).filter(|zone| *zone != own && world.reaches(own, *zone));
         let usable = usable.filter(|zone| self.lost[*zone].is_none());
-        let abroad = usable.map(|zone| (&zones[zone], &self.summaries[zone]));
+        let others = usable.map(|zone| (&zones[zone], &self.summaries[zone]));
         let here = Some(&self.summaries[own]);
         let served = world
             .engines
             .iter()
             .any(|engine| engine.zone == own && !engine.leaving);
-        let chosen = dispatch::spill::choose(here, served, abroad, class.tier, class.target);
+        let chosen = dispatch::spill::choose(here, served, others, class.tier, class.target);
         chosen.map_or(own, |name| name.as_str()[1..].parse().expect("a zone"))
     }
 
-    /// A run broke: it is told and asked for again.
-    fn broke(&mut self, world: &mut World, id: u64, how: dispatch::End) {
+    /// Handles a run that was cut off: reports its end and asks for a slot again.
+    fn cut_off(&mut self, world: &mut World, id: u64, how: dispatch::End) {
         let resumable = world.service.model;
         let Some(run) = world.stop(id, resumable) else {
             return;
         };
-        let Some(place) = self.places.get_mut(&run.request) else {
+        let Some(state) = self.states.get_mut(&run.request) else {
             return;
         };
-        place.run = None;
-        place.avoid = Some(run.engine);
-        let attempt = place.attempt;
+        state.run = None;
+        state.avoid = Some(run.engine);
+        let attempt = state.attempt;
         let report = Report::End(attempt, how, unit::Tokens(0));
-        self.tell(world, run.request, report);
+        self.send_report(world, run.request, report);
         if how == dispatch::End::Preempted {
             self.ask(world, run.request, attempt.next());
         } else {
@@ -263,33 +263,33 @@
             self.budget.earn();
         }
         match self.budget.spend(failures, 0.5) {
-            // The wait is short beside a tick and left out.
+            // The backoff is short compared with a tick, so it is left out.
             Some(_) => self.ask(world, request, attempt.next()),
             None => self.finish(world, request, End::Broken),
         }
     }
 
     fn finish(&mut self, world: &mut World, request: usize, end: End) {
-        self.places.remove(&request);
+        self.states.remove(&request);
         world.end(request, end);
     }
 
-    /// A new dispatcher takes over in a zone, and is told what the others hold.
+    /// Starts a new dispatcher in a zone, which the boxes tell what they hold.
     fn take_over(&mut self, world: &mut World, zone: usize) {
         self.lost[zone] = None;
-        self.homes[zone] = home(world, zone);
+        self.dispatching_boxes[zone] = dispatching_box(world, zone);
         self.dispatchers[zone] = self.dispatcher(world, zone, dispatch::Settings::default());
         let boxes: Vec<_> = (0..world.service.boxes.len())
             .flat_map(|z| (0..world.lost[z].len()).map(move |entry| (z, entry)))
             .filter(|(z, entry)| !world.lost[*z][*entry] && world.reaches(*z, zone))
             .collect();
         for from in boxes {
-            let wait = self.distance(world, from, zone);
+            let wait = self.latency(world, from, zone);
             let mut reports = vec![Report::Hello];
-            for (request, place) in &self.places {
+            for (request, state) in &self.states {
                 let offered = &world.requests[*request];
-                if place.zone == zone && (offered.zone, offered.entry) == from {
-                    reports.push(self.announcement(world, *request, place));
+                if state.zone == zone && (offered.zone, offered.entry) == from {
+                    reports.push(self.announcement(world, *request, state));
                 }
             }
             reports.push(Report::Announced);
@@ -299,39 +299,39 @@
         }
     }
 
-    fn announcement(&self, world: &World, request: usize, place: &Place) -> Report {
-        let ask = self.ask_of(world, request, place.attempt);
-        match place.run.and_then(|run| world.runs.get(&run)) {
+    fn announcement(&self, world: &World, request: usize, state: &RequestState) -> Report {
+        let ask = self.ask_of(world, request, state.attempt);
+        match state.run.and_then(|run| world.runs.get(&run)) {
             None => Report::Ask(ask),
             Some(run) => Report::Held(dispatch::Held {
                 ask,
                 endpoint: endpoint_name(run.engine),
                 tokens: unit::Tokens(0),
-                held: world.now - place.granted,
+                held: world.now - state.granted,
             }),
         }
     }
 
     fn lose_box(&mut self, world: &mut World, zone: usize, entry: usize) {
-        let own: Vec<_> = self.places.keys().copied().collect();
+        let own: Vec<_> = self.states.keys().copied().collect();
         for request in own {
             let offered = &world.requests[request];
             if (offered.zone, offered.entry) != (zone, entry) {
                 continue;
             }
-            if let Some(run) = self.places.get(&request).and_then(|place| place.run) {
+            if let Some(run) = self.states.get(&request).and_then(|state| state.run) {
                 world.stop(run, false);
             }
             self.finish(world, request, End::BoxLost);
         }
-        if self.homes[zone] == entry {
-            self.lost[zone] = Some(world.now + DETECT);
+        if self.dispatching_boxes[zone] == entry {
+            self.lost[zone] = Some(world.now + DETECTION_TIME);
         }
     }
 }
 
-/// The entry box of a zone that dispatches.
-fn home(world: &World, zone: usize) -> usize {
+/// Returns the entry box of a zone that runs the dispatcher.
+fn dispatching_box(world: &World, zone: usize) -> usize {
     let alive = (0..world.lost[zone].len()).filter(|entry| !world.lost[zone][*entry]);
     let names: Vec<_> = alive.map(|entry| box_name((zone, entry))).collect();
     let zone = zone_name(zone);
@@ -354,20 +354,20 @@
         let Some(request) = world.runs.get(&run).map(|run| run.request) else {
             return;
         };
-        if let Some(attempt) = self.places.get(&request).map(|place| place.attempt) {
-            self.tell(world, request, Report::First(attempt));
+        if let Some(attempt) = self.states.get(&request).map(|state| state.attempt) {
+            self.send_report(world, request, Report::First(attempt));
         }
     }
 
     fn done(&mut self, world: &mut World, run: u64) {
         let Some(run) = world.done(run) else { return };
-        let Some(place) = self.places.get(&run.request) else {
+        let Some(state) = self.states.get(&run.request) else {
             return;
         };
         let tokens = unit::Tokens(world.requests[run.request].tokens);
-        let report = Report::End(place.attempt, dispatch::End::Done, tokens);
-        self.tell(world, run.request, report);
-        self.places.remove(&run.request);
+        let report = Report::End(state.attempt, dispatch::End::Done, tokens);
+        self.send_report(world, run.request, report);
+        self.states.remove(&run.request);
     }
 
     fn tick(&mut self, world: &mut World) {
@@ -378,18 +378,18 @@
             }
             self.step(world, zone, Input::Tick);
         }
-        let signs: Vec<_> = self
+        let leaving_seen: Vec<_> = self
             .leaving
             .iter()
             .filter(|(_, at)| *at <= now)
             .map(|s| s.0)
             .collect();
         self.leaving.retain(|(_, at)| *at > now);
-        for engine in signs {
+        for engine in leaving_seen {
             let zone = world.engines[engine].zone;
             self.step(world, zone, Input::Leaving(endpoint_name(engine), true));
         }
-        if now >= self.exchanged + EXCHANGE {
+        if now >= self.exchanged + EXCHANGE_INTERVAL {
             self.exchanged = now;
             self.summaries = self.dispatchers.iter().map(|d| d.summary(now)).collect();
         }
@@ -399,31 +399,31 @@
         match fault {
             Fault::Crash(engine) | Fault::Gone(engine) => {
                 for run in world.runs_at(engine) {
-                    self.broke(world, run, dispatch::End::Broken);
+                    self.cut_off(world, run, dispatch::End::Broken);
                 }
             }
             Fault::LoseBox(zone, entry) => self.lose_box(world, zone, entry),
-            Fault::Leaving(engine) => self.leaving.push((engine, world.now + SIGN)),
+            Fault::Leaving(engine) => self.leaving.push((engine, world.now + LEAVING_DELAY)),
             Fault::Cut(_) => {
                 let own = |run: &crate::world::Run| world.requests[run.request].zone;
-                let mut abroad: Vec<_> = world
+                let mut cut_runs: Vec<_> = world
                     .runs
                     .iter()
                     .filter(|(_, run)| !world.reaches(own(run), world.engines[run.engine].zone))
                     .map(|(id, _)| *id)
                     .collect();
-                abroad.sort_unstable();
-                for run in abroad {
-                    self.broke(world, run, dispatch::End::Broken);
+                cut_runs.sort_unstable();
+                for run in cut_runs {
+                    self.cut_off(world, run, dispatch::End::Broken);
                 }
                 let waiting: Vec<_> = self
-                    .places
+                    .states
                     .iter()
-                    .filter(|(request, place)| {
-                        place.run.is_none()
-                            && !world.reaches(world.requests[**request].zone, place.zone)
+                    .filter(|(request, state)| {
+                        state.run.is_none()
+                            && !world.reaches(world.requests[**request].zone, state.zone)
                     })
-                    .map(|(request, place)| (*request, place.attempt))
+                    .map(|(request, state)| (*request, state.attempt))
                     .collect();
                 for (request, attempt) in waiting {
                     self.ask(world, request, attempt.next());
@@ -441,35 +441,35 @@
 
     fn order(&mut self, world: &mut World, zone: usize, order: Order) {
         let request = usize::try_from(attempt_of(&order).request.0).expect("a request");
-        let Some(place) = self.places.get(&request) else {
+        let Some(state) = self.states.get(&request) else {
             return;
         };
         let own = world.requests[request].zone;
-        if place.zone != zone || place.attempt != attempt_of(&order) || !world.reaches(own, zone) {
+        if state.zone != zone || state.attempt != attempt_of(&order) || !world.reaches(own, zone) {
             return;
         }
-        let attempt = place.attempt;
+        let attempt = state.attempt;
         match order {
             Order::Grant(_, endpoint) => {
                 let engine = engine_of(&endpoint);
-                self.tell(world, request, Report::Started(attempt));
+                self.send_report(world, request, Report::Started(attempt));
                 if !world.engines[engine].up {
-                    if let Some(place) = self.places.get_mut(&request) {
-                        place.avoid = Some(engine);
+                    if let Some(state) = self.states.get_mut(&request) {
+                        state.avoid = Some(engine);
                     }
                     let end = dispatch::End::Unreachable;
-                    self.tell(world, request, Report::End(attempt, end, unit::Tokens(0)));
+                    self.send_report(world, request, Report::End(attempt, end, unit::Tokens(0)));
                     self.retry(world, request, attempt);
                     return;
                 }
                 let run = world.start(request, engine);
-                if let Some(place) = self.places.get_mut(&request) {
-                    place.run = Some(run);
-                    place.granted = world.now;
+                if let Some(state) = self.states.get_mut(&request) {
+                    state.run = Some(run);
+                    state.granted = world.now;
                 }
             }
             Order::Shed(..) => {
-                let end = if world.fates[request].delivered > 0 {
+                let end = if world.progress[request].delivered > 0 {
                     End::Broken
                 } else {
                     End::Shed
@@ -477,11 +477,11 @@
                 self.finish(world, request, end);
             }
             Order::Preempt(_) => {
-                let Some(run) = place.run else { return };
-                world.fates[request].preempted += 1;
-                self.broke(world, run, dispatch::End::Preempted);
-                if let Some(place) = self.places.get_mut(&request) {
-                    place.avoid = None;
+                let Some(run) = state.run else { return };
+                world.progress[request].preempted += 1;
+                self.cut_off(world, run, dispatch::End::Preempted);
+                if let Some(state) = self.states.get_mut(&request) {
+                    state.avoid = None;
                 }
             }
             Order::Expired(_) => self.ask(world, request, attempt.next()),
--- a/benches/decisions/score.rs
+++ b/benches/decisions/score.rs
@@ -1,4 +1,4 @@
-//! What a run was worth: attainment by class, goodput, wasted work, longest waits.
+//! The scores of a run: attainment by class, goodput, wasted work and the longest wait.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     world::{End, World},
 };
 
-/// What is compared.
+/// The routing strategies that are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     RoundRobin,
@@ -38,16 +38,17 @@
 /// The outcome of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
-    /// The part of each class's requests whose first token came in time, out of those
-    /// whose entry box was not lost.
+    /// The fraction of each class's requests whose first token came in time, out of those whose
+    /// entry box was not lost.
     attained: Vec<f64>,
-    /// The part of each class's requests that were answered whole.
+    /// The fraction of each class's requests that were answered completely.
     whole: Vec<f64>,
-    /// Tokens of whole answers whose first token came in time.
+    /// The tokens of complete answers whose first token came in time.
     goodput: f64,
-    /// The part of the slot time that came to nothing.
+    /// The fraction of the slot time that was wasted.
     wasted: f64,
-    /// The longest wait for a slot in the lowest class, of those that got one.
+    /// The longest wait for a slot in the lowest class, among the requests that got one, in
+    /// seconds.
     longest: f64,
 }
 
@@ -58,27 +59,30 @@
         let mut attained = vec![0.0; classes];
         let mut whole = vec![0.0; classes];
         let (mut goodput, mut longest) = (0.0, Duration::ZERO);
-        for (request, fate) in world.requests.iter().zip(&world.fates) {
-            if fate.end == Some(End::BoxLost) {
+        for (request, progress) in world.requests.iter().zip(&world.progress) {
+            if progress.end == Some(End::BoxLost) {
                 continue;
             }
             let class = request.class;
             offered[class] += 1.0;
             let target = world.service.classes[class].config.target;
-            let in_time = fate.first.is_some_and(|first| first - request.at <= target);
+            let in_time = progress
+                .first
+                .is_some_and(|first| first - request.at <= target);
             attained[class] += f64::from(u8::from(in_time));
-            if fate.end == Some(End::Done) {
+            if progress.end == Some(End::Done) {
                 whole[class] += 1.0;
                 goodput += if in_time { request.tokens as f64 } else { 0.0 };
             }
             if class + 1 == classes {
-                longest = longest.max(fate.started.map_or(Duration::ZERO, |s| s - request.at));
+                longest = longest.max(progress.started.map_or(Duration::ZERO, |s| s - request.at));
             }
         }
-        let part = |counts: Vec<f64>| counts.iter().zip(&offered).map(|(n, of)| n / of).collect();
+        let fractions =
+            |counts: Vec<f64>| counts.iter().zip(&offered).map(|(n, of)| n / of).collect();
         Self {
-            attained: part(attained),
-            whole: part(whole),
+            attained: fractions(attained),
+            whole: fractions(whole),
             goodput,
             wasted: world.wasted / world.used.max(f64::EPSILON),
             longest: longest.as_secs_f64(),
@@ -86,7 +90,7 @@
     }
 }
 
-/// A figure over several seeds.
+/// A figure over the runs with several seeds.
 #[derive(Clone, Copy, Debug)]
 struct Figure {
     mean: f64,
@@ -139,7 +143,7 @@
     }
 }
 
-/// Prints the table of one load.
+/// Prints the table for one load.
 pub(crate) fn print(service: &Service, scores: &[Score]) {
     let reference = scores.last().map_or(1.0, |score| score.goodput.mean);
     let names = service
--- a/benches/decisions/world.rs
+++ b/benches/decisions/world.rs
@@ -1,6 +1,6 @@
-//! Virtual time, engines and what becomes of requests.
+//! Virtual time, engines and the outcome of requests.
 //!
-//! This is a queue of events over engines with slots; no network, no processes.
+//! This is an event queue over engines with slots, without network or processes.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -11,19 +11,19 @@
 
 use crate::load::{Request, Service};
 
-/// Something that happens.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     Arrive(usize),
     First(u64),
     Done(u64),
-    /// The caller of a request that has no first token leaves.
+    /// The caller of a request leaves unless the first token has come.
     Leave(usize),
     Tick,
     Fault(Fault),
-    /// A report reaches the dispatcher of a zone, from (zone, entry).
+    /// A report reaches the dispatcher of a zone, from a box given as (zone, entry).
     Report(usize, (usize, usize), Box<dispatch::Report>),
-    /// An order reaches the request that it is for, from a zone's dispatcher.
+    /// An order of a zone's dispatcher reaches the request that it is about.
     Order(usize, dispatch::Order),
 }
 
@@ -40,12 +40,12 @@
     Gone(usize),
 }
 
-/// What becomes of a request in the end.
+/// How a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     Done,
     Shed,
-    /// Its stream broke for good.
+    /// Its stream broke off and was not resumed.
     Broken,
     /// Its caller left while it waited.
     Left,
@@ -53,12 +53,12 @@
     BoxLost,
 }
 
-/// A request and how it fares.
+/// The progress of a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Fate {
+pub(crate) struct Progress {
     pub(crate) first: Option<Duration>,
     pub(crate) end: Option<End>,
-    /// Tokens that the caller has.
+    /// Tokens that the caller has received.
     pub(crate) delivered: u64,
     pub(crate) attempts: u32,
     pub(crate) preempted: u32,
@@ -71,7 +71,7 @@
     pub(crate) request: usize,
     pub(crate) engine: usize,
     pub(crate) first_at: Duration,
-    pub(crate) token: f64,
+    pub(crate) token_s: f64,
     started: Duration,
     tokens: u64,
 }
@@ -84,21 +84,21 @@
     pub(crate) leaving: bool,
     pub(crate) slower: f64,
     pub(crate) running: u32,
-    /// What waits inside of it; only the baselines let requests wait there.
+    /// The requests that wait in the engine. Only the baselines let them wait there.
     pub(crate) queue: VecDeque<usize>,
 }
 
-/// Everything but the router.
+/// The simulated system without the router.
 pub(crate) struct World {
     pub(crate) service: Service,
     pub(crate) requests: Vec<Request>,
-    pub(crate) fates: Vec<Fate>,
+    pub(crate) progress: Vec<Progress>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) runs: HashMap<u64, Run>,
     pub(crate) cut: Vec<bool>,
     pub(crate) lost: Vec<Vec<bool>>,
     pub(crate) now: Duration,
-    /// Slot-seconds that were used, and that came to nothing.
+    /// Slot-seconds that were used; `wasted` counts those without a result.
     pub(crate) used: f64,
     pub(crate) wasted: f64,
     events: BTreeMap<(Duration, u64), Event>,
@@ -124,7 +124,7 @@
                     queue: VecDeque::new(),
                 })
             });
-        let fate = Fate {
+        let progress = Progress {
             first: None,
             end: None,
             delivered: 0,
@@ -133,7 +133,7 @@
             started: None,
         };
         Self {
-            fates: vec![fate; requests.len()],
+            progress: vec![progress; requests.len()],
             engines: engines.collect(),
             runs: HashMap::new(),
             cut: vec![false; service.endpoints.len()],
@@ -169,12 +169,12 @@
         Some(event)
     }
 
-    /// Whether a box of one zone reaches an engine or box of another.
+    /// Returns whether a box of one zone reaches an engine or box of another.
     pub(crate) fn reaches(&self, from: usize, to: usize) -> bool {
         from == to || !(self.cut[from] || self.cut[to])
     }
 
-    /// Whether all requests have ended.
+    /// Returns whether all requests have ended.
     pub(crate) fn is_over(&self) -> bool {
         self.open == 0
     }
@@ -183,85 +183,85 @@
         &self.service.classes[self.requests[request].class]
     }
 
-    /// How long a run of what is left of a request holds a slot at full speed.
+    /// Returns how long a run of the rest of a request holds a slot at full speed.
     pub(crate) fn hold(&self, request: usize) -> Duration {
-        let (prefill, rest) = self.shape(request);
-        Duration::from_secs_f64(prefill + rest as f64 * self.service.token)
+        let (prefill_s, rest) = self.remaining(request);
+        Duration::from_secs_f64(prefill_s + rest as f64 * self.service.token_s)
     }
 
-    /// The prefill of what is left of a request, and its tokens.
-    fn shape(&self, request: usize) -> (f64, u64) {
-        let delivered = self.fates[request].delivered;
+    /// Returns the prefill time of the rest of a request, in seconds, and the tokens that are left.
+    fn remaining(&self, request: usize) -> (f64, u64) {
+        let delivered = self.progress[request].delivered;
         let prompt = (self.requests[request].prompt + delivered) as f64;
         let rest = if self.service.model {
             self.requests[request].tokens - delivered
         } else {
             0
         };
-        (prompt * self.service.prefill, rest)
+        (prompt * self.service.prefill_s, rest)
     }
 
     /// Starts a run; the engine must have a free slot.
     pub(crate) fn start(&mut self, request: usize, engine: usize) -> u64 {
-        let (prefill, rest) = self.shape(request);
+        let (prefill_s, rest) = self.remaining(request);
         let slower = self.engines[engine].slower;
-        let token = self.service.token * slower;
-        let first_at = self.now + Duration::from_secs_f64(prefill * slower);
-        let done_at = first_at + Duration::from_secs_f64(rest as f64 * token);
+        let token_s = self.service.token_s * slower;
+        let first_at = self.now + Duration::from_secs_f64(prefill_s * slower);
+        let done_at = first_at + Duration::from_secs_f64(rest as f64 * token_s);
         self.next_run += 1;
         let id = self.next_run;
         let run = Run {
             request,
             engine,
             first_at,
-            token,
+            token_s,
             started: self.now,
             tokens: rest,
         };
         self.runs.insert(id, run);
         self.engines[engine].running += 1;
-        let fate = &mut self.fates[request];
-        fate.attempts += 1;
-        fate.started.get_or_insert(self.now);
+        let progress = &mut self.progress[request];
+        progress.attempts += 1;
+        progress.started.get_or_insert(self.now);
         self.at(first_at, Event::First(id));
         self.at(done_at, Event::Done(id));
         id
     }
 
-    /// Notes a run's first token.
+    /// Records a run's first token.
     pub(crate) fn first(&mut self, run: u64) {
         if let Some(run) = self.runs.get(&run) {
-            self.fates[run.request].first.get_or_insert(self.now);
+            self.progress[run.request].first.get_or_insert(self.now);
         }
     }
 
-    /// Ends a run whole.
+    /// Completes a run.
     pub(crate) fn done(&mut self, run: u64) -> Option<Run> {
         let run = self.runs.remove(&run)?;
         self.release(&run);
-        self.fates[run.request].delivered = self.requests[run.request].tokens;
+        self.progress[run.request].delivered = self.requests[run.request].tokens;
         self.end(run.request, End::Done);
         Some(run)
     }
 
-    /// Stops a run. What was delivered stays with the caller if the stream can be
-    /// resumed; else all that the run did is wasted.
+    /// Stops a run. The delivered tokens are kept if the stream can be resumed; otherwise all work
+    /// of the run is wasted.
     pub(crate) fn stop(&mut self, run: u64, resumable: bool) -> Option<Run> {
         let run = self.runs.remove(&run)?;
         self.release(&run);
         let streamed = self.now.saturating_sub(run.first_at).as_secs_f64();
-        let tokens = if self.now >= run.first_at && run.token > 0.0 {
-            ((streamed / run.token) as u64).min(run.tokens.saturating_sub(1))
+        let tokens = if self.now >= run.first_at && run.token_s > 0.0 {
+            ((streamed / run.token_s) as u64).min(run.tokens.saturating_sub(1))
         } else {
             0
         };
         let used = (self.now - run.started).as_secs_f64();
         if resumable {
             // The prompt has to be processed once more.
-            self.fates[run.request].delivered += tokens;
-            self.wasted += used - tokens as f64 * run.token;
+            self.progress[run.request].delivered += tokens;
+            self.wasted += used - tokens as f64 * run.token_s;
         } else {
-            let before = self.fates[run.request].delivered as f64 * run.token;
+            let before = self.progress[run.request].delivered as f64 * run.token_s;
             self.wasted += used + before;
         }
         Some(run)
@@ -274,13 +274,13 @@
 
     /// Ends a request.
     pub(crate) fn end(&mut self, request: usize, end: End) {
-        let fate = &mut self.fates[request];
+        let progress = &mut self.progress[request];
         assert!(
-            fate.end.is_none(),
+            progress.end.is_none(),
             "request {request} ends as {end:?} after {:?}",
-            fate.end
+            progress.end
         );
-        fate.end = Some(end);
+        progress.end = Some(end);
         self.open -= 1;
     }
 
--- a/benches/entry/main.rs
+++ b/benches/entry/main.rs
@@ -1,10 +1,11 @@
-//! What an entry box adds: time to first token, time between tokens, and requests a
-//! second, against the same caller that goes straight to the stand-in, in one run.
+//! The overhead of an entry box: time to first token, time between tokens, and requests a second,
+//! compared in one run with the same caller that calls the stand-in directly.
 //!
-//! `cargo bench --bench entry`. Only the ratios and differences within a run mean
-//! something; the machine is shared.
+//! Run with `cargo bench --bench entry`. Only ratios and differences within a run are meaningful,
+//! since the machine is shared.
 
-// Nothing here outlasts a suspension of the machine.
+// Nothing here runs on after a suspension of the machine, so clocks that stand still meanwhile do
+// no harm.
 #![allow(clippy::disallowed_methods)]
 
 #[path = "../../tests/testsuite/support/mod.rs"]
@@ -25,20 +26,20 @@
 
 use support::{client, deploy};
 
-/// Requests a second, half of them straight to the stand-in, half through the box.
-const RATE: u64 = 1000;
-/// How long the paced part takes.
-const PACED: Duration = Duration::from_secs(10);
-/// Callers of the unpaced part.
+/// Requests a second, half of them directly to the stand-in and half through the box.
+const REQUESTS_PER_S: u64 = 1000;
+/// The duration of the part with a fixed rate.
+const PACED_TIME: Duration = Duration::from_secs(10);
+/// The number of callers in the part without a fixed rate.
 const CALLERS: usize = 64;
-/// How long each side of the unpaced part takes.
-const UNPACED: Duration = Duration::from_secs(4);
-/// Threads of the box and the stand-in.
+/// The duration of each measurement in the part without a fixed rate.
+const UNPACED_TIME: Duration = Duration::from_secs(4);
+/// The number of threads of the box and of the stand-in.
 const THREADS: &str = "4";
 
 fn main() {
-    // The processes are started by this one and take the setting from it. It is set
-    // before any thread is.
+    // The processes that this one starts inherit the variable. It is set by starting the program
+    // again, since no thread may run when it changes.
     let threads = std::env::var("TOKIO_WORKER_THREADS").unwrap_or_default();
     if threads != THREADS {
         let program = std::env::current_exe().expect("the program has a path");
@@ -91,7 +92,7 @@
     }
 }
 
-/// The quantile of some durations, in microseconds.
+/// Returns a quantile of durations, in microseconds.
 fn quantile(times: &mut [Duration], q: f64) -> f64 {
     if times.is_empty() {
         return 0.0;
@@ -102,23 +103,25 @@
     times[index].as_secs_f64() * 1e6
 }
 
-/// Requests at a fixed rate, in turn straight and through the box.
+/// Sends requests at a fixed rate, alternately directly and through the box.
 async fn paced(direct: SocketAddr, through: SocketAddr) {
     let start = tokio::time::Instant::now() + Duration::from_millis(100);
-    let count = RATE * PACED.as_secs();
-    // Each caller has a connection of its own and sends every so many-th request.
+    let count = REQUESTS_PER_S * PACED_TIME.as_secs();
+    // Each caller has its own connection and sends one of every `callers` requests.
     let callers = 200;
     let mut tasks = Vec::new();
     for caller in 0..callers {
         let target = if caller % 2 == 0 { direct } else { through };
         tasks.push(tokio::spawn(async move {
-            let mut connection = client::Connection::open(target).await.expect("it listens");
+            let mut connection = client::Connection::open(target)
+                .await
+                .expect("the target listens");
             let mut times = Times::default();
             for i in (caller..count).step_by(usize::try_from(callers).unwrap_or(1)) {
                 tokio::time::sleep_until(
                     start
                         + Duration::from_secs(1) * u32::try_from(i).unwrap_or(0)
-                            / u32::try_from(RATE).unwrap_or(1),
+                            / u32::try_from(REQUESTS_PER_S).unwrap_or(1),
                 )
                 .await;
                 let body = client::chat(deploy::MODEL, &format!("{i} len=8"), true);
@@ -138,8 +141,8 @@
     let [direct, through] = &mut sides;
     println!(
         "at {} requests a second each way, {} s:",
-        RATE / 2,
-        PACED.as_secs()
+        REQUESTS_PER_S / 2,
+        PACED_TIME.as_secs()
     );
     for (what, d, t) in [
         ("first token", &mut direct.first, &mut through.first),
@@ -160,7 +163,7 @@
     );
 }
 
-/// As many requests as a number of callers can make, first straight, then through.
+/// Sends as many requests as the callers can make, alternately directly and through the box.
 async fn unpaced(what: &str, direct: SocketAddr, through: SocketAddr, length: &'static str) {
     let mut rates = Vec::new();
     for target in [direct, through, direct, through] {
@@ -175,11 +178,13 @@
 
 async fn throughput(target: SocketAddr, length: &'static str) -> f64 {
     let done = Arc::new(AtomicU64::new(0));
-    let until = Instant::now() + UNPACED;
+    let until = Instant::now() + UNPACED_TIME;
     let callers = (0..CALLERS).map(|caller| {
         let done = done.clone();
         tokio::spawn(async move {
-            let mut connection = client::Connection::open(target).await.expect("it listens");
+            let mut connection = client::Connection::open(target)
+                .await
+                .expect("the target listens");
             while Instant::now() < until {
                 let body = client::chat(deploy::MODEL, &format!("{caller} {length}"), true);
                 let answer = client::stream(&mut connection, deploy::TEAM, "counter", body).await;
@@ -192,5 +197,5 @@
         caller.await.expect("a caller ends");
     }
     // Counts of a benchmark are far below 2^52, so the cast is exact.
-    done.load(Ordering::Relaxed) as f64 / UNPACED.as_secs_f64()
+    done.load(Ordering::Relaxed) as f64 / UNPACED_TIME.as_secs_f64()
 }
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -1,10 +1,11 @@
-//! The main job, end to end, with separate processes on loopback: a voter, two entry
-//! boxes in two availability zones, and stand-ins for engines and plain services.
+//! An end-to-end demonstration with separate processes on loopback: a voter, two entry boxes in two
+//! availability zones, and stand-ins for engines and plain services.
 //!
-//! It sends real requests and prints the streamed answer, a plain service's answer,
-//! the audit trail and the status; then it stops all processes cleanly.
+//! It sends real requests and prints the streamed answer, a plain service's answer, the audit trail
+//! and the status. Then it stops all processes cleanly.
 
-// Nothing here outlasts a suspension of the machine.
+// Nothing here runs on after a suspension of the machine, so clocks that stand still meanwhile do
+// no harm.
 #![allow(clippy::disallowed_methods)]
 
 #[path = "../../tests/testsuite/support/mod.rs"]
@@ -65,7 +66,7 @@
         let answer = loop {
             let answer = client::ask(entry.callers, "POST", path, &headers, "{\"part\":17}").await;
             let answer = answer.expect("an answer comes");
-            // Right after a start of all boxes the holders of keys do not vote yet.
+            // Right after all boxes have started, the holders of keys do not vote yet.
             if answer.json()["error"]["code"] != "key-undecided" {
                 break answer;
             }
@@ -76,7 +77,7 @@
     }
 }
 
-/// Runs operators' commands as an operator would.
+/// Runs commands of the operators' tool as an operator would.
 fn operate(deployment: &deploy::Deployment) {
     for args in [&["status"][..], &["config", "history"], &["class", "list"]] {
         println!("# scalewood {}", args.join(" "));
