--- a/tests/testsuite/random/agree.rs
+++ b/tests/testsuite/random/agree.rs
@@ -1,9 +1,9 @@
-//! Agreement under loss, delay, reordering, duplication, cuts, crashes that lose what
-//! was not synced, freezes, and voters that come back with an empty folder.
+//! Consensus under message loss, delay, reordering, duplication, network partitions, crashes that
+//! lose unsynced writes, freezes, and voters that return with an empty data directory.
 //!
-//! Checked after each step: one leader a term; a committed entry stays the same at
-//! every node; no two hold the lease at once; what was answered as applied is in every
-//! later state. At the end, once all faults are over, everyone agrees.
+//! Checked after each step: there is one leader per term; a committed entry is the same at every
+//! node; no two nodes hold the lease at once; a command that was answered as applied is in every
+//! later state. At the end, once all faults are over, all nodes have the same state.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,7 +19,7 @@
 
 use super::{random, runs};
 
-/// A state that remembers what was applied.
+/// A state machine whose state is the list of the applied commands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Trail {
     pub(crate) applied: Vec<u64>,
@@ -35,35 +35,35 @@
     }
 }
 
-/// A step of a schedule.
+/// One step of a schedule.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Time passes, in milliseconds, and messages that are due arrive.
+    /// Advances the time by so many milliseconds; messages that become due are delivered.
     Pass(u64),
     Propose(usize),
-    /// A node loses power: what it has not synced is gone.
+    /// A node loses power, and with it all writes that are not synced.
     Crash(usize),
     Restart(usize),
     Freeze(usize),
     Thaw(usize),
     Cut(usize, usize),
     Heal,
-    /// A node's folder is lost; it joins anew and its old identity is removed.
+    /// A node's data directory is lost; it joins with a new identity and the old one is removed.
     Replace(usize),
-    /// A leader hands its lead on.
+    /// A leader transfers its leadership.
     Leave(usize),
-    /// A node's folder is lost, and at the same moment all others lose power: nothing that is
-    /// under way arrives.
+    /// A node's data directory is lost and at the same moment all other nodes lose power: no
+    /// message in flight is delivered.
     LosePower(usize),
 }
 
 const NODES: usize = 3;
 
 fn schedule(seed: u64) -> Vec<Step> {
-    schedule_of(seed, NODES)
+    schedule_for(seed, NODES)
 }
 
-fn schedule_of(seed: u64, nodes: usize) -> Vec<Step> {
+fn schedule_for(seed: u64, nodes: usize) -> Vec<Step> {
     let mut random = random(seed);
     let mut steps = vec![Step::Pass(3000)];
     for _ in 0..250 {
@@ -87,15 +87,15 @@
 #[derive(Debug)]
 struct Member {
     node: Node,
-    /// What is on its disk.
+    /// The contents of its disk.
     kept: Kept<Trail>,
-    /// Nothing while it is down.
+    /// `None` while the node is down.
     voter: Option<Voter<Trail>>,
     frozen: bool,
-    /// What arrived while it was frozen.
+    /// Messages that arrived while the node was frozen.
     inbox: Vec<(Node, Message<Trail>)>,
-    /// Its old identity, to be removed, and whether its new one has to be added.
-    joins: Option<Node>,
+    /// The old identity that is to be removed, until the new one is settled as a voter.
+    old_identity: Option<Node>,
 }
 
 struct Cluster {
@@ -103,10 +103,10 @@
     now: Duration,
     random: rand::rngs::SmallRng,
     members: Vec<Member>,
-    flying: BTreeMap<(Duration, u64), (Node, Node, Message<Trail>)>,
+    in_flight: BTreeMap<(Duration, u64), (Node, Node, Message<Trail>)>,
     cut: BTreeSet<(usize, usize)>,
     serial: u64,
-    /// Each committed entry, once any node says so.
+    /// Each entry that any node has reported as committed.
     committed: BTreeMap<Index, Entry<u64>>,
     leaders: BTreeMap<Term, Node>,
     answered: Vec<u64>,
@@ -129,7 +129,7 @@
         Self::with_repair(seed, NODES, None)
     }
 
-    /// A cluster whose leader repairs the membership by itself, or not.
+    /// Creates a cluster; with `repair`, its leader repairs the membership by itself.
     fn with_repair(seed: u64, nodes: usize, repair: Option<Repair>) -> Self {
         let mut kept = Kept::<Trail>::default();
         let text = serde_json::json!({
@@ -149,7 +149,7 @@
             now: Duration::from_secs(100),
             random: random(seed ^ 0x5eed),
             members: Vec::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             cut: BTreeSet::new(),
             serial: 0,
             committed: BTreeMap::new(),
@@ -165,7 +165,7 @@
                 voter: None,
                 frozen: false,
                 inbox: Vec::new(),
-                joins: None,
+                old_identity: None,
             });
             cluster.restart(i);
         }
@@ -217,8 +217,9 @@
             let most = if slow { 3000 } else { 40 };
             let wait = Duration::from_millis(self.random.random_range(1..most));
             self.serial += 1;
-            let flight = (from.clone(), to.clone(), message.clone());
-            self.flying.insert((self.now + wait, self.serial), flight);
+            let envelope = (from.clone(), to.clone(), message.clone());
+            self.in_flight
+                .insert((self.now + wait, self.serial), envelope);
         }
     }
 
@@ -236,22 +237,22 @@
         self.members.iter().position(|member| member.node == *node)
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
             self.now += Duration::from_millis(10);
-            self.arrive();
+            self.deliver_due();
             for i in 0..self.members.len() {
                 if !self.members[i].frozen {
                     self.step(i, Input::Tick);
                 }
             }
-            self.help_joiners();
+            self.replace_lost_identities();
         }
     }
 
-    fn arrive(&mut self) {
-        while let Some(entry) = self.flying.first_entry() {
+    fn deliver_due(&mut self) {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
@@ -270,7 +271,7 @@
         }
     }
 
-    /// What nodes that are no members do by themselves: they ask the leader.
+    /// Lets nodes that are not members ask the leader to join, as they do without an operator.
     fn ask_to_join(&mut self) {
         let leads =
             |member: &Member| !member.frozen && member.voter.as_ref().is_some_and(Voter::is_leader);
@@ -285,12 +286,12 @@
             let member = &mut self.members[i];
             let is_member = members.is_voter(&member.node) || members.is_learner(&member.node);
             let old_is_gone = member
-                .joins
+                .old_identity
                 .as_ref()
                 .is_none_or(|old| !members.is_voter(old));
             let settled = members.is_voter(&member.node) && status.committed == status.last;
             if settled && old_is_gone {
-                member.joins = None;
+                member.old_identity = None;
             }
             let cut = self.cut.contains(&(i, leader)) || self.cut.contains(&(leader, i));
             let runs = member.voter.is_some() && !member.frozen;
@@ -301,13 +302,13 @@
         }
     }
 
-    /// What an operator does for a box that lost its folder.
-    fn help_joiners(&mut self) {
+    /// Replaces the old identities of nodes that lost their data directory, as an operator would.
+    fn replace_lost_identities(&mut self) {
         if self.settings.repair.is_some() {
             return self.ask_to_join();
         }
         for i in 0..self.members.len() {
-            let Some(old) = self.members[i].joins.clone() else {
+            let Some(old) = self.members[i].old_identity.clone() else {
                 continue;
             };
             let new = self.members[i].node.clone();
@@ -332,15 +333,16 @@
             } else if members.is_voter(&old) && members.voters().count() > 1 {
                 self.step(leader, Input::Members(ticket, MembersRequest::Remove(old)));
             } else if members.is_voter(&new) && status.committed == status.last {
-                // It counts once that is committed; only then may another be lost.
-                self.members[i].joins = None;
+                // The new voter counts once its addition is committed; only then may another node
+                // lose its data directory.
+                self.members[i].old_identity = None;
             }
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
-            Step::Pass(millis) => self.pass(millis),
+            Step::Pass(millis) => self.advance(millis),
             Step::Propose(i) => {
                 self.serial += 1;
                 let ticket = Ticket(self.serial);
@@ -373,15 +375,19 @@
         }
     }
 
-    /// A folder is lost. One at a time: a second loss before the first is settled
-    /// loses a majority, which stops changes for good; that is tested on its own.
+    /// Loses a node's data directory, one at a time: a second loss before the first node is
+    /// replaced loses a majority, which stops changes for good. A separate test covers that.
     fn replace(&mut self, i: usize) {
-        if self.members.iter().any(|member| member.joins.is_some()) {
+        if self
+            .members
+            .iter()
+            .any(|member| member.old_identity.is_some())
+        {
             return;
         }
         self.serial += 1;
         let member = &mut self.members[i];
-        member.joins = Some(member.node.clone());
+        member.old_identity = Some(member.node.clone());
         member.node = node(i, 1000 + self.serial);
         member.kept = Kept::default();
         member.voter = None;
@@ -389,7 +395,7 @@
     }
 
     fn lose_power(&mut self, disk: usize) {
-        self.flying.clear();
+        self.in_flight.clear();
         for member in &mut self.members {
             member.voter = None;
         }
@@ -422,7 +428,7 @@
         self.check_lease();
     }
 
-    /// Who holds the lease is the only one who may act.
+    /// Checks that at most one node holds the lease, since its holder alone may act.
     fn check_lease(&self) {
         let holds = |member: &&Member| {
             let lease = member.voter.as_ref().and_then(Voter::lease);
@@ -433,21 +439,21 @@
         assert!(holders.len() <= 1, "{holders:?} hold the lease at once");
     }
 
-    /// Ends all faults and waits until all agree.
+    /// Ends all faults and checks that all nodes reach the same state.
     fn settle(&mut self) {
         self.cut.clear();
         for i in 0..self.members.len() {
             self.restart(i);
             self.thaw(i);
         }
-        self.pass(30_000);
+        self.advance(30_000);
         self.serial += 1;
         let last = self.serial;
         for attempt in 0..self.members.len() {
             self.proposed.insert(Ticket(last + attempt as u64), last);
             self.step(attempt, Input::Propose(Ticket(last + attempt as u64), last));
         }
-        self.pass(10_000);
+        self.advance(10_000);
         let states: Vec<_> = self
             .members
             .iter()
@@ -459,13 +465,16 @@
         );
         for value in &self.answered {
             let count = states[0].iter().filter(|applied| *applied == value).count();
-            assert_eq!(count, 1, "{value} was answered and stands {count} times");
+            assert_eq!(
+                count, 1,
+                "{value} was answered and is applied {count} times"
+            );
         }
-        assert!(states[0].contains(&last), "nothing is accepted any more");
+        assert!(states[0].contains(&last), "no command is accepted any more");
     }
 }
 
-/// What is written must leave what is committed as it is.
+/// Checks that a write drops no committed entry.
 fn check_write(kept: &Kept<Trail>, write: &Write<Trail>, committed: &BTreeMap<Index, Entry<u64>>) {
     let Write::Truncate(from) = write else { return };
     for entry in kept.entries.iter().filter(|entry| entry.index >= *from) {
@@ -483,7 +492,7 @@
     runs(400, schedule, |seed, steps| {
         let mut cluster = Cluster::new(seed);
         for step in steps {
-            cluster.take(*step);
+            cluster.run_step(*step);
         }
         cluster.settle();
     });
@@ -491,24 +500,24 @@
 
 #[test]
 fn voters_repair_themselves_under_faults() {
-    /// One more than have to remain, so that silent ones are removed.
-    const MANY: usize = 4;
-    let schedule = |seed| schedule_of(seed, MANY);
+    /// One more than the number of voters that must remain, so that silent ones are removed.
+    const VOTERS: usize = 4;
+    let schedule = |seed| schedule_for(seed, VOTERS);
     runs(400, schedule, |seed, steps| {
-        let mut cluster = Cluster::with_repair(seed, MANY, Some(Repair::default()));
+        let mut cluster = Cluster::with_repair(seed, VOTERS, Some(Repair::default()));
         for step in steps {
-            cluster.take(*step);
+            cluster.run_step(*step);
         }
         cluster.settle();
     });
 }
 
-/// A schedule in which disks are lost only while all others lose power, most often right after
-/// something was proposed; everyone is back some time later.
-fn schedule_of_losses(seed: u64, nodes: usize) -> Vec<Step> {
+/// Returns a schedule in which a disk is lost only while all other nodes lose power, mostly right
+/// after proposals. All nodes restart some time later.
+fn schedule_with_disk_losses(seed: u64, nodes: usize) -> Vec<Step> {
     let mut random = random(seed ^ 0x10ad);
     let mut steps = Vec::new();
-    for step in schedule_of(seed, nodes) {
+    for step in schedule_for(seed, nodes) {
         let Step::Replace(disk) = step else {
             steps.push(step);
             continue;
@@ -528,11 +537,11 @@
 fn what_was_answered_outlives_a_disk_that_is_lost_as_all_others_lose_power() {
     runs(
         400,
-        |seed| schedule_of_losses(seed, NODES),
+        |seed| schedule_with_disk_losses(seed, NODES),
         |seed, steps| {
             let mut cluster = Cluster::new(seed);
             for step in steps {
-                cluster.take(*step);
+                cluster.run_step(*step);
             }
             cluster.settle();
         },
@@ -541,14 +550,14 @@
 
 #[test]
 fn voters_that_repair_themselves_survive_the_same() {
-    const MANY: usize = 4;
+    const VOTERS: usize = 4;
     runs(
         400,
-        |seed| schedule_of_losses(seed, MANY),
+        |seed| schedule_with_disk_losses(seed, VOTERS),
         |seed, steps| {
-            let mut cluster = Cluster::with_repair(seed, MANY, Some(Repair::default()));
+            let mut cluster = Cluster::with_repair(seed, VOTERS, Some(Repair::default()));
             for step in steps {
-                cluster.take(*step);
+                cluster.run_step(*step);
             }
             cluster.settle();
         },
@@ -558,37 +567,38 @@
 #[test]
 fn a_second_loss_during_a_repair_stops_changes_but_loses_none() {
     let mut cluster = Cluster::new(1);
-    cluster.pass(3000);
+    cluster.advance(3000);
     for i in 0..NODES {
-        cluster.take(Step::Propose(i));
+        cluster.run_step(Step::Propose(i));
     }
-    cluster.pass(500);
+    cluster.advance(500);
     let answered = cluster.answered.len();
     assert!(answered > 0);
-    // A box loses its folder; before its new identity votes, another one dies.
-    cluster.take(Step::Replace(0));
-    cluster.take(Step::Crash(1));
-    cluster.pass(5000);
+    // A node loses its data directory, and another one crashes before the first one's new identity
+    // is a voter.
+    cluster.run_step(Step::Replace(0));
+    cluster.run_step(Step::Crash(1));
+    cluster.advance(5000);
     for i in 0..NODES {
-        cluster.take(Step::Propose(i));
+        cluster.run_step(Step::Propose(i));
     }
-    cluster.pass(5000);
+    cluster.advance(5000);
     assert_eq!(
         cluster.answered.len(),
         answered,
         "a change was accepted without a majority"
     );
-    // The second box comes back with its disk: changes go on, nothing is lost.
-    cluster.take(Step::Restart(1));
+    // The second node restarts with its disk: changes continue, and none is lost.
+    cluster.run_step(Step::Restart(1));
     cluster.settle();
 }
 
 #[test]
 fn an_empty_folder_never_votes() {
     let mut cluster = Cluster::new(2);
-    cluster.pass(3000);
-    // Two of three lose their folders at once, which no majority survives: the new
-    // identities must not elect anyone.
+    cluster.advance(3000);
+    // Two of three nodes lose their data directories at once, so there is no majority: the new
+    // identities must not elect a leader.
     for i in [0, 1] {
         cluster.members[i].node = node(i, 500 + i as u64);
         cluster.members[i].kept = Kept::default();
@@ -597,17 +607,17 @@
     }
     cluster.members[2].voter = None;
     cluster.restart(2);
-    cluster.pass(20_000);
+    cluster.advance(20_000);
     let leads = |member: &Member| member.voter.as_ref().is_some_and(Voter::is_leader);
     assert!(
         !cluster.members.iter().any(leads),
-        "someone leads without a majority"
+        "a node leads without a majority"
     );
 }
 
-/// Seed 20042 of the run above, shortened: a voter was removed as silent while a learner
-/// made up the number of those heard, and two voters remained; the loss of one disk then
-/// stopped all changes for good.
+/// A shortened form of seed 20042 of the run above. If a learner counts among the responsive
+/// voters, a silent voter is removed and only two voters remain; the loss of one disk then stops
+/// all changes for good.
 #[test]
 fn a_learner_does_not_count_among_the_voters_that_remain() {
     let mut cluster = Cluster::with_repair(20042, 4, Some(Repair::default()));
@@ -627,7 +637,7 @@
         vec![Step::Replace(0)],
     ];
     for step in steps.into_iter().flatten() {
-        cluster.take(step);
+        cluster.run_step(step);
     }
     cluster.settle();
 }
--- a/tests/testsuite/random/claim.rs
+++ b/tests/testsuite/random/claim.rs
@@ -1,5 +1,6 @@
-//! Claims under lost messages, cuts, restarts that forget, and changes of the set of
-//! boxes. Checked: no key is won by two requests while it is remembered.
+//! Claims of idempotency keys under message loss, network partitions, restarts that lose all state,
+//! and changes of the set of boxes. Checked: within its retention time, no key is won by two
+//! requests.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,13 +20,13 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Pass(u64),
-    /// A request claims a key, and may be cut off from each box (a bit each).
+    /// A request claims a key. Each bit of the mask cuts it off from one box.
     Claim(u64, u8),
-    /// A box restarts and forgets.
+    /// A box restarts without its state.
     Restart(usize),
-    /// A box reads back from the others, and may be cut off from each.
+    /// A box reads claims back from the others. Each bit of the mask cuts it off from one of them.
     ReadBack(usize, u8),
-    /// A box leaves the configuration, or comes back.
+    /// A box is removed from the configuration, or added again.
     Toggle(usize),
 }
 
@@ -38,7 +39,7 @@
     let mut steps = vec![Step::Pass(61_000)];
     for _ in 0..200 {
         let entry = random.random_range(0..BOXES);
-        // Most bits are zero: most boxes are reached.
+        // Most bits are zero, so most boxes are reachable.
         let cut = random.random::<u8>() & random.random::<u8>();
         steps.push(match random.random_range(0..100) {
             0..20 => Step::Pass(random.random_range(1..5000)),
@@ -59,7 +60,7 @@
     now: Duration,
     boxes: BTreeMap<name::Box, name::Zone>,
     holders: Vec<Holder>,
-    /// Who won a key, and when.
+    /// The request that won each key, and when.
     won: BTreeMap<u64, (Request, Duration)>,
     serial: u64,
     toggled: Duration,
@@ -88,7 +89,7 @@
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
             Step::Pass(millis) => {
                 self.now += Duration::from_millis(millis);
@@ -119,7 +120,7 @@
             .iter()
             .map(|name| {
                 let i: usize = name.as_str()[1..].parse().unwrap();
-                // A message may be lost on its way there, or the answer on its way back.
+                // Either the request to the box or its reply may be lost.
                 if cut & (1 << i) != 0 && i.is_multiple_of(2) {
                     return None;
                 }
@@ -142,7 +143,7 @@
             return release(self, None);
         }
         if let Some((first, at)) = self.won.insert(number, (owner, self.now)) {
-            // At the very end of its retention a key may be forgotten at once.
+            // A key may be forgotten one millisecond before its retention time ends.
             assert!(
                 self.now - at >= RETENTION - Duration::from_millis(1),
                 "key {number} is won by {owner} after {first}"
@@ -165,8 +166,8 @@
         }
     }
 
-    /// One box at a time leaves the configuration or comes back, as the ledger allows;
-    /// the next only after the retention, as the operators' page says.
+    /// Removes a box from the configuration or adds it again. The ledger allows one such change at
+    /// a time, and operators are told to make the next one only after the retention time.
     fn toggle(&mut self, i: usize) {
         if self.now < self.toggled + RETENTION {
             return;
@@ -187,7 +188,7 @@
     runs(400, schedule, |_, steps| {
         let mut world = World::new();
         for step in steps {
-            world.take(*step);
+            world.run_step(*step);
         }
         let present: BTreeSet<_> = world.boxes.keys().cloned().collect();
         assert!(present.len() >= ZONES);
@@ -197,7 +198,7 @@
 #[test]
 fn keys_can_be_won_at_all_also_with_one_holder_gone() {
     let mut world = World::new();
-    world.take(Step::Pass(61_000));
+    world.run_step(Step::Pass(61_000));
     for number in 0..50 {
         world.claim(number, 1 << (number % 6));
     }
--- a/tests/testsuite/random/dispatch.rs
+++ b/tests/testsuite/random/dispatch.rs
@@ -1,10 +1,11 @@
-//! Dispatchers of a zone under lost boxes, moved homes, frozen boxes and broken links.
+//! Dispatchers of a zone with boxes that crash or freeze, broken connections, and a dispatcher that
+//! moves between boxes.
 //!
-//! Each box has its own view of who is alive, which lags; the dispatcher of the
-//! service moves with it. Checked: a request gets one answer and no more; a slot is
-//! held once among the boxes that nobody took for dead; what a dispatcher checks of
-//! itself (order of shedding and preemption, slots, leaving and cordoned endpoints) panics by
-//! itself. At the end, without faults, every request is answered and every slot free.
+//! Each box has a view of its own, with a delay, of which boxes are alive; the view determines
+//! which box dispatches for the service. Checked: a request gets exactly one answer; no slot is
+//! held twice among the boxes that were never declared dead. The dispatcher's own invariants (order
+//! of shedding and preemption, slots, leaving and cordoned endpoints) panic when they are violated.
+//! At the end, without faults, every request is answered and every slot is free.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,30 +25,30 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Pass(u64),
-    /// A request of a tier comes to a box; how long it would run, in milliseconds.
+    /// A request arrives: the box, its tier, and how long it runs, in milliseconds.
     Ask(usize, u8, u64),
-    /// A box dies with all its requests.
+    /// A box crashes, and all its requests are lost.
     Kill(usize),
     Start(usize),
     Freeze(usize),
     Thaw(usize),
-    /// The link of a box to the others is lost, and comes back at once.
+    /// The connections between a box and the others break and are re-established at once.
     Break(usize),
-    /// The caller of one of a box's requests leaves.
+    /// The caller of one of a box's requests disconnects.
     Leave(usize),
-    /// An endpoint breaks all its runs.
+    /// An endpoint crashes, and all requests that run on it fail.
     Crash(usize),
     Leaving(usize, bool),
-    /// An endpoint's zone is cordoned or not; each endpoint stands in a zone of its own.
+    /// An endpoint's zone is cordoned or uncordoned; each endpoint is in a zone of its own.
     Cordon(usize, bool),
 }
 
 const BOXES: usize = 3;
 const ENDPOINTS: usize = 3;
 const SLOTS: u32 = 2;
-/// Few enough that the queue is full now and then.
+/// The queue limit, low enough that the queue is sometimes full.
 const MAX_WAITING: usize = 12;
-/// How long a grant lives unused; a box that was frozen longer distrusts its grants.
+/// How long an unused grant is valid; a box that was frozen for longer rejects its grants.
 const GRANT_LIFE: Duration = Duration::from_secs(2);
 
 fn schedule(seed: u64) -> Vec<Step> {
@@ -90,26 +91,26 @@
 struct Entry {
     up: bool,
     frozen_at: Option<Duration>,
-    /// Whether others ever took it for dead in this life.
-    doubted: bool,
+    /// Whether other boxes have declared it dead since it started.
+    declared_dead: bool,
     alive: BTreeSet<usize>,
     home: usize,
     open: BTreeMap<Request, Open>,
     dispatcher: Option<Dispatcher>,
     inbox: Vec<Message>,
-    /// Whether its link to the dispatcher came up anew while it was frozen.
-    relinked: bool,
+    /// Whether the connection to its dispatcher was re-established while it was frozen.
+    reconnected: bool,
 }
 
 #[derive(Clone, Debug)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "most messages are reports, and few are under way at once"
+    reason = "most messages are reports, and few are in flight at once"
 )]
 enum Message {
     Report(usize, Report),
     Order(usize, Order),
-    /// The dispatcher of a box has gone.
+    /// A box has stopped dispatching for the receiver.
     Gone(usize),
 }
 
@@ -117,15 +118,15 @@
     now: Duration,
     random: rand::rngs::SmallRng,
     entries: Vec<Entry>,
-    flying: BTreeMap<(Duration, u64), (usize, Message)>,
-    /// When a message from one box to another may arrive at the soonest: links keep
-    /// their order.
+    in_flight: BTreeMap<(Duration, u64), (usize, Message)>,
+    /// The earliest time at which the next message from one box to another may arrive: connections
+    /// preserve the order of messages.
     order: BTreeMap<(usize, usize), Duration>,
     leaving: Vec<bool>,
     cordoned: Vec<bool>,
     serial: u64,
     answers: BTreeMap<Request, u32>,
-    views: BTreeMap<(Duration, u64), usize>,
+    view_updates: BTreeMap<(Duration, u64), usize>,
 }
 
 fn box_name(i: usize) -> name::Box {
@@ -148,13 +149,13 @@
             now: Duration::from_secs(1000),
             random: random(seed ^ 0xd15),
             entries: entries.collect(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             order: BTreeMap::new(),
             leaving: vec![false; ENDPOINTS],
             cordoned: vec![false; ENDPOINTS],
             serial: 0,
             answers: BTreeMap::new(),
-            views: BTreeMap::new(),
+            view_updates: BTreeMap::new(),
         };
         for i in 0..BOXES {
             zone.entries[i].home = zone.home(i);
@@ -163,7 +164,7 @@
         zone
     }
 
-    /// The dispatcher as a box sees it.
+    /// Returns the box that dispatches for the service in the view of box `i`.
     fn home(&self, i: usize) -> usize {
         let names: Vec<_> = self.entries[i].alive.iter().map(|i| box_name(*i)).collect();
         rendezvous::winner(&["lm", "zone"], names.iter()).map_or(i, index_of)
@@ -175,10 +176,10 @@
         let at = (self.now + wait).max(*soonest);
         *soonest = at;
         self.serial += 1;
-        self.flying.insert((at, self.serial), (to, message));
+        self.in_flight.insert((at, self.serial), (to, message));
     }
 
-    fn tell(&mut self, from: usize, to: usize, report: Report) {
+    fn send_report(&mut self, from: usize, to: usize, report: Report) {
         if from == to {
             self.report(to, from, report);
         } else {
@@ -252,7 +253,7 @@
         }
     }
 
-    /// A box takes an order from a dispatcher.
+    /// Handles an order that a box receives from a dispatcher.
     fn order(&mut self, i: usize, from: usize, order: Order) {
         let Some(attempt) = order.attempt() else {
             return;
@@ -269,7 +270,7 @@
                 if let Some(open) = self.entries[i].open.get_mut(&attempt.request) {
                     open.run = Some((endpoint, now));
                 }
-                self.tell(i, from, Report::Started(attempt));
+                self.send_report(i, from, Report::Started(attempt));
                 self.check_slots();
             }
             Order::Shed(..) if !running => self.answer(i, attempt.request),
@@ -282,14 +283,14 @@
         }
     }
 
-    /// Tells the dispatcher that a run ended.
+    /// Reports to the dispatcher that a request has stopped running.
     fn end(&mut self, i: usize, request: Request, end: End) {
         let Some(open) = self.entries[i].open.get_mut(&request) else {
             return;
         };
         open.run = None;
         let (attempt, to) = (open.ask.attempt, open.dispatcher);
-        self.tell(i, to, Report::End(attempt, end, unit::Tokens(1)));
+        self.send_report(i, to, Report::End(attempt, end, unit::Tokens(1)));
     }
 
     fn ask_again(&mut self, i: usize, request: Request, preempted: bool) {
@@ -302,10 +303,10 @@
         open.ask.age += now - open.asked_at;
         open.asked_at = now;
         let (ask, to) = (open.ask.clone(), open.dispatcher);
-        self.tell(i, to, Report::Ask(ask));
+        self.send_report(i, to, Report::Ask(ask));
     }
 
-    /// A request gets its final answer.
+    /// Records the final answer to a request.
     fn answer(&mut self, i: usize, request: Request) {
         self.entries[i].open.remove(&request);
         let answers = self.answers.entry(request).or_default();
@@ -313,13 +314,13 @@
         assert_eq!(*answers, 1, "{request} is answered twice");
     }
 
-    /// Among the boxes that nobody ever took for dead, a slot is held once.
+    /// Checks that no slot is held twice among the boxes that were never declared dead.
     fn check_slots(&self) {
         let mut held = [0; ENDPOINTS];
         for entry in self
             .entries
             .iter()
-            .filter(|entry| entry.up && !entry.doubted)
+            .filter(|entry| entry.up && !entry.declared_dead)
         {
             for (endpoint, _) in entry.open.values().filter_map(|open| open.run) {
                 held[endpoint] += 1;
@@ -331,11 +332,11 @@
         );
     }
 
-    /// Tells the dispatcher that this box takes for the right one all that it holds.
+    /// Announces everything that a box holds to the dispatcher that it considers current.
     fn announce(&mut self, i: usize) {
         let home = self.entries[i].home;
         let now = self.now;
-        self.tell(i, home, Report::Hello);
+        self.send_report(i, home, Report::Hello);
         let mut reports = Vec::new();
         for open in self.entries[i].open.values_mut() {
             open.dispatcher = home;
@@ -355,22 +356,22 @@
             });
         }
         for report in reports {
-            self.tell(i, home, report);
+            self.send_report(i, home, report);
         }
-        self.tell(i, home, Report::Announced);
+        self.send_report(i, home, Report::Announced);
     }
 
-    /// Everyone hears, each after a while of its own, that something has changed.
-    fn spread(&mut self, alive: bool) {
+    /// Schedules an update of each box's view, with a random delay for each.
+    fn schedule_view_updates(&mut self, alive: bool) {
         for i in 0..BOXES {
             let wait = if alive { 400 } else { 1500 };
             let wait = Duration::from_millis(wait + self.random.random_range(0..400));
             self.serial += 1;
-            self.views.insert((self.now + wait, self.serial), i);
+            self.view_updates.insert((self.now + wait, self.serial), i);
         }
     }
 
-    /// Whether a box does not count as dead: a short freeze is not noticed.
+    /// Returns whether a box appears alive to the others; they don't notice a short freeze.
     fn looks_alive(&self, i: usize) -> bool {
         const SUSPICION: Duration = Duration::from_millis(1200);
         let entry = &self.entries[i];
@@ -380,22 +381,23 @@
                 .is_none_or(|since| self.now < since + SUSPICION)
     }
 
-    /// Who looks alive; the others are doubted from now on.
-    fn look(&mut self) -> BTreeSet<usize> {
+    /// Returns the boxes that appear alive, and marks the others as declared dead.
+    fn update_liveness(&mut self) -> BTreeSet<usize> {
         let alive: BTreeSet<_> = (0..BOXES).filter(|b| self.looks_alive(*b)).collect();
         for gone in (0..BOXES).filter(|b| !alive.contains(b)) {
-            self.entries[gone].doubted = true;
+            self.entries[gone].declared_dead = true;
         }
         alive
     }
 
-    /// A box sees who is alive now.
-    fn see(&mut self, i: usize) {
+    /// Updates a box's view of which boxes are alive.
+    fn update_view(&mut self, i: usize) {
         if !self.usable(i) {
             return;
         }
-        let alive = self.look();
-        // A box that is taken for dead by mistake learns so that it is not waited for.
+        let alive = self.update_liveness();
+        // From this, a box that was wrongly declared dead learns that its requests are no longer
+        // queued here, and announces them again.
         for b in self.entries[i].alive.clone().difference(&alive) {
             self.send(i, *b, Message::Gone(i));
         }
@@ -408,8 +410,8 @@
         }
     }
 
-    /// A dispatcher that another box holds now is dropped, and the others are told.
-    fn drop_foreign(&mut self, i: usize) {
+    /// Drops a box's dispatcher if the service has moved to another box, and notifies the others.
+    fn drop_moved_dispatcher(&mut self, i: usize) {
         if self.home(i) != i && self.entries[i].dispatcher.take().is_some() {
             for b in (0..BOXES).filter(|b| *b != i) {
                 self.send(i, b, Message::Gone(i));
@@ -417,14 +419,14 @@
         }
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
             self.now += Duration::from_millis(10);
-            self.arrive();
+            self.deliver_due();
             for i in 0..BOXES {
                 if self.entries[i].up && self.entries[i].frozen_at.is_none() {
-                    self.drop_foreign(i);
+                    self.drop_moved_dispatcher(i);
                     self.input(i, Input::Tick);
                     self.finish_runs(i);
                 }
@@ -432,12 +434,20 @@
         }
     }
 
-    fn arrive(&mut self) {
-        while let Some(entry) = self.views.first_entry().filter(|e| e.key().0 <= self.now) {
+    fn deliver_due(&mut self) {
+        while let Some(entry) = self
+            .view_updates
+            .first_entry()
+            .filter(|e| e.key().0 <= self.now)
+        {
             let i = entry.remove();
-            self.see(i);
+            self.update_view(i);
         }
-        while let Some(entry) = self.flying.first_entry().filter(|e| e.key().0 <= self.now) {
+        while let Some(entry) = self
+            .in_flight
+            .first_entry()
+            .filter(|e| e.key().0 <= self.now)
+        {
             let (to, message) = entry.remove();
             if self.entries[to].frozen_at.is_some() {
                 self.entries[to].inbox.push(message);
@@ -468,9 +478,9 @@
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
-            Step::Pass(millis) => self.pass(millis),
+            Step::Pass(millis) => self.advance(millis),
             Step::Ask(i, tier, takes) => self.ask(i, tier, takes),
             Step::Kill(i) => self.kill(i),
             Step::Start(i) => self.start(i),
@@ -540,7 +550,7 @@
             dispatcher,
         };
         self.entries[i].open.insert(request, open);
-        self.tell(i, dispatcher, Report::Ask(ask));
+        self.send_report(i, dispatcher, Report::Ask(ask));
     }
 
     fn kill(&mut self, i: usize) {
@@ -555,13 +565,13 @@
             alive,
             ..Entry::default()
         };
-        self.drop_flights(i);
-        self.spread(false);
+        self.drop_in_flight(i);
+        self.schedule_view_updates(false);
     }
 
-    /// What is on its way from or to a box is lost.
-    fn drop_flights(&mut self, i: usize) {
-        self.flying.retain(|_, (to, message)| {
+    /// Drops all messages in flight from or to a box.
+    fn drop_in_flight(&mut self, i: usize) {
+        self.in_flight.retain(|_, (to, message)| {
             let from = match message {
                 Message::Report(from, _) | Message::Order(from, _) | Message::Gone(from) => *from,
             };
@@ -573,7 +583,7 @@
         if self.entries[i].up {
             return;
         }
-        // A box takes part once it has heard from all its peers.
+        // A box starts to serve once it has heard from all its peers.
         let mut alive: BTreeSet<_> = (0..BOXES).filter(|b| self.entries[*b].up).collect();
         alive.insert(i);
         self.entries[i] = Entry {
@@ -583,16 +593,16 @@
         };
         self.entries[i].home = self.home(i);
         self.announce(i);
-        // The links of the others to it come up again.
-        self.link_up(i);
-        self.spread(true);
+        // The other boxes re-establish their connections to it.
+        self.reconnect_peers(i);
+        self.schedule_view_updates(true);
     }
 
     fn freeze(&mut self, i: usize) {
         let others = (0..BOXES).filter(|b| *b != i && self.usable(*b)).count();
         if self.usable(i) && others > 0 {
             self.entries[i].frozen_at = Some(self.now);
-            self.spread(false);
+            self.schedule_view_updates(false);
         }
     }
 
@@ -600,18 +610,18 @@
         let Some(since) = self.entries[i].frozen_at.take() else {
             return;
         };
-        // After a long freeze the daemon trusts neither the grants that waited to be
-        // read nor what its dispatchers were told before, and links are made anew.
+        // After a long freeze the daemon relies neither on unread grants nor on the earlier state
+        // of its dispatchers, and all connections are re-established.
         if self.now - since > Duration::from_secs(1) {
             self.entries[i].dispatcher = None;
             for message in std::mem::take(&mut self.entries[i].inbox) {
                 if let Message::Order(from, order) = message {
-                    self.distrust(i, from, order);
+                    self.reject_unread_grant(i, from, order);
                 }
             }
-            self.spread(true);
-            // It takes part again once it has heard from all its peers.
-            self.entries[i].alive = self.look();
+            self.schedule_view_updates(true);
+            // It serves again once it has heard from all its peers.
+            self.entries[i].alive = self.update_liveness();
             self.entries[i].home = self.home(i);
             self.break_links(i);
             return;
@@ -619,15 +629,15 @@
         for message in std::mem::take(&mut self.entries[i].inbox) {
             self.take_message(i, message);
         }
-        if std::mem::take(&mut self.entries[i].relinked) {
+        if std::mem::take(&mut self.entries[i].reconnected) {
             self.announce(i);
         }
-        // What it missed of who is alive, it hears now.
-        self.see(i);
-        self.spread(true);
+        // The box now receives the view updates that it missed.
+        self.update_view(i);
+        self.schedule_view_updates(true);
     }
 
-    fn distrust(&mut self, i: usize, from: usize, order: Order) {
+    fn reject_unread_grant(&mut self, i: usize, from: usize, order: Order) {
         let Order::Grant(attempt, _) = order else {
             return self.order(i, from, order);
         };
@@ -635,14 +645,14 @@
         if known
             .is_some_and(|o| o.ask.attempt == attempt && o.dispatcher == from && o.run.is_none())
         {
-            self.tell(i, from, Report::End(attempt, End::Unused, unit::Tokens(0)));
+            self.send_report(i, from, Report::End(attempt, End::Unused, unit::Tokens(0)));
             self.ask_again(i, attempt.request, false);
         }
     }
 
-    /// The links of the others to a box come up: those that it dispatches for tell it
-    /// everything anew.
-    fn link_up(&mut self, i: usize) {
+    /// Re-establishes the connections of the other boxes to a box: those that it dispatches for
+    /// announce everything to it again.
+    fn reconnect_peers(&mut self, i: usize) {
         for b in (0..BOXES).filter(|b| *b != i) {
             if self.entries[b].home != i {
                 continue;
@@ -650,7 +660,7 @@
             if self.usable(b) {
                 self.announce(b);
             } else {
-                self.entries[b].relinked = true;
+                self.entries[b].reconnected = true;
             }
         }
     }
@@ -659,9 +669,9 @@
         if !self.usable(i) {
             return;
         }
-        self.drop_flights(i);
+        self.drop_in_flight(i);
         self.announce(i);
-        self.link_up(i);
+        self.reconnect_peers(i);
     }
 
     fn leave(&mut self, i: usize) {
@@ -675,7 +685,7 @@
         if open.run.is_some() {
             self.end(i, request, End::Cancelled);
         } else {
-            self.tell(i, to, Report::Withdraw(attempt));
+            self.send_report(i, to, Report::Withdraw(attempt));
         }
         self.answer(i, request);
     }
@@ -692,24 +702,24 @@
         }
     }
 
-    /// Ends all faults; every request must come to its answer and every slot be free.
+    /// Ends all faults and checks that every request is answered and every slot is free.
     fn settle(&mut self) {
         for i in 0..BOXES {
             self.start(i);
             self.thaw(i);
         }
         for endpoint in 0..ENDPOINTS {
-            self.take(Step::Leaving(endpoint, false));
-            self.take(Step::Cordon(endpoint, false));
+            self.run_step(Step::Leaving(endpoint, false));
+            self.run_step(Step::Cordon(endpoint, false));
         }
-        self.pass(60_000);
+        self.advance(60_000);
         for entry in &self.entries {
             assert!(entry.open.is_empty(), "requests are left: {:?}", entry.open);
             if let Some(dispatcher) = &entry.dispatcher {
                 assert_eq!(
                     dispatcher.waiting(),
                     0,
-                    "a queue holds what nobody waits for"
+                    "the queue holds a request that no caller waits for"
                 );
                 assert_eq!(dispatcher.running(), 0, "a slot is lost");
             }
@@ -722,7 +732,7 @@
     runs(300, schedule, |seed, steps| {
         let mut zone = Zone::new(seed);
         for step in steps {
-            zone.take(*step);
+            zone.run_step(*step);
         }
         zone.settle();
     });
--- a/tests/testsuite/random/incarnation.rs
+++ b/tests/testsuite/random/incarnation.rs
@@ -1,8 +1,9 @@
-//! Registries that hear of endpoints' starts in different orders, twice, late and not at all.
+//! Registries that receive records of endpoints' starts reordered, duplicated, late or not at all.
 //!
-//! Endpoints start again under their names and at each other's addresses, and leave in between.
-//! Checked: no registry ever goes back to an earlier start, or to one that it knows has gone; and
-//! those that have heard the same, in whatever order and however often, hold the same.
+//! Endpoints restart under the same name, take over each other's addresses, and leave in between.
+//! Checked: no registry ever returns to an earlier start, or to one that it knows to have ended;
+//! and registries that have received the same records, in any order and any number of times, are
+//! equal.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,11 +19,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A record that some endpoint sent.
-    Hear(Record),
-    /// A start has gone.
+    /// A record arrives that an endpoint sent.
+    Receive(Record),
+    /// A start of an endpoint has ended.
     End(name::Endpoint, Start),
-    /// All that was not told anew for long is forgotten.
+    /// All records that were not renewed in time expire.
     Forget,
 }
 
@@ -30,16 +31,16 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const NOW: Duration = Duration::from_secs(1000);
 
-/// What a few endpoints have said over some starts, in the order of its saying.
-fn said(seed: u64) -> Vec<Step> {
+/// Returns the records that a few endpoints send over several starts, in the order of sending.
+fn sent(seed: u64) -> Vec<Step> {
     let mut random = random(seed);
-    let mut said = Vec::new();
+    let mut sent = Vec::new();
     let mut starts = BTreeMap::from(NAMES.map(|name| (name, 0)));
     let mut addresses = [1, 2, 3];
     for _ in 0..12 {
         let name = NAMES[random.random_range(0..NAMES.len())];
         let start = starts.entry(name).or_default();
-        // Also a start that does not tell its incarnation.
+        // Start 0 reports no incarnation.
         *start += u64::from(random.random_range(0..3u8));
         addresses.shuffle(&mut random);
         for sequence in 1..random.random_range(2..5) {
@@ -50,38 +51,38 @@
                 address: format!("10.0.0.{}:80", addresses[0]).parse().unwrap(),
                 ..record(name, *start, sequence)
             };
-            said.push(Step::Hear(record));
+            sent.push(Step::Receive(record));
         }
         if random.random_range(0..3) == 0 {
             let start = (*start > 0).then_some(unit::Incarnation(*start));
-            said.push(Step::End(name.parse().unwrap(), start));
+            sent.push(Step::End(name.parse().unwrap(), start));
         }
     }
-    said
+    sent
 }
 
-/// What was said in the order in which a registry hears it, a part of it twice.
-fn heard(seed: u64, registry: u64, said: &[Step]) -> Vec<Step> {
+/// Returns the steps in the order in which a registry receives them, a third of them twice.
+fn received(seed: u64, registry: u64, sent: &[Step]) -> Vec<Step> {
     let mut random = random(seed ^ (registry << 32));
-    let mut heard = said.to_vec();
-    heard.extend_from_slice(&said[..said.len() / 3]);
-    heard.shuffle(&mut random);
-    heard
+    let mut received = sent.to_vec();
+    received.extend_from_slice(&sent[..sent.len() / 3]);
+    received.shuffle(&mut random);
+    received
 }
 
 #[derive(Default)]
 struct Checked {
     registry: Registry,
-    /// The latest start of each endpoint that was held here.
+    /// The latest start of each endpoint that the registry has held.
     latest: BTreeMap<name::Endpoint, Start>,
-    /// Up to which start each has gone.
+    /// The latest start of each endpoint that has ended.
     gone: BTreeMap<name::Endpoint, Start>,
 }
 
 impl Checked {
     fn step(&mut self, step: &Step) {
         match step {
-            Step::Hear(record) => drop(self.registry.merge(record.clone(), NOW)),
+            Step::Receive(record) => drop(self.registry.merge(record.clone(), NOW)),
             Step::End(name, start) => {
                 self.registry.end(name, *start);
                 let gone = self.gone.entry(name.clone()).or_insert(*start);
@@ -92,10 +93,13 @@
         for record in self.registry.records() {
             let start = record.incarnation;
             let latest = self.latest.entry(record.name.clone()).or_insert(start);
-            assert!(*latest <= start, "back to an earlier start: {record:?}");
+            assert!(*latest <= start, "returned to an earlier start: {record:?}");
             *latest = start;
             let gone = self.gone.get(&record.name);
-            assert!(gone.is_none_or(|gone| *gone < start), "gone: {record:?}");
+            assert!(
+                gone.is_none_or(|gone| *gone < start),
+                "this start has ended: {record:?}"
+            );
         }
     }
 }
@@ -108,10 +112,10 @@
 
 #[test]
 fn registries_that_heard_the_same_hold_the_same() {
-    runs(500, said, |seed, said| {
-        let first = play(&heard(seed, 0, said)).registry;
+    runs(500, sent, |seed, sent| {
+        let first = play(&received(seed, 0, sent)).registry;
         for registry in 1..REGISTRIES {
-            let other = play(&heard(seed, registry, said)).registry;
+            let other = play(&received(seed, registry, sent)).registry;
             let (own, others) = (first.records(), other.records());
             assert!(own.eq(others), "{first:?}\n{other:?}");
             assert_eq!(first.gone_since(0), other.gone_since(0));
@@ -124,13 +128,13 @@
 #[test]
 fn no_registry_goes_back_to_an_earlier_start() {
     let schedule = |seed| {
-        let mut steps = heard(seed, 1, &said(seed));
+        let mut steps = received(seed, 1, &sent(seed));
         let mut random = random(seed ^ 0xf0);
         for _ in 0..steps.len() / 8 {
             steps.insert(random.random_range(0..steps.len()), Step::Forget);
         }
         steps
     };
-    // Any part may be lost: what is checked holds after each step.
+    // Shrinking may leave out any step, since the checks hold after each step.
     runs(500, schedule, |_, steps| drop(play(steps)));
 }
--- a/tests/testsuite/random/member.rs
+++ b/tests/testsuite/random/member.rs
@@ -1,6 +1,6 @@
-//! Membership under lost messages, dead and frozen boxes. Checked: once faults are
-//! over, all see the same; a dead box is seen as dead in time; a live one comes back;
-//! messages stay small however many boxes there are.
+//! Membership (SWIM) under message loss and crashes. Checked: once faults are over, all boxes have
+//! the same view; a crashed box is declared dead in time; a restarted one is seen as alive again;
+//! the size and rate of messages do not depend on the number of boxes.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,7 +18,7 @@
     Kill(usize),
     Start(usize),
     Leave(usize),
-    /// From now on, messages are lost with this probability, in per cent.
+    /// From now on, messages are lost with this probability, in percent.
     Loss(u8),
 }
 
@@ -50,9 +50,10 @@
     loss: u8,
     members: Vec<Option<Members>>,
     serial: u64,
-    /// Messages that each box sent, and the most news in one.
+    /// The number of messages that each box sent.
     sent: BTreeMap<usize, u64>,
-    most_news: usize,
+    /// The largest number of news items in one message.
+    max_news: usize,
 }
 
 impl Zone {
@@ -64,7 +65,7 @@
             members: (0..boxes).map(|_| None).collect(),
             serial: 0,
             sent: BTreeMap::new(),
-            most_news: 0,
+            max_news: 0,
         };
         (0..boxes).for_each(|i| zone.start(i));
         zone
@@ -72,18 +73,19 @@
 
     fn start(&mut self, i: usize) {
         self.serial += 1;
-        // Nothing tells a box which start this is; clocks jump back.
+        // A box cannot know how often it has started, and clocks may go back; so the incarnation is
+        // arbitrary.
         let incarnation = unit::Incarnation(self.random.random_range(0..4));
         let mut members = Members::new(Settings::default(), box_name(i), incarnation, self.serial);
         members.configure((0..self.members.len()).map(box_name), self.now);
         self.members[i] = Some(members);
     }
 
-    fn lost(&mut self) -> bool {
+    fn is_lost(&mut self) -> bool {
         self.random.random_range(0..100) < self.loss
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
             self.now += Duration::from_millis(50);
@@ -106,14 +108,14 @@
         let Some(question) = self.message(i) else {
             return;
         };
-        let reached = self.members[p].is_some() && !self.lost();
+        let reached = self.members[p].is_some() && !self.is_lost();
         let answer = reached.then(|| {
             if let Some(members) = self.members[p].as_mut() {
                 members.hear(question, now);
             }
             self.message(p)
         });
-        let answer = answer.flatten().filter(|_| !self.lost());
+        let answer = answer.flatten().filter(|_| !self.is_lost());
         let Some(members) = self.members[i].as_mut() else {
             return;
         };
@@ -126,7 +128,7 @@
     fn message(&mut self, i: usize) -> Option<Message> {
         let message = self.members[i].as_mut()?.message();
         *self.sent.entry(i).or_default() += 1;
-        self.most_news = self.most_news.max(message.news.len());
+        self.max_news = self.max_news.max(message.news.len());
         Some(message)
     }
 
@@ -139,7 +141,7 @@
             let seen = self.members[i].as_ref().unwrap().alive();
             let mut expected = expected.clone();
             expected.sort();
-            assert_eq!(seen, expected, "as {} sees it", box_name(i));
+            assert_eq!(seen, expected, "in the view of {}", box_name(i));
         }
     }
 }
@@ -150,21 +152,21 @@
         let mut zone = Zone::new(seed, BOXES);
         for step in steps {
             match step {
-                Step::Pass(millis) => zone.pass(*millis),
+                Step::Pass(millis) => zone.advance(*millis),
                 Step::Kill(i) => zone.members[*i] = None,
                 Step::Start(i) => zone.start(*i),
                 Step::Leave(i) => {
                     if let Some(members) = zone.members[*i].as_mut() {
                         members.leave();
                     }
-                    zone.pass(300);
+                    zone.advance(300);
                     zone.members[*i] = None;
                 }
                 Step::Loss(percent) => zone.loss = *percent,
             }
         }
         zone.loss = 0;
-        zone.pass(20_000);
+        zone.advance(20_000);
         zone.check_same();
     });
 }
@@ -172,22 +174,22 @@
 #[test]
 fn a_dead_box_is_seen_in_time_and_comes_back() {
     let mut zone = Zone::new(5, BOXES);
-    zone.pass(5000);
+    zone.advance(5000);
     zone.check_same();
     zone.members[3] = None;
-    zone.pass(4000);
+    zone.advance(4000);
     zone.check_same();
     zone.start(3);
-    zone.pass(2000);
+    zone.advance(2000);
     zone.check_same();
 }
 
 #[test]
 fn a_leaving_box_is_told_at_once() {
     let mut zone = Zone::new(6, BOXES);
-    zone.pass(5000);
+    zone.advance(5000);
     zone.members[2].as_mut().unwrap().leave();
-    zone.pass(1000);
+    zone.advance(1000);
     let status = zone.members[0].as_ref().unwrap().status(&box_name(2));
     assert_eq!(status, Some(Status::Dead));
 }
@@ -196,15 +198,15 @@
 fn the_cost_of_a_box_does_not_grow_with_their_number() {
     let rate = |boxes: usize| {
         let mut zone = Zone::new(7, boxes);
-        zone.pass(5000);
+        zone.advance(5000);
         zone.sent.clear();
-        zone.most_news = 0;
+        zone.max_news = 0;
         for i in 0..boxes / 4 {
             zone.members[i] = None;
         }
-        zone.pass(10_000);
+        zone.advance(10_000);
         let most = zone.sent.values().copied().max().unwrap_or_default();
-        (most, zone.most_news)
+        (most, zone.max_news)
     };
     let (small, _) = rate(8);
     let (large, news) = rate(64);
--- a/tests/testsuite/random/mod.rs
+++ b/tests/testsuite/random/mod.rs
@@ -1,9 +1,8 @@
-//! Long randomised runs over the machines of `core`, with faults from a seed.
+//! Randomised runs of the state machines of `core`, with faults that are drawn from a seed.
 //!
-//! `SCALEWOOD_RUNS` and `SCALEWOOD_SEED` choose how many runs and from which seed;
-//! the defaults are fixed, so that every run of the tests is the same. A failing run
-//! prints its seed, and is then shrunk: the shortest schedule that still fails is
-//! looked for, by leaving out parts of it.
+//! `SCALEWOOD_RUNS` and `SCALEWOOD_SEED` set the number of runs and the first seed. The defaults
+//! are fixed, so that every run of the tests is the same. A failing run prints its seed and is then
+//! shrunk: parts of the schedule are left out as long as it still fails.
 
 pub(crate) mod agree;
 pub(crate) mod claim;
@@ -16,12 +15,12 @@
 
 use rand::{rngs::SmallRng, SeedableRng as _};
 
-/// A generator of random numbers for a seed.
+/// Returns the random number generator for a seed.
 pub(crate) fn random(seed: u64) -> SmallRng {
     SmallRng::seed_from_u64(seed)
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     match std::env::var(name) {
         Ok(text) => text
             .parse()
@@ -30,14 +29,15 @@
     }
 }
 
-/// The seeds of a test that makes so many runs, unless it is told otherwise.
+/// Returns the seeds of a test; there are `default_runs` unless the environment sets another
+/// number.
 pub(crate) fn seeds(default_runs: u64) -> std::ops::Range<u64> {
-    let first = number("SCALEWOOD_SEED", 1);
-    first..first + number("SCALEWOOD_RUNS", default_runs)
+    let first = env_number("SCALEWOOD_SEED", 1);
+    first..first + env_number("SCALEWOOD_RUNS", default_runs)
 }
 
-/// Runs a property over many schedules. `schedule` makes the steps of a seed; `check`
-/// carries steps out and panics where the property does not hold.
+/// Checks a property over many schedules. `schedule` returns the steps for a seed; `check` carries
+/// steps out and panics where the property does not hold.
 pub(crate) fn runs<S: Clone + std::fmt::Debug>(
     default_runs: u64,
     schedule: impl Fn(u64) -> Vec<S>,
@@ -52,11 +52,11 @@
         let shortest = shrink(steps, &fails);
         eprintln!("seed {seed} fails; the shortest schedule found is {shortest:?}");
         check(seed, &shortest);
-        panic!("seed {seed} fails, but not every time: the property is not repeatable");
+        panic!("seed {seed} fails, but not every time: the check is not deterministic");
     }
 }
 
-/// Looks for a shorter schedule that still fails, leaving out ever smaller parts.
+/// Searches for a shorter schedule that still fails by leaving out smaller and smaller parts.
 fn shrink<S: Clone>(mut steps: Vec<S>, fails: &impl Fn(&[S]) -> bool) -> Vec<S> {
     let mut part = steps.len() / 2;
     while part > 0 {
