--- a/tests/testsuite/dispatch_large.rs
+++ b/tests/testsuite/dispatch_large.rs
@@ -1,4 +1,4 @@
-//! Dispatchers of thousands of endpoints: what changes is told alone, and the rest stays.
+//! Dispatchers with thousands of endpoints, where only the endpoints that change are passed on.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -35,7 +35,7 @@
     dispatcher
 }
 
-/// The endpoints of a dispatcher with the requests that they may run.
+/// Returns, for each endpoint, how many requests it may run and whether it is leaving.
 fn views(dispatcher: &Dispatcher) -> BTreeMap<name::Endpoint, (u32, bool)> {
     let views = dispatcher.endpoints().into_iter();
     views
@@ -43,8 +43,8 @@
         .collect()
 }
 
-/// During a rolling release of thousands of endpoints some change at each moment. What is told of
-/// those few gives what configuring all of them anew gives.
+/// During a rolling release of thousands of endpoints a few change at any moment. Passing on only
+/// these must lead to the same state as configuring all endpoints again.
 #[test]
 fn endpoints_that_change_one_by_one_end_as_if_all_were_configured() {
     for endpoints in [5, 100, 3000] {
@@ -70,7 +70,8 @@
     }
 }
 
-/// Boxes hear the loads of endpoints before they hear of these, and after they went.
+/// A box may receive the load of an endpoint before it learns of the endpoint, and after the
+/// endpoint has gone.
 #[test]
 fn a_load_that_is_heard_first_counts_once_its_endpoint_is_known() {
     let loaded = |number, running| Loaded {
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -1,10 +1,10 @@
-//! Who is refused when there is too much for all.
+//! Which requests are refused under overload.
 //!
-//! Seen: for five seconds of an overload a fifth of a class's requests got nothing, refused within
-//! milliseconds, while larger and less urgent ones began at the same service. How it comes about:
-//! each request is measured by its own patience alone, and the less urgent class is the more
-//! patient one; what it has begun is what the more urgent one is refused for. Shown by the test
-//! below, on one dispatcher.
+//! These tests guard against a priority inversion: during five seconds of overload, a fifth of a
+//! class's requests are refused within milliseconds while larger and less urgent requests start at
+//! the same service. It comes about if each request is judged by its own patience alone: callers of
+//! the less urgent class wait longer, so its requests start, and the more urgent ones are refused
+//! because of that load. The first test shows this on one dispatcher.
 
 use std::time::Duration;
 
@@ -14,24 +14,24 @@
     name, unit,
 };
 
-use crate::placement::{ask, dispatcher, ENDPOINTS, READ_PER_MS, START};
+use crate::placement::{ask, dispatcher, ENDPOINTS, PREFILL_TOKENS_PER_MS, START};
 
-/// Whether a request is begun; it is refused for overload else.
-fn is_begun(dispatcher: &mut Dispatcher, ask: Ask, now: Duration) -> bool {
+/// Sends a request and returns whether it starts; otherwise it is refused for overload.
+fn starts(dispatcher: &mut Dispatcher, ask: Ask, now: Duration) -> bool {
     let report = Input::Report("e1".parse().unwrap(), Report::Ask(ask));
     match dispatcher.step(report, now).as_slice() {
         [(_, Order::Grant(..))] => true,
         [(_, Order::Shed(_, Reason::Overload, _))] => false,
-        other => panic!("neither begun nor refused: {other:?}"),
+        other => panic!("neither started nor refused: {other:?}"),
     }
 }
 
 #[test]
 fn nothing_larger_and_less_urgent_is_begun_while_the_more_urgent_are_refused() {
     let mut dispatcher = dispatcher();
-    // Everywhere stands what takes two seconds to read.
+    // Each endpoint has unread tokens that take two seconds to prefill.
     let busy = Load {
-        unread: 2_000 * READ_PER_MS,
+        unread: 2_000 * PREFILL_TOKENS_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
@@ -46,32 +46,33 @@
         patience: Some(Duration::from_secs(8)),
         ..ask(request, "long", request)
     };
-    let mut begun = 0;
+    let mut started = 0;
     for request in 0..20 {
         let now = START + Duration::from_millis(50 * request);
         assert!(
-            !is_begun(&mut dispatcher, urgent(2 * request), now),
-            "it can't be in time"
+            !starts(&mut dispatcher, urgent(2 * request), now),
+            "it can't start within its patience"
         );
-        begun += u32::from(is_begun(&mut dispatcher, large(2 * request + 1), now));
+        started += u32::from(starts(&mut dispatcher, large(2 * request + 1), now));
     }
     assert!(
-        begun <= 1,
-        "{begun} larger ones began while each urgent one was refused"
+        started <= 1,
+        "{started} larger requests started while each urgent one was refused"
     );
 }
 
-/// Boxes that share endpoints and exchange loads by way of two hubs.
+/// Boxes that share endpoints and exchange loads through two hubs.
 struct Boxes {
     dispatchers: Vec<Dispatcher>,
     hubs: [Hub; 2],
     requests: u64,
 }
 
-/// How often boxes tell their hub, and hubs each other.
+/// The interval of the exchanges between a box and its hub, and between the hubs.
 const PERIOD: Duration = Duration::from_millis(100);
-/// How long word takes at most: a box's exchange, the hubs', and the other box's.
-const WORD: Duration = Duration::from_millis(300);
+/// The maximum time until another box knows of a refusal: the exchange of the first box, that of
+/// the hubs, and that of the other box.
+const MAX_PROPAGATION: Duration = Duration::from_millis(300);
 
 fn hub_name(hub: usize) -> name::Box {
     format!("c{hub}").parse().unwrap()
@@ -86,10 +87,10 @@
         }
     }
 
-    /// Sets how long what stands at all endpoints takes to be read, as a box sees it.
-    fn burden(&mut self, place: usize, millis: u64, now: Duration) {
+    /// Sets the load that the box at `place` sees at all endpoints to `millis` of prefill time.
+    fn set_load(&mut self, place: usize, millis: u64, now: Duration) {
         let busy = Load {
-            unread: millis * READ_PER_MS,
+            unread: millis * PREFILL_TOKENS_PER_MS,
             ..Load::default()
         };
         let everywhere = (0..ENDPOINTS).map(|at| (format!("i-{at}").parse().unwrap(), busy));
@@ -97,7 +98,7 @@
         self.dispatchers[place].step(everywhere, now);
     }
 
-    /// Tells of refusals what a box tells in an exchange, and takes what it hears.
+    /// Reports a box's request counts to its hub and applies the bounds that the hub returns.
     fn exchange(&mut self, place: usize, now: Duration) {
         let dispatcher = &mut self.dispatchers[place];
         let mut told = News::default();
@@ -111,7 +112,7 @@
         dispatcher.step(Input::Bounds(bounds), now);
     }
 
-    fn share(&mut self, now: Duration) {
+    fn exchange_between_hubs(&mut self, now: Duration) {
         for (from, to) in [(0, 1), (1, 0)] {
             let anew = now == START;
             let news = self.hubs[from].news_for(&hub_name(to), anew, now);
@@ -119,27 +120,27 @@
         }
     }
 
-    /// A more urgent request of 800 tokens; tells whether it begins.
+    /// Sends a more urgent request of 800 tokens and returns whether it starts.
     fn urgent(&mut self, place: usize, now: Duration) -> bool {
         self.requests += 1;
         let ask = Ask {
             patience: Some(Duration::from_secs(1)),
             ..ask(self.requests, "short", self.requests)
         };
-        self.is_begun(place, ask, now)
+        self.starts(place, ask, now)
     }
 
-    /// Whether a request is begun; if so, it is over at once.
-    fn is_begun(&mut self, place: usize, ask: Ask, now: Duration) -> bool {
+    /// Sends a request, cancels it at once, and returns whether it started.
+    fn starts(&mut self, place: usize, ask: Ask, now: Duration) -> bool {
         let attempt = ask.attempt;
-        let begun = is_begun(&mut self.dispatchers[place], ask, now);
+        let started = starts(&mut self.dispatchers[place], ask, now);
         let end = Report::End(attempt, End::Cancelled, unit::Tokens(0));
         self.dispatchers[place].step(Input::Report("e1".parse().unwrap(), end), now);
-        begun
+        started
     }
 
-    /// A less urgent request; tells whether it begins.
-    fn later(&mut self, place: usize, tokens: u64, now: Duration) -> bool {
+    /// Sends a less urgent request and returns whether it starts.
+    fn less_urgent(&mut self, place: usize, tokens: u64, now: Duration) -> bool {
         self.requests += 1;
         let ask = Ask {
             tier: unit::Tier(2),
@@ -148,7 +149,7 @@
             prompt: unit::Tokens(tokens),
             ..ask(self.requests, "long", self.requests)
         };
-        self.is_begun(place, ask, now)
+        self.starts(place, ask, now)
     }
 }
 
@@ -156,62 +157,69 @@
     "llm".parse().unwrap()
 }
 
-/// Seen: a seventh of the boxes stood still and woke, some boxes took the endpoints for busy and
-/// refused a fifth of a class, while others began 18 larger and less urgent ones in each
-/// quarter of a second: 358 of 437 with a refusal at other boxes only.
+/// Guards against boxes that start less urgent requests because they don't know of refusals at
+/// other boxes. When a seventh of the boxes freeze and resume, some boxes see the endpoints as busy
+/// and refuse a fifth of a class, while others start 18 larger and less urgent requests in each
+/// quarter of a second. For 358 of 437 such requests the refusals were at other boxes only.
 #[test]
 fn what_is_refused_at_one_box_holds_back_the_larger_and_less_urgent_at_all() {
     let mut boxes = Boxes::new(4);
-    // Two boxes see two seconds of reading everywhere, two see nothing.
-    boxes.burden(0, 2000, START);
-    boxes.burden(1, 2000, START);
+    // Two boxes see two seconds of prefill time at each endpoint, the other two see no load.
+    boxes.set_load(0, 2000, START);
+    boxes.set_load(1, 2000, START);
     let (mut late, mut small) = (0, 0);
     for step in 0..40 {
         let now = START + Duration::from_millis(50 * step);
         for place in 0..3 {
-            // The third box stands for many that have no refusals.
+            // The third box represents the many that have no refusals.
             assert_eq!(boxes.urgent(place, now), place == 2);
         }
         if step.is_multiple_of(2) {
-            // The fourth box stands still and tells nothing.
+            // The fourth box is frozen and reports nothing.
             (0..3).for_each(|place| boxes.exchange(place, now));
-            boxes.share(now);
+            boxes.exchange_between_hubs(now);
         }
-        let began = boxes.later(2, 6800, now);
-        late += u32::from(began && now > START + WORD);
-        small += u32::from(boxes.later(2, 700, now));
+        let began = boxes.less_urgent(2, 6800, now);
+        late += u32::from(began && now > START + MAX_PROPAGATION);
+        small += u32::from(boxes.less_urgent(2, 700, now));
     }
-    assert_eq!(late, 0, "larger ones began after word had come");
-    assert_eq!(small, 40, "what is no larger is not held back");
+    assert_eq!(
+        late, 0,
+        "larger requests started after the refusals were known"
+    );
+    assert_eq!(small, 40, "requests that are no larger are not held back");
     let now = START + Duration::from_secs(2);
-    // One that stood still and has heard nothing takes what it can finish, until it hears.
-    assert!(boxes.later(3, 6800, now));
+    // A box that was frozen and knows of no bound starts what it can finish, until it receives one.
+    assert!(boxes.less_urgent(3, 6800, now));
     boxes.exchange(3, now);
-    assert!(!boxes.later(3, 6800, now), "it began after it had heard");
+    assert!(
+        !boxes.less_urgent(3, 6800, now),
+        "it started after the box had received the bound"
+    );
 }
 
 #[test]
 fn what_is_held_back_begins_again_soon_after_the_last_refusal() {
     let mut boxes = Boxes::new(2);
-    boxes.burden(0, 2000, START);
+    boxes.set_load(0, 2000, START);
     let mut again = None;
     for step in 0..80 {
         let now = START + PERIOD * step;
         if now == START + Duration::from_secs(2) {
-            boxes.burden(0, 0, now);
+            boxes.set_load(0, 0, now);
         }
         boxes.urgent(0, now);
         boxes.urgent(1, now);
         boxes.exchange(0, now);
-        boxes.share(now);
+        boxes.exchange_between_hubs(now);
         boxes.exchange(1, now);
-        if boxes.later(1, 6800, now) && now > START + Duration::from_secs(2) {
+        if boxes.less_urgent(1, 6800, now) && now > START + Duration::from_secs(2) {
             again = again.or(Some(now));
         }
     }
-    let again = again.expect("it never begins again");
-    // Half of what came was refused; that fades below a twelfth in two seconds, and as many
-    // new ones begin meanwhile.
+    let again = again.expect("no such request starts again");
+    // Half of the requests were refused; this share decays to less than a twelfth in two seconds,
+    // while as many new requests start.
     let took = again - START - Duration::from_secs(2);
     assert!(took <= Duration::from_secs(3), "{took:?}");
 }
@@ -219,7 +227,7 @@
 #[test]
 fn a_few_refusals_among_many_requests_hold_back_nothing_elsewhere() {
     let mut boxes = Boxes::new(2);
-    boxes.burden(0, 2000, START);
+    boxes.set_load(0, 2000, START);
     for step in 0..40 {
         let now = START + PERIOD * step;
         if step % 5 == 0 {
@@ -227,9 +235,9 @@
         }
         (0..10).for_each(|_| assert!(boxes.urgent(1, now)));
         boxes.exchange(0, now);
-        boxes.share(now);
+        boxes.exchange_between_hubs(now);
         boxes.exchange(1, now);
-        assert!(boxes.later(1, 6800, now), "held back at {now:?}");
+        assert!(boxes.less_urgent(1, 6800, now), "held back at {now:?}");
     }
 }
 
@@ -244,15 +252,15 @@
     };
     boxes.dispatchers[0].step(Input::Bounds(vec![bound]), START);
     let after = |millis| START + Duration::from_millis(millis);
-    assert!(!boxes.later(0, 6800, after(1400)));
-    assert!(boxes.later(0, 6800, after(1600)));
-    assert!(boxes.later(0, 700, after(100)));
+    assert!(!boxes.less_urgent(0, 6800, after(1400)));
+    assert!(boxes.less_urgent(0, 6800, after(1600)));
+    assert!(boxes.less_urgent(0, 700, after(100)));
 }
 
-/// Read out of the code, not seen: a class whose first tokens take as long as its target is
-/// late from the start, so its own work counted as work before it; and where the flow of a more
-/// urgent class leaves little, that alone passed its deadline. Refused each time, it never
-/// ran, so nothing taught the dispatcher better.
+/// Guards against a class that is refused for ever. A class whose first tokens take as long as its
+/// target is late from the start. If its own work then counts as work ahead of it, and the arrivals
+/// of a more urgent class leave little capacity, that work alone exceeds its deadline. As each
+/// request is refused, none runs, and the dispatcher's estimate is never corrected.
 #[test]
 fn a_request_that_could_begin_at_once_is_not_refused_for_its_own_work() {
     let mut dispatcher = dispatcher();
@@ -265,12 +273,12 @@
         placed: None,
         prompt: unit::Tokens(0),
         returned: false,
-        // Ages are told in whole milliseconds.
+        // Ages are reported in whole milliseconds.
         age: Duration::from_millis(1),
         deadline: Duration::from_secs(4),
         ..ask(request, class, request)
     };
-    // One less urgent request takes long, until its first token and after it.
+    // One less urgent request takes a long time, both until its first token and after it.
     let slow = plain(0, "middle", 1);
     let attempt = slow.attempt;
     tell(&mut dispatcher, Report::Ask(slow), START);
@@ -280,7 +288,7 @@
     let done = START + Duration::from_secs(200);
     let end = Report::End(attempt, End::Done, unit::Tokens(1));
     tell(&mut dispatcher, end, done);
-    // Many more urgent ones come, and all have gone at once.
+    // Many more urgent requests arrive, and each is cancelled at once.
     for request in 1..2000 {
         let urgent = plain(request, "short", 0);
         let attempt = urgent.attempt;
@@ -296,21 +304,22 @@
     let orders = tell(&mut dispatcher, Report::Ask(plain(2000, "middle", 1)), done);
     assert!(
         matches!(orders.as_slice(), [(_, Order::Grant(..))]),
-        "{orders:?}, with each slot free"
+        "{orders:?}, although all slots are free"
     );
 }
 
-/// Seen: as all boxes heard of refusals by tier, the requests of less urgent teams were refused for
-/// those of the same class of more urgent teams, and the class lost more, not less.
+/// A bound applies to less urgent classes, not to less urgent teams of the refused class itself. If
+/// boxes exchange refusals by tier only, the requests of less urgent teams are refused in favour of
+/// those of more urgent teams in the same class, so the class has more refusals instead of fewer.
 #[test]
 fn less_urgent_teams_of_the_class_that_is_refused_are_not_held_back() {
     let mut boxes = Boxes::new(2);
-    boxes.burden(0, 2000, START);
+    boxes.set_load(0, 2000, START);
     for step in 0..20 {
         let now = START + PERIOD * step;
         boxes.urgent(0, now);
         boxes.exchange(0, now);
-        boxes.share(now);
+        boxes.exchange_between_hubs(now);
         boxes.exchange(1, now);
         let team = |request| Ask {
             tier: unit::Tier(1),
@@ -319,6 +328,6 @@
         };
         boxes.requests += 1;
         let ask = team(boxes.requests);
-        assert!(boxes.is_begun(1, ask, now), "held back at {now:?}");
+        assert!(boxes.starts(1, ask, now), "held back at {now:?}");
     }
 }
--- a/tests/testsuite/placement.rs
+++ b/tests/testsuite/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: prompts that share their beginning meet at one endpoint, and long prompts
-//! do not hold up short ones.
+//! Placement of prompts: prompts with a shared prefix go to the same endpoint, and long prompts do
+//! not delay short ones.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,12 +23,12 @@
     dispatcher_with(&[])
 }
 
-/// A dispatcher of endpoints some of which are slow.
+/// Returns a dispatcher whose endpoints at the places `slow` are slow.
 fn dispatcher_with(slow: &[usize]) -> Dispatcher {
-    configured(Dispatcher::new(Settings::default(), START), slow)
+    configure_dispatcher(Dispatcher::new(Settings::default(), START), slow)
 }
 
-fn configured(mut dispatcher: Dispatcher, slow: &[usize]) -> Dispatcher {
+fn configure_dispatcher(mut dispatcher: Dispatcher, slow: &[usize]) -> Dispatcher {
     let own: name::Box = "e1".parse().unwrap();
     let (specs, classes) = configuration(slow);
     dispatcher.step(Input::Configure(specs, classes), START);
@@ -38,7 +38,7 @@
     dispatcher
 }
 
-/// Nine endpoints in three zones, some of which are slow, and three classes.
+/// Returns three classes, and nine endpoints in three zones; those at the places `slow` are slow.
 fn configuration(slow: &[usize]) -> (Vec<Spec>, BTreeMap<name::Class, config::Class>) {
     let specs = (0..ENDPOINTS).map(|place| Spec {
         name: format!("i-{place}").parse().unwrap(),
@@ -69,8 +69,8 @@
     (specs.collect(), classes.collect())
 }
 
-/// A request that is placed wherever it is best, though it be late there: its caller was
-/// refused before.
+/// Returns a request that is placed at the best endpoint even if it misses its target there: it is
+/// a retry after a refusal.
 pub(crate) fn ask(request: u64, class: &str, prefix: u64) -> Ask {
     let own = if class == "long" { 6600 } else { 600 };
     Ask {
@@ -98,8 +98,9 @@
     }
 }
 
-/// The endpoint that a request is granted; it answers it whole at once if `answers`.
-fn granted(dispatcher: &mut Dispatcher, ask: Ask, answers: bool, now: Duration) -> String {
+/// Returns the endpoint that a request is granted. If `completes`, the request completes there at
+/// once.
+fn grant(dispatcher: &mut Dispatcher, ask: Ask, completes: bool, now: Duration) -> String {
     let own: name::Box = "e1".parse().unwrap();
     let attempt = ask.attempt;
     let orders = dispatcher.step(Input::Report(own.clone(), Report::Ask(ask)), now);
@@ -107,7 +108,7 @@
         panic!("no grant: {orders:?}");
     };
     dispatcher.step(Input::Report(own.clone(), Report::Started(attempt)), now);
-    if answers {
+    if completes {
         let first = Report::First(attempt);
         dispatcher.step(Input::Report(own.clone(), first), now);
         let end = Report::End(attempt, End::Done, unit::Tokens(300));
@@ -121,22 +122,25 @@
     let (mut one, mut other) = (dispatcher(), dispatcher());
     let mut homes = BTreeSet::new();
     for prefix in 0..20 {
-        let home = granted(&mut one, ask(prefix, "short", prefix), true, START);
+        let home = grant(&mut one, ask(prefix, "short", prefix), true, START);
         for again in 0..3 {
             let request = 100 + 10 * prefix + again;
-            let found = granted(&mut other, ask(request, "short", prefix), true, START);
+            let found = grant(&mut other, ask(request, "short", prefix), true, START);
             assert_eq!(found, home, "prefix {prefix}");
         }
         homes.insert(home);
     }
-    assert!(homes.len() > ENDPOINTS / 2, "all meet at few: {homes:?}");
+    assert!(
+        homes.len() > ENDPOINTS / 2,
+        "too few different homes: {homes:?}"
+    );
 }
 
-/// Tokens that endpoints are taken to read in a millisecond before any was measured.
-pub(crate) const READ_PER_MS: u64 = 40;
-/// What is unread at a home before a short prompt goes to the next endpoint: what is read
-/// within its target.
-const BORNE: u64 = 250 * READ_PER_MS;
+/// The prefill rate that is assumed for an endpoint until one has been measured.
+pub(crate) const PREFILL_TOKENS_PER_MS: u64 = 40;
+/// The unread tokens at a home above which a short prompt goes to the next endpoint: as many as are
+/// prefilled within its target.
+const MAX_UNREAD_TOKENS: u64 = 250 * PREFILL_TOKENS_PER_MS;
 
 #[test]
 fn a_prompt_leaves_its_home_while_its_target_would_pass_there() {
@@ -147,49 +151,53 @@
                 prompt: unit::Tokens(4000),
                 ..ask(request, "short", 7)
             };
-            granted(&mut dispatcher, asked, false, START)
+            grant(&mut dispatcher, asked, false, START)
         })
         .collect();
     let stayed = found.iter().take_while(|at| **at == found[0]).count();
-    // The first is read whole, of the others 3,800 tokens, since the shared part is kept.
-    let borne = usize::try_from((BORNE - 4000) / 3800).unwrap();
-    assert_eq!(stayed, borne + 2, "{found:?}");
-    // The shared part is kept at the second endpoint too from then on.
+    // The first prompt is prefilled whole; of the others only 3,800 tokens, because the shared
+    // prefix is cached.
+    let within_target = usize::try_from((MAX_UNREAD_TOKENS - 4000) / 3800).unwrap();
+    assert_eq!(stayed, within_target + 2, "{found:?}");
+    // From then on the second endpoint has the shared prefix cached too.
     let places: BTreeSet<_> = found.iter().collect();
     assert_eq!(places.len(), 2, "{found:?}");
 }
 
-/// What the other boxes have at one endpoint.
-fn others(endpoint: &str, load: Load) -> Input {
+/// Returns an input that sets the load of the other boxes at one endpoint.
+fn others_load(endpoint: &str, load: Load) -> Input {
     Input::Others(Some(Loads::from([(endpoint.parse().unwrap(), load)])))
 }
 
 #[test]
 fn a_prompt_leaves_its_home_for_what_other_boxes_have_there_and_comes_back() {
     let mut dispatcher = dispatcher();
-    let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
+    let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: BORNE + 1000,
+        unread: MAX_UNREAD_TOKENS + 1000,
         ..Load::default()
     };
-    dispatcher.step(others(&home, busy), START);
-    let next = granted(&mut dispatcher, ask(2, "short", 7), true, START);
-    assert_ne!(next, home, "others have too much there");
+    dispatcher.step(others_load(&home, busy), START);
+    let next = grant(&mut dispatcher, ask(2, "short", 7), true, START);
+    assert_ne!(next, home, "the other boxes' load there is too high");
     let calm = Load {
-        unread: BORNE / 2,
+        unread: MAX_UNREAD_TOKENS / 2,
         ..Load::default()
     };
-    dispatcher.step(others(&home, calm), START);
+    dispatcher.step(others_load(&home, calm), START);
     let mut unloaded = self::dispatcher();
-    let own_home = granted(&mut unloaded, ask(3, "short", 9), true, START);
-    let found = granted(&mut dispatcher, ask(3, "short", 9), true, START);
-    assert_eq!(found, own_home, "another prompt is not moved by it");
-    // Where the voters tell nothing any more, only what this box has counts.
-    dispatcher.step(others(&next, busy), START);
+    let own_home = grant(&mut unloaded, ask(3, "short", 9), true, START);
+    let found = grant(&mut dispatcher, ask(3, "short", 9), true, START);
+    assert_eq!(
+        found, own_home,
+        "a prompt with another prefix is not affected"
+    );
+    // Once the voters report nothing any more, only this box's own load counts.
+    dispatcher.step(others_load(&next, busy), START);
     dispatcher.step(Input::Others(None), START);
     let much_later = START + Duration::from_secs(60);
     assert_eq!(
-        granted(&mut dispatcher, ask(4, "short", 7), true, much_later),
+        grant(&mut dispatcher, ask(4, "short", 7), true, much_later),
         home
     );
 }
@@ -197,35 +205,38 @@
 #[test]
 fn a_prompt_goes_where_another_box_has_placed_its_beginning() {
     let (mut one, mut other) = (dispatcher(), dispatcher());
-    let home = granted(&mut one, ask(1, "short", 7), true, START);
+    let home = grant(&mut one, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: BORNE + 1000,
+        unread: MAX_UNREAD_TOKENS + 1000,
         ..Load::default()
     };
-    one.step(others(&home, busy), START);
-    let next = granted(&mut one, ask(2, "short", 7), true, START);
+    one.step(others_load(&home, busy), START);
+    let next = grant(&mut one, ask(2, "short", 7), true, START);
     assert_ne!(next, home);
     let placed = one.take_placements();
     let places: Vec<_> = placed.iter().map(|p| p.endpoint.to_string()).collect();
     assert_eq!(places, [home.clone(), next.clone()]);
-    assert!(one.take_placements().is_empty(), "it is told once");
-    // The other box takes the second place as soon as that is better at all.
+    assert!(
+        one.take_placements().is_empty(),
+        "a placement is reported once"
+    );
+    // The other box chooses the second endpoint as soon as it is better by any amount.
     other.step(Input::Placed(placed), START);
     let little = Load {
         unread: 100,
         ..Load::default()
     };
-    other.step(others(&home, little), START);
-    let found = granted(&mut other, ask(3, "short", 7), true, START);
+    other.step(others_load(&home, little), START);
+    let found = grant(&mut other, ask(3, "short", 7), true, START);
     assert_eq!(found, next);
-    // What was placed at an endpoint for other prompts does not draw it there.
+    // A placement of another prefix at an endpoint does not attract this prompt.
     let foreign = Placement {
         prefix: Prefix(8),
         endpoint: "i-8".parse().unwrap(),
     };
-    granted(&mut other, ask(4, "long", 100), true, START);
+    grant(&mut other, ask(4, "long", 100), true, START);
     other.step(Input::Placed(vec![foreign]), START);
-    let found = granted(&mut other, ask(5, "short", 8), true, START);
+    let found = grant(&mut other, ask(5, "short", 8), true, START);
     assert_ne!(found, "i-8");
 }
 
@@ -242,9 +253,9 @@
         },
     ] {
         let mut dispatcher = dispatcher();
-        let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
-        dispatcher.step(others(&home, load), START);
-        let found = granted(&mut dispatcher, ask(2, "short", 7), true, START);
+        let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
+        dispatcher.step(others_load(&home, load), START);
+        let found = grant(&mut dispatcher, ask(2, "short", 7), true, START);
         assert_ne!(found, home, "{load:?}");
     }
 }
@@ -255,9 +266,9 @@
     let mut at: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
     for request in 0..400 {
         let class = if request % 4 == 0 { "long" } else { "short" };
-        // The first few tell how the work is divided.
+        // The first requests determine how the endpoints are divided between the classes.
         let now = START + Duration::from_millis(50 * request);
-        let endpoint = granted(
+        let endpoint = grant(
             &mut dispatcher,
             ask(request, class, request % 40),
             true,
@@ -267,17 +278,20 @@
             at.entry(class).or_default().insert(endpoint);
         }
     }
-    assert!(at["long"].is_disjoint(&at["short"]), "they meet: {at:?}");
+    assert!(
+        at["long"].is_disjoint(&at["short"]),
+        "the classes share endpoints: {at:?}"
+    );
     assert!(at["short"].len() >= 2 && at["long"].len() >= 4, "{at:?}");
 }
 
-/// Where the prompts of each class go, over many beginnings.
+/// Returns the places that the prompts of each class go to, over many prefixes.
 fn places(dispatcher: &mut Dispatcher) -> BTreeMap<&'static str, BTreeSet<usize>> {
     let mut at: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
     for request in 0..400 {
         let class = if request % 4 == 0 { "long" } else { "short" };
         let now = START + Duration::from_millis(50 * request);
-        let endpoint = granted(dispatcher, ask(request, class, request % 100), true, now);
+        let endpoint = grant(dispatcher, ask(request, class, request % 100), true, now);
         if request > 20 {
             let place = endpoint[2..].parse().unwrap();
             at.entry(class).or_default().insert(place);
@@ -307,9 +321,9 @@
     for request in 0..600 {
         let now = START + Duration::from_millis(20 * request);
         let class = if request % 4 == 0 { "long" } else { "short" };
-        // From the middle on, runs of the first class stay.
+        // In the second half, requests of the first class keep running.
         let ends = request < 300 || class == "long";
-        let endpoint = granted(
+        let endpoint = grant(
             &mut dispatcher,
             ask(request, class, request % 40),
             ends,
@@ -317,7 +331,7 @@
         );
         at.entry(class).or_default().insert(endpoint);
         if request >= 550 {
-            let found = granted(
+            let found = grant(
                 &mut dispatcher,
                 ask(1000 + request, "middle", request % 40),
                 true,
@@ -329,18 +343,21 @@
     let short: BTreeSet<_> = at["short"].difference(&at["long"]).cloned().collect();
     assert!(
         at["middle"].is_disjoint(&short),
-        "the middle class stays where the first fills all: {at:?}"
+        "the middle class still uses the endpoints that the first class fills: {at:?}"
     );
 }
 
 #[test]
 fn an_endpoint_that_stays_quiet_is_left_and_so_is_a_zone_that_can_not_be_reached() {
     let mut dispatcher = dispatcher();
-    let home = granted(&mut dispatcher, ask(1, "short", 7), false, START);
+    let home = grant(&mut dispatcher, ask(1, "short", 7), false, START);
     let later = START + Duration::from_millis(1600);
-    let next = granted(&mut dispatcher, ask(2, "short", 7), true, later);
-    assert_ne!(next, home, "its only run has no first token after 1.6 s");
-    // Two endpoints of another zone fail one after the other; then all there are left.
+    let next = grant(&mut dispatcher, ask(2, "short", 7), true, later);
+    assert_ne!(
+        next, home,
+        "its only request has no first token after 1.6 s"
+    );
+    // Two endpoints of another zone fail in turn; after that no endpoint of the zone is used.
     let own: name::Box = "e1".parse().unwrap();
     let number = |name: &str| name[2..].parse::<usize>().unwrap();
     let mut failed = BTreeSet::new();
@@ -348,14 +365,14 @@
         let mut asked = ask(request, "short", request);
         asked.class = "middle".parse().unwrap();
         let attempt = asked.attempt;
-        let endpoint = granted(&mut dispatcher, asked, false, later);
+        let endpoint = grant(&mut dispatcher, asked, false, later);
         let end = if number(&endpoint) % 3 == 1 && failed.len() < 2 {
             failed.insert(endpoint);
             End::Unreachable
         } else {
             assert!(
                 failed.len() < 2 || number(&endpoint) % 3 != 1,
-                "{endpoint} is tried though its zone can't be reached"
+                "{endpoint} is tried although its zone is unreachable"
             );
             End::Cancelled
         };
@@ -369,27 +386,22 @@
 fn an_endpoint_that_fails_a_part_of_its_requests_is_left_for_a_while() {
     let mut dispatcher = dispatcher();
     let own: name::Box = "e1".parse().unwrap();
-    let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
+    let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
     let broken = ask(2, "short", 7);
     let attempt = broken.attempt;
-    assert_eq!(granted(&mut dispatcher, broken, false, START), home);
+    assert_eq!(grant(&mut dispatcher, broken, false, START), home);
     let end = Report::End(attempt, End::Broken, unit::Tokens(0));
     dispatcher.step(Input::Report(own, end), START);
-    // What succeeds there meanwhile does not make the failure forgotten.
+    // Successes in the meantime do not cancel the failure.
     let mut elsewhere = BTreeSet::new();
     for request in 10..20 {
         let now = START + Duration::from_millis(200 * (request - 9));
-        elsewhere.insert(granted(
-            &mut dispatcher,
-            ask(request, "short", 7),
-            true,
-            now,
-        ));
+        elsewhere.insert(grant(&mut dispatcher, ask(request, "short", 7), true, now));
     }
     assert!(!elsewhere.contains(&home), "{elsewhere:?}");
     let later = START + Duration::from_secs(4);
     assert_eq!(
-        granted(&mut dispatcher, ask(30, "short", 7), true, later),
+        grant(&mut dispatcher, ask(30, "short", 7), true, later),
         home
     );
 }
@@ -400,27 +412,27 @@
     let own: name::Box = "e1".parse().unwrap();
     let lost = ask(1, "short", 7);
     let attempt = lost.attempt;
-    let home = granted(&mut dispatcher, lost, false, START);
+    let home = grant(&mut dispatcher, lost, false, START);
     let later = START + Duration::from_millis(2000);
     let end = Report::End(attempt, End::Cancelled, unit::Tokens(0));
     dispatcher.step(Input::Report(own, end), later);
     assert_ne!(
-        granted(&mut dispatcher, ask(2, "short", 7), true, later),
+        grant(&mut dispatcher, ask(2, "short", 7), true, later),
         home
     );
     let again = later + Duration::from_secs(3);
     assert_eq!(
-        granted(&mut dispatcher, ask(3, "short", 7), true, again),
+        grant(&mut dispatcher, ask(3, "short", 7), true, again),
         home
     );
 }
 
-/// Asks of the short class with a patience, answered after `took`.
-fn answered_after(dispatcher: &mut Dispatcher, request: u64, took: Duration, now: Duration) {
+/// Sends a request of the short class; its first token, and its end, come after `took`.
+fn complete_after(dispatcher: &mut Dispatcher, request: u64, took: Duration, now: Duration) {
     let own: name::Box = "e1".parse().unwrap();
     let asked = ask(request, "short", request);
     let attempt = asked.attempt;
-    granted(dispatcher, asked, false, now);
+    grant(dispatcher, asked, false, now);
     let first = Report::First(attempt);
     dispatcher.step(Input::Report(own.clone(), first), now + took);
     let end = Report::End(attempt, End::Done, unit::Tokens(10));
@@ -429,11 +441,11 @@
 
 #[test]
 fn a_home_is_left_by_the_rate_that_endpoints_read_at() {
-    // They read a fourth of what is taken at first: 800 tokens in 80 ms.
+    // They prefill at a quarter of the assumed rate: 800 tokens in 80 ms.
     let mut dispatcher = dispatcher();
     for request in 0..100 {
         let now = START + Duration::from_millis(200 * request);
-        answered_after(
+        complete_after(
             &mut dispatcher,
             1000 + request,
             Duration::from_millis(80),
@@ -441,23 +453,23 @@
         );
     }
     let now = START + Duration::from_secs(30);
-    let home = granted(&mut dispatcher, ask(1, "short", 7), true, now);
+    let home = grant(&mut dispatcher, ask(1, "short", 7), true, now);
     let busy = Load {
-        unread: BORNE / 2,
+        unread: MAX_UNREAD_TOKENS / 2,
         ..Load::default()
     };
-    dispatcher.step(others(&home, busy), now);
-    let found = granted(&mut dispatcher, ask(2, "short", 7), true, now);
-    assert_ne!(found, home, "what is unread there takes two targets");
+    dispatcher.step(others_load(&home, busy), now);
+    let found = grant(&mut dispatcher, ask(2, "short", 7), true, now);
+    assert_ne!(found, home, "its unread tokens take twice the target");
 }
 
 #[test]
 fn a_request_is_refused_at_once_where_its_caller_would_leave_before_the_first_token() {
     let mut dispatcher = dispatcher();
     let own: name::Box = "e1".parse().unwrap();
-    // Everywhere stands what takes ten seconds to read.
+    // Each endpoint has unread tokens that take ten seconds to prefill.
     let busy = Load {
-        unread: 10_000 * READ_PER_MS,
+        unread: 10_000 * PREFILL_TOKENS_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
@@ -472,9 +484,9 @@
     };
     assert!(
         *retry >= Duration::from_secs(8),
-        "it comes back too soon: {retry:?}"
+        "the retry comes too soon: {retry:?}"
     );
-    // Who waits for long enough is served.
+    // A caller that waits long enough is served.
     let patient = Ask {
         patience: Some(Duration::from_secs(12)),
         deadline: Duration::from_secs(30),
@@ -491,9 +503,9 @@
 fn a_request_that_would_be_late_is_refused_once_and_served_when_it_returns() {
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = dispatcher();
-    // Everywhere stands what takes one and a half targets to read.
+    // Each endpoint has unread tokens that take one and a half times the target to prefill.
     let busy = Load {
-        unread: 375 * READ_PER_MS,
+        unread: 375 * PREFILL_TOKENS_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
@@ -515,7 +527,8 @@
         matches!(second.as_slice(), [(_, Order::Grant(..))]),
         "{second:?}"
     );
-    // An endpoint has had this one: a refusal would not be at once.
+    // A second attempt is not refused: an endpoint has had the first one, so this would not be an
+    // early refusal.
     let again = Ask {
         attempt: Attempt::first(Request(3)).next(),
         returned: false,
@@ -532,17 +545,19 @@
 fn streams_avoid_endpoints_where_they_paused_too_long_and_long_prompts_do_not_join_them() {
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = dispatcher();
-    // A prompt of each class tells its size; endpoints are parted from then on.
-    granted(&mut dispatcher, ask(1, "long", 100), true, START);
-    granted(&mut dispatcher, ask(2, "short", 7), true, START);
+    // One prompt of each class makes the sizes known; from then on the classes have endpoints of
+    // their own.
+    grant(&mut dispatcher, ask(1, "long", 100), true, START);
+    grant(&mut dispatcher, ask(2, "short", 7), true, START);
     let running = |running| Load {
         running,
         ..Load::default()
     };
-    // Long prompts stay away from where streams run, however much is unread at their own.
+    // Long prompts avoid endpoints with running streams, however many tokens are unread at their
+    // own endpoints.
     let number = |name: &str| name[2..].parse::<usize>().unwrap();
     let unread = Load {
-        unread: 700 * READ_PER_MS,
+        unread: 700 * PREFILL_TOKENS_PER_MS,
         ..Load::default()
     };
     let loads = (0..ENDPOINTS).map(|place| {
@@ -550,25 +565,26 @@
         (format!("i-{place}").parse().unwrap(), load)
     });
     dispatcher.step(Input::Others(Some(loads.collect())), START);
-    let found = granted(&mut dispatcher, ask(3, "long", 101), false, START);
+    let found = grant(&mut dispatcher, ask(3, "long", 101), false, START);
     assert!(
         number(&found) >= 3,
-        "{found} has streams that would pause too long"
+        "{found} has streams that would pause for too long"
     );
-    // Where none runs, one may be read.
+    // An endpoint without streams may prefill a long prompt.
     let loads = (3..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), unread));
     dispatcher.step(Input::Others(Some(loads.collect())), START);
-    let found = granted(&mut dispatcher, ask(4, "long", 102), false, START);
+    let found = grant(&mut dispatcher, ask(4, "long", 102), false, START);
     assert!(
         number(&found) < 3,
-        "{found} has more to read than the idle ones"
+        "{found} has more unread tokens than the idle endpoints"
     );
-    // Streams of short prompts that paused too long among long ones keep others away.
+    // After streams of short prompts paused for too long at the endpoints of long prompts, other
+    // short prompts avoid these.
     let mut later = START;
     let place = |dispatcher: &mut Dispatcher, request, now| {
         let asked = ask(request, "short", 7);
         let attempt = asked.attempt;
-        let found = granted(dispatcher, asked, false, now);
+        let found = grant(dispatcher, asked, false, now);
         let reports = [
             Report::First(attempt),
             Report::Paused(attempt),
@@ -589,15 +605,15 @@
         });
         Input::Others(Some(loads.collect()))
     };
-    dispatcher.step(full(10 * BORNE), later);
+    dispatcher.step(full(10 * MAX_UNREAD_TOKENS), later);
     for request in 10..30 {
         later += Duration::from_millis(10);
         assert!(number(&place(&mut dispatcher, request, later)) >= 3);
     }
-    dispatcher.step(full(2 * BORNE), later);
+    dispatcher.step(full(2 * MAX_UNREAD_TOKENS), later);
     assert!(
         number(&place(&mut dispatcher, 40, later)) < 3,
-        "waiting for two targets is better than a stream that pauses too long"
+        "waiting for twice the target is better than a stream that pauses for too long"
     );
 }
 
@@ -607,16 +623,16 @@
     let least = Duration::from_millis(1000);
     let endpoint: name::Endpoint = "i-4".parse().unwrap();
     let patience = |dispatcher: &Dispatcher| dispatcher.patience(&endpoint, least, START);
-    assert_eq!(patience(&dispatcher), least, "nothing waits there");
+    assert_eq!(patience(&dispatcher), least, "the endpoint has no load");
     let load = Load {
         unread: 40_000,
         held: 40_000,
         running: 9,
         ..Load::default()
     };
-    dispatcher.step(others("i-4", load), START);
+    dispatcher.step(others_load("i-4", load), START);
     assert!(patience(&dispatcher) >= least + Duration::from_millis(1500));
-    // Other boxes have met failures there, and then answers.
+    // Other boxes report failures there, and then successes.
     let risk = |chance| {
         let chance = risk::Chance(chance);
         Input::Risks(vec![Risk {
@@ -633,30 +649,33 @@
 #[test]
 fn what_other_boxes_met_moves_prompts_and_calls_from_an_endpoint_at_once() {
     let mut dispatcher = dispatcher();
-    let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
+    let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
     let risk = Risk {
         endpoint: home.parse().unwrap(),
         chance: risk::Chance(900),
     };
     dispatcher.step(Input::Risks(vec![risk]), START);
-    let next = granted(&mut dispatcher, ask(2, "short", 7), true, START);
+    let next = grant(&mut dispatcher, ask(2, "short", 7), true, START);
     assert_ne!(next, home, "no request of this box failed there");
     let later = START + Duration::from_secs(8);
-    let back = granted(&mut dispatcher, ask(3, "short", 7), true, later);
-    assert!(back == home || back == next, "it is kept at both by now");
-    // Calls that share nothing are spread by use, and pass by the one in doubt.
+    let back = grant(&mut dispatcher, ask(3, "short", 7), true, later);
+    assert!(
+        back == home || back == next,
+        "both have the prefix cached by now"
+    );
+    // Requests without a shared prefix are spread by load, and avoid an endpoint that may fail.
     let call = |request| Ask {
         placed: None,
         prompt: unit::Tokens(0),
         ..ask(request, "short", 0)
     };
-    let fresh = granted(&mut dispatcher, call(4), true, later);
+    let fresh = grant(&mut dispatcher, call(4), true, later);
     let risk = Risk {
         endpoint: fresh.parse().unwrap(),
         chance: risk::Chance(900),
     };
     dispatcher.step(Input::Risks(vec![risk]), later);
-    assert_ne!(granted(&mut dispatcher, call(5), true, later), fresh);
+    assert_ne!(grant(&mut dispatcher, call(5), true, later), fresh);
 }
 
 #[test]
@@ -667,15 +686,15 @@
             seed,
             ..Settings::default()
         };
-        let mut dispatcher = configured(Dispatcher::new(settings, START), &[]);
+        let mut dispatcher = configure_dispatcher(Dispatcher::new(settings, START), &[]);
         let call = Ask {
             placed: None,
             ..ask(1, "short", 0)
         };
-        chosen.insert(granted(&mut dispatcher, call, true, START));
+        chosen.insert(grant(&mut dispatcher, call, true, START));
     }
     let near: BTreeSet<_> = ["i-0", "i-3", "i-6"].map(str::to_owned).into();
-    assert_eq!(chosen, near, "each of the own zone's, and no other");
+    assert_eq!(chosen, near, "exactly the endpoints of the box's own zone");
 }
 
 #[test]
@@ -696,19 +715,19 @@
             orders.as_slice(),
             [(_, Order::Shed(_, Reason::Overload, _))]
         ),
-        "its caller would have left without a first event: {orders:?}"
+        "its caller would have left before a first event: {orders:?}"
     );
     resumed.attempt = resumed.attempt.next();
     resumed.renew_patience(patience);
-    granted(&mut dispatcher, resumed, true, START);
+    grant(&mut dispatcher, resumed, true, START);
 }
 
 #[test]
 fn where_prompts_are_kept_is_still_known_after_another_endpoint_went() {
     let mut dispatcher = dispatcher();
-    let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
+    let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
     let gone = if home == "i-0" { "i-1" } else { "i-0" };
-    // Another box had to read it elsewhere.
+    // Another box had the prompt prefilled at another endpoint.
     let elsewhere = ["i-2", "i-3"]
         .into_iter()
         .find(|name| *name != home)
@@ -722,10 +741,10 @@
     let (specs, classes) = configuration(&[]);
     let specs = specs.into_iter().filter(|spec| spec.name.as_str() != gone);
     fresh.step(Input::Configure(specs.collect(), classes), START);
-    // It is at rest, so that the endpoint that has gone is forgotten.
+    // At a tick with no running requests, the dispatcher forgets the removed endpoint.
     fresh.step(Input::Tick, START + Duration::from_millis(20));
-    let next = granted(&mut fresh, ask(2, "short", 7), true, START);
-    assert_eq!(next, elsewhere, "it is kept there");
+    let next = grant(&mut fresh, ask(2, "short", 7), true, START);
+    assert_eq!(next, elsewhere, "it has the prefix cached");
 }
 
 #[test]
@@ -742,16 +761,16 @@
     for prefix in 0..40 {
         let mut fresh = dispatcher();
         fresh.step(Input::Prompts(prompts.clone()), START);
-        let placed = granted(&mut fresh, ask(1, "short", prefix), true, START);
+        let placed = grant(&mut fresh, ask(1, "short", prefix), true, START);
         assert!(at["short"].contains(&place(placed)), "its first prompt");
         let small = Ask {
             prompt: unit::Tokens(900),
             ..ask(2, "long", prefix)
         };
-        let placed = granted(&mut fresh, small, true, START);
+        let placed = grant(&mut fresh, small, true, START);
         assert!(
             at["long"].contains(&place(placed)),
-            "a small one of long ones"
+            "a small prompt of the long class"
         );
     }
 }
@@ -760,17 +779,17 @@
 fn what_is_believed_of_an_endpoint_ends_with_its_start() {
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = dispatcher();
-    let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
+    let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: BORNE + 1000,
+        unread: MAX_UNREAD_TOKENS + 1000,
         ..Load::default()
     };
-    dispatcher.step(others(&home, busy), START);
-    let next = granted(&mut dispatcher, ask(2, "short", 7), true, START);
-    dispatcher.step(others(&home, Load::default()), START);
+    dispatcher.step(others_load(&home, busy), START);
+    let next = grant(&mut dispatcher, ask(2, "short", 7), true, START);
+    dispatcher.step(others_load(&home, Load::default()), START);
     let runs = ask(3, "short", 7);
     let attempt = runs.attempt;
-    assert_eq!(granted(&mut dispatcher, runs, false, START), home);
+    assert_eq!(grant(&mut dispatcher, runs, false, START), home);
     dispatcher.take_placements();
     dispatcher.take_outcomes();
     let mut started = |number: u64| {
@@ -783,14 +802,14 @@
     };
     assert!(
         !started(5),
-        "what runs at the start before is none of its load"
+        "requests of the earlier start do not count as its load"
     );
-    assert!(!started(5), "the same start is configured again");
-    // Where it was kept before it has to be read anew; the other place still keeps it.
-    let found = granted(&mut dispatcher, ask(4, "short", 7), true, START);
+    assert!(!started(5), "configuring the same start again adds no load");
+    // A new start has an empty cache; the other endpoint still has the prefix cached.
+    let found = grant(&mut dispatcher, ask(4, "short", 7), true, START);
     assert_eq!(found, next);
     dispatcher.take_outcomes();
-    // That what ran there failed says nothing of the start that has its name now.
+    // A failure of a request of the earlier start says nothing about the new one.
     let lost = Report::End(attempt, End::Broken, unit::Tokens(0));
     dispatcher.step(Input::Report(own, lost), START);
     assert!(dispatcher.take_outcomes().is_empty());
--- a/tests/testsuite/placement_large.rs
+++ b/tests/testsuite/placement_large.rs
@@ -1,5 +1,5 @@
-//! Homes of shared prompts in a fleet of thousands of endpoints, few requests each: all boxes find
-//! the same one without weighing all of them.
+//! Homes of shared prefixes in a fleet of thousands of endpoints with few requests each: all boxes
+//! find the same home without comparing all endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 use crate::placement::{ask, START};
 
 const ZONES: usize = 6;
-/// Shared beginnings that are looked at.
+/// How many shared prefixes are checked.
 const PREFIXES: u64 = 400;
 
 fn spec(number: usize) -> Spec {
@@ -29,7 +29,7 @@
     }
 }
 
-/// A box's dispatcher, of endpoints in an order of its own.
+/// Returns the dispatcher of the box `name`, configured with the endpoints in the given order.
 fn dispatcher(name: &str, numbers: &[usize]) -> Dispatcher {
     let own: name::Box = name.parse().unwrap();
     let settings = Settings {
@@ -46,7 +46,7 @@
     dispatcher
 }
 
-/// The home of each of the beginnings, each asked for once.
+/// Returns the home of each prefix, with one request for each.
 fn homes(name: &str, numbers: &[usize]) -> Vec<usize> {
     let own: name::Box = name.parse().unwrap();
     let mut dispatcher = dispatcher(name, numbers);
@@ -78,18 +78,22 @@
         let found = homes("e1", &numbers);
         assert_eq!(found, homes("another", &reversed), "{endpoints}");
         let different: BTreeSet<_> = found.iter().collect();
-        assert!(different.len() * 10 > found.len() * 8, "all meet at few");
+        assert!(
+            different.len() * 10 > found.len() * 8,
+            "too few different homes"
+        );
         let mut zones = BTreeMap::new();
         for home in &found {
             *zones.entry(home % ZONES).or_insert(0) += 1;
         }
-        // No zone holds twice its part.
+        // No zone has twice its share of the homes.
         assert_eq!(zones.len(), ZONES);
         assert!(zones.values().all(|homes| *homes < 2 * found.len() / ZONES));
     }
 }
 
-/// What endpoints keep of prompts is lost as homes move: of a fiftieth that goes, a fiftieth.
+/// When the home of a prefix moves, its cached tokens are lost. If a fiftieth of the endpoints
+/// goes, about a fiftieth of the homes should move.
 #[test]
 fn few_homes_move_as_endpoints_go_and_come() {
     for endpoints in [1000, 10_000] {
@@ -99,11 +103,15 @@
         let after = homes("e1", &left);
         let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
         assert!(moved <= before.len() / 50 * 3, "{endpoints}: {moved} moved");
-        assert_eq!(homes("e1", &all), before, "they come back");
+        assert_eq!(
+            homes("e1", &all),
+            before,
+            "the homes come back with the endpoints"
+        );
     }
 }
 
-/// With a zone lost, prompts find homes in the others.
+/// When a whole zone is lost, all prefixes have homes in the other zones.
 #[test]
 fn a_zones_loss_leaves_homes_for_all() {
     let left: Vec<_> = (0..10_000).filter(|n| n % ZONES != 3).collect();
