--- a/tests/testsuite/load.rs
+++ b/tests/testsuite/load.rs
@@ -1,4 +1,5 @@
-//! What endpoints bear from all boxes: told in differences, brought together, forgotten.
+//! The load of all boxes at endpoints: sent as differences, aggregated, and dropped when a box or
+//! hub falls silent.
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
     }
 }
 
-/// What a box tells of its loads, and hears of those of the others.
+/// Reports the changed loads of a box to its hub and returns those of the others.
 fn exchange(
     hub: &mut Hub,
     from: &name::Box,
@@ -95,8 +96,8 @@
         vec![loaded("a", load(9000, 9))],
         START,
     );
-    assert!(heard.is_empty(), "what the other has did not change");
-    // A run that ends is told as an end.
+    assert!(heard.is_empty(), "the load of the other box did not change");
+    // A load that ends is sent as zero.
     exchange(
         &mut hub,
         &one,
@@ -123,10 +124,10 @@
     exchange(&mut hub, &one, true, vec![loaded("b", load(700, 1))], START);
     let heard = exchange(&mut hub, &other, false, Vec::new(), START);
     let ended = [loaded("b", load(700, 1)), loaded("a", Load::default())];
-    assert_eq!(heard, ended, "it started anew");
+    assert_eq!(heard, ended, "it has restarted");
     let later = START + Duration::from_secs(2);
     exchange(&mut hub, &other, true, Vec::new(), later);
-    assert!(!hub.knows(&one), "it is silent for two seconds");
+    assert!(!hub.knows(&one), "it has been silent for two seconds");
     assert!(exchange(&mut hub, &other, false, Vec::new(), later).is_empty());
 }
 
@@ -146,12 +147,15 @@
         let heard = hub.exchange(from, anew, told, START).news.placements;
         heard.iter().map(|p| p.prefix.0).collect::<Vec<_>>()
     };
-    assert!(exchange(&one, true, vec![1, 2]).is_empty(), "its own");
+    assert!(
+        exchange(&one, true, vec![1, 2]).is_empty(),
+        "a box's own placements are not sent back to it"
+    );
     assert_eq!(exchange(&other, true, vec![3]), [1, 2]);
     assert_eq!(exchange(&one, false, vec![4]), [3]);
     assert_eq!(exchange(&other, false, Vec::new()), [4]);
     assert!(exchange(&other, false, Vec::new()).is_empty());
-    // A box that starts anew hears of all that is remembered.
+    // A box that restarts receives all placements that are remembered.
     assert_eq!(exchange(&other, true, Vec::new()), [1, 2, 4]);
 }
 
@@ -203,26 +207,26 @@
     assert_eq!(heard, [loaded("a", Load::default())]);
 }
 
-/// Two hubs with a box each, linked both ways.
-fn linked() -> (Hub, Hub, name::Box, name::Box) {
+/// Returns two hubs that exchange loads in both directions, and the name of one box of each.
+fn linked_hubs() -> (Hub, Hub, name::Box, name::Box) {
     let (mut near, mut far) = (Hub::default(), Hub::default());
     let (one, other) = (box_name("e1"), box_name("e2"));
     exchange(&mut near, &one, true, Vec::new(), START);
     exchange(&mut far, &other, true, Vec::new(), START);
-    pass(&mut near, "c1", &mut far, "c2", true, START);
-    pass(&mut far, "c2", &mut near, "c1", true, START);
+    send_news(&mut near, "c1", &mut far, "c2", true, START);
+    send_news(&mut far, "c2", &mut near, "c1", true, START);
     (near, far, one, other)
 }
 
-/// One hub tells another its news.
-fn pass(from: &mut Hub, name: &str, to: &mut Hub, peer: &str, anew: bool, now: Duration) {
+/// Sends the news of the hub `from` to the hub `to`.
+fn send_news(from: &mut Hub, name: &str, to: &mut Hub, peer: &str, anew: bool, now: Duration) {
     let news = from.news_for(&box_name(peer), anew, now);
     assert!(to.take(&box_name(name), anew, news, now), "{name} is known");
 }
 
 #[test]
 fn boxes_of_different_hubs_hear_of_each_other_and_nothing_goes_round() {
-    let (mut near, mut far, one, other) = linked();
+    let (mut near, mut far, one, other) = linked_hubs();
     exchange(
         &mut near,
         &one,
@@ -230,16 +234,19 @@
         vec![loaded("a", load(9000, 9))],
         START,
     );
-    pass(&mut near, "c1", &mut far, "c2", false, START);
+    send_news(&mut near, "c1", &mut far, "c2", false, START);
     let heard = exchange(&mut far, &other, false, Vec::new(), START);
     assert_eq!(heard, [loaded("a", load(9000, 9))]);
     let back = far.news_for(&box_name("c1"), false, START);
-    assert!(back.is_empty(), "only own boxes are told of: {back:?}");
+    assert!(
+        back.is_empty(),
+        "a hub reports only its own boxes: {back:?}"
+    );
 }
 
 #[test]
 fn a_hub_that_falls_silent_leaves_nothing_behind_and_starts_anew() {
-    let (mut near, mut far, one, other) = linked();
+    let (mut near, mut far, one, other) = linked_hubs();
     exchange(
         &mut near,
         &one,
@@ -247,7 +254,7 @@
         vec![loaded("a", load(9000, 9))],
         START,
     );
-    pass(&mut near, "c1", &mut far, "c2", false, START);
+    send_news(&mut near, "c1", &mut far, "c2", false, START);
     exchange(&mut far, &other, false, Vec::new(), START);
     let later = START + Duration::from_millis(800);
     let heard = exchange(&mut far, &other, false, Vec::new(), later);
@@ -255,16 +262,17 @@
     let changes = near.news_for(&box_name("c2"), false, later);
     assert!(
         !far.take(&box_name("c1"), false, changes, later),
-        "differences mean nothing to a hub that has forgotten the rest"
+        "a hub that has dropped the rest can't apply differences"
     );
     exchange(&mut near, &one, false, Vec::new(), later);
-    pass(&mut near, "c1", &mut far, "c2", true, later);
+    send_news(&mut near, "c1", &mut far, "c2", true, later);
     let heard = exchange(&mut far, &other, false, Vec::new(), later);
     assert_eq!(heard, [loaded("a", load(9000, 9))]);
 }
 
-/// Tells a hub what came of a box's requests at an endpoint, and returns the risks heard.
-fn meet(
+/// Reports the outcomes of a box's requests at an endpoint to its hub and returns the risks that
+/// the hub answers.
+fn report_outcome(
     hub: &mut Hub,
     from: &name::Box,
     endpoint: &str,
@@ -293,16 +301,19 @@
 
 #[test]
 fn a_failure_that_one_box_met_is_known_to_the_boxes_of_all_hubs() {
-    let (mut near, mut far, one, other) = linked();
-    meet(&mut near, &one, "a", 0, 1, START);
-    pass(&mut near, "c1", &mut far, "c2", false, START);
+    let (mut near, mut far, one, other) = linked_hubs();
+    report_outcome(&mut near, &one, "a", 0, 1, START);
+    send_news(&mut near, "c1", &mut far, "c2", false, START);
     let heard = risks(&mut far, &other, START);
     assert_eq!(heard.len(), 1, "{heard:?}");
     assert!(heard[0].0 == "a" && heard[0].1 > 300, "{heard:?}");
-    assert!(risks(&mut far, &other, START).is_empty(), "told once");
-    // Answers make up for it.
-    meet(&mut near, &one, "a", 8, 0, START);
-    pass(&mut near, "c1", &mut far, "c2", false, START);
+    assert!(
+        risks(&mut far, &other, START).is_empty(),
+        "a risk is reported once"
+    );
+    // Successful answers outweigh the failure.
+    report_outcome(&mut near, &one, "a", 8, 0, START);
+    send_news(&mut near, "c1", &mut far, "c2", false, START);
     assert_eq!(risks(&mut far, &other, START), [("a".to_owned(), 0)]);
 }
 
@@ -313,15 +324,19 @@
     exchange(&mut hub, &sound, true, Vec::new(), START);
     exchange(&mut hub, &cut, true, Vec::new(), START);
     for endpoint in ["a", "b", "c", "d", "e", "f", "g", "h"] {
-        meet(&mut hub, &cut, endpoint, 0, 1, START);
+        report_outcome(&mut hub, &cut, endpoint, 0, 1, START);
     }
     let heard = risks(&mut hub, &sound, START);
     let at = |name: &str| heard.iter().find(|(n, _)| n == name).map(|(_, c)| *c);
     assert!(
         at("a") > Some(300),
-        "its first failure may be the endpoint's: {heard:?}"
+        "its first failure may be due to the endpoint: {heard:?}"
+    );
+    assert_eq!(
+        at("h"),
+        None,
+        "by then the failures are attributed to the box: {heard:?}"
     );
-    assert_eq!(at("h"), None, "by then it is the box's own: {heard:?}");
 }
 
 #[test]
@@ -336,11 +351,11 @@
         vec![loaded("b", load(900, 1))],
         START,
     );
-    // One answers somebody from time to time, the other nobody.
+    // Endpoint b answers a request from time to time, endpoint a answers none.
     let mut heard = Vec::new();
     for step in 1..=8 {
         let now = START + Duration::from_millis(200) * step;
-        heard.extend(meet(&mut hub, &one, "b", 1, 0, now));
+        heard.extend(report_outcome(&mut hub, &one, "b", 1, 0, now));
         heard.extend(risks(&mut hub, &other, now));
     }
     assert!(heard
@@ -351,7 +366,7 @@
 
 #[test]
 fn a_box_that_starts_hears_how_large_the_prompts_of_each_class_are() {
-    let (mut near, mut far, one, other) = linked();
+    let (mut near, mut far, one, other) = linked_hubs();
     let seen = |class: &str, count, tokens| Prompts {
         class: class.parse().unwrap(),
         count,
@@ -366,9 +381,9 @@
     assert_eq!(
         heard.len(),
         2,
-        "it may have seen too few to know: {heard:?}"
+        "the box may have seen too few prompts itself: {heard:?}"
     );
-    pass(&mut near, "c1", &mut far, "c2", false, START);
+    send_news(&mut near, "c1", &mut far, "c2", false, START);
     let heard = far
         .exchange(&other, false, News::default(), START)
         .news
@@ -377,7 +392,7 @@
         heard,
         [seen("question", 10, 8000), seen("report", 2, 24_000)]
     );
-    // What moves the mean by little is not told again, what moves it by much is.
+    // A small change of the mean is not reported again, a large one is.
     let little = tell(vec![seen("question", 1, 900)]);
     assert!(far
         .exchange(&other, false, little, START)
@@ -389,12 +404,12 @@
     assert_eq!(heard, [seen("report", 4, 72_000)]);
 }
 
-/// 3,000 endpoints that all change at once are told in messages of a bounded size, those that
-/// changed most first, until all are told.
+/// When 3,000 endpoints change at once, they are reported in messages of bounded size, those with
+/// the largest changes first, until all are reported.
 #[test]
 fn a_message_has_a_bounded_size_and_holds_what_changed_most() {
     const ENDPOINTS: u64 = 3000;
-    const MOST: usize = 256;
+    const MAX_ROWS: usize = 256;
     let mut hub = Hub::default();
     let (one, other) = (box_name("e1"), box_name("e2"));
     let all: Vec<_> = (0..ENDPOINTS)
@@ -410,19 +425,22 @@
             break;
         }
         messages += 1;
-        assert!(heard.len() <= MOST, "{} rows", heard.len());
+        assert!(heard.len() <= MAX_ROWS, "{} rows", heard.len());
         let most = heard.iter().map(|loaded| loaded.load.unread).max();
-        assert!(most.unwrap() <= least, "what changed more was left behind");
+        assert!(
+            most.unwrap() <= least,
+            "an endpoint with a larger change was left for later"
+        );
         least = heard.iter().map(|loaded| loaded.load.unread).min().unwrap();
         merge(&mut known, heard);
     }
-    assert_eq!(messages, ENDPOINTS.div_ceil(MOST as u64));
+    assert_eq!(messages, ENDPOINTS.div_ceil(MAX_ROWS as u64));
     let mut expected = Loads::new();
     merge(&mut expected, all);
     assert_eq!(known, expected);
 }
 
-/// What ends is told also where names before and after it go on.
+/// A load that ends is reported even if endpoints with names before and after it still have load.
 #[test]
 fn a_load_that_ends_between_others_is_told() {
     let mut hub = Hub::default();
--- a/tests/testsuite/pace.rs
+++ b/tests/testsuite/pace.rs
@@ -1,4 +1,5 @@
-//! How fast endpoints go: measured in spite of load, agreed among boxes, and what follows.
+//! The pace of endpoints: how it is measured despite load, agreed between boxes, and used to find
+//! slow endpoints.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,8 +18,8 @@
 
 const START: Duration = Duration::from_secs(100);
 
-/// Feeds a meter with a stream whose events come `steady` apart, and every fifth group of
-/// them `stalled` apart, as beside a prompt that is being read.
+/// Feeds a meter with a stream whose events are `steady` apart; in every fifth group they are
+/// `stalled` apart, as happens while a prompt is prefilled on the same endpoint.
 fn measure(meter: &mut Meter, steady: Duration, stalled: Duration, events: u32) {
     let mut stream = Stream::default();
     let mut now = START;
@@ -73,13 +74,13 @@
     assert_eq!(slow, [false, false, false, true]);
     graded[3].0 = Some(Pace(22_300));
     grade(&mut graded);
-    assert!(graded[3].1, "a little better is not enough");
+    assert!(graded[3].1, "a slight improvement is not enough");
     graded[3].0 = Some(Pace(20_000));
     grade(&mut graded);
     assert!(!graded[3].1);
     let mut few = [(Some(Pace(10)), false), (Some(Pace(90)), false)];
     grade(&mut few);
-    assert!(!few[1].1, "two are too few to compare");
+    assert!(!few[1].1, "two endpoints are too few to compare");
 }
 
 fn record(name: &str, zone: &str) -> Record {
@@ -97,7 +98,7 @@
     }
 }
 
-/// The endpoints in the order that all boxes know, and whether each is slow.
+/// Returns the endpoints in the order that is the same at all boxes, and whether each is slow.
 fn order(registry: &Registry) -> Vec<(String, bool)> {
     let view = View::new(unit::Revision(1), Arc::default());
     let (service, zone) = ("lm".parse().unwrap(), "a".parse().unwrap());
@@ -120,8 +121,8 @@
     for (name, zone) in [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b")] {
         registry.merge(record(name, zone), START);
     }
-    let turns = ["a1", "b1", "a2", "b2"].map(|name| (name.to_owned(), false));
-    assert_eq!(order(&registry), turns);
+    let initial_order = ["a1", "b1", "a2", "b2"].map(|name| (name.to_owned(), false));
+    assert_eq!(order(&registry), initial_order);
     let stamp = registry.stamp();
     let paces = [
         ("a1", 26_000),
@@ -133,19 +134,22 @@
         .iter()
         .map(|(name, pace)| registry.set_pace(&name.parse().unwrap(), Pace(*pace)))
         .collect();
-    assert_eq!(changed, [true; 4], "each was unknown");
-    assert!(registry.regrade(), "one is slow");
-    let mut marked = turns;
+    assert_eq!(changed, [true; 4], "each pace was unknown before");
+    assert!(registry.regrade(), "one endpoint is slow");
+    let mut marked = initial_order;
     marked[0].1 = true;
     assert_eq!(order(&registry), marked);
     assert_eq!(registry.paces_since(stamp).len(), paces.len());
     let stamp = registry.stamp();
     registry.set_pace(&"b1".parse().unwrap(), Pace(20_200));
-    assert!(registry.paces_since(stamp).is_empty(), "too little to tell");
+    assert!(
+        registry.paces_since(stamp).is_empty(),
+        "the change is too small to report"
+    );
     registry.set_pace(&"a1".parse().unwrap(), Pace(25_000));
-    assert!(!registry.regrade(), "it is as slow as before");
+    assert!(!registry.regrade(), "it is still slow");
     registry.set_pace(&"a1".parse().unwrap(), Pace(20_000));
-    assert!(registry.regrade(), "it is slow no more");
+    assert!(registry.regrade(), "it is no longer slow");
 }
 
 #[test]
@@ -155,12 +159,12 @@
     meters.adopt(&fast, Pace(20_000), START);
     let known: Vec<_> = meters.known().collect();
     assert_eq!(known, [(&fast, Pace(20_000))]);
-    // Streams that are held up right after the start do not make it slow.
+    // Streams that stall right after the start do not make the endpoint slow.
     for _ in 0..60 {
         meters.observe(&service, &fast, Pace(31_000), false, START);
     }
     assert_eq!(meters.known().next(), Some((&fast, Pace(20_000))));
-    // What was measured here is not replaced, or it would be handed on for ever.
+    // An own measurement is not replaced; otherwise an adopted pace would be passed on for ever.
     let slow = "b1".parse().unwrap();
     for _ in 0..60 {
         meters.observe(&service, &slow, Pace(26_000), false, START);
@@ -175,7 +179,11 @@
     for (name, pace) in [("a1", 26_000), ("a2", 20_000), ("b1", 20_100)] {
         assert!(registry.set_pace(&name.parse().unwrap(), Pace(pace)));
     }
-    assert_eq!(registry.paces_since(0).len(), 3, "it is given out at once");
+    assert_eq!(
+        registry.paces_since(0).len(),
+        3,
+        "paces are reported at once"
+    );
     for (name, zone) in [("a1", "a"), ("a2", "a"), ("b1", "b")] {
         registry.merge(record(name, zone), START);
     }
@@ -187,7 +195,7 @@
     assert_eq!(registry.paces_since(0).len(), 2);
     assert!(
         !registry.set_pace(&"a1".parse().unwrap(), Pace(26_000)),
-        "it has gone"
+        "it has left"
     );
 }
 
@@ -196,7 +204,7 @@
     let mut registry = Registry::default();
     registry.merge(record("known", "a"), START);
     registry.set_pace(&"known".parse().unwrap(), Pace(20_000));
-    // Endpoints that crashed are never said to have gone.
+    // Endpoints that crashed are never reported to have left.
     for number in 0..40_000 {
         let name = format!("crashed-{number}").parse().unwrap();
         assert!(registry.set_pace(&name, Pace(20_000)), "{number}");
@@ -231,8 +239,8 @@
     assert_eq!(place.load().unwrap(), kept);
 }
 
-/// What dispatchers have to know changes with records and with who counts as slow, and not with
-/// each pace that is measured.
+/// The layout that dispatchers depend on changes with records and with which endpoints are slow,
+/// but not with each measured pace.
 #[test]
 fn a_pace_that_changes_nothing_else_leaves_the_layout() {
     let mut registry = Registry::default();
@@ -242,12 +250,12 @@
     let layout = registry.layout();
     assert!(registry.set_pace(&"a".parse().unwrap(), Pace(1000)));
     assert_eq!(registry.layout(), layout);
-    assert!(registry.stamp() > layout, "others hear of the pace");
+    assert!(registry.stamp() > layout, "the pace is reported to others");
     registry.leave(&"a".parse().unwrap());
     assert!(registry.layout() > layout);
 }
 
-/// What is compared as paces change one by one ends as if all were compared at once.
+/// Comparing paces one change at a time must give the same result as comparing all at once.
 #[test]
 fn endpoints_that_are_compared_one_by_one_are_graded_as_all_at_once() {
     let mut random: u64 = 7;
@@ -292,8 +300,9 @@
     assert!(slow.values().any(|slow| *slow));
 }
 
-/// Each box handed back to the voters, as measured by itself, what these had told it: with 985 boxes and
-/// 9,468 endpoints that was most of a voter's memory and of a box's work.
+/// Guards against boxes that report paces received from the voters back to them as their own
+/// measurements. With 985 boxes and 9,468 endpoints this takes most of a voter's memory and of a
+/// box's processor time.
 #[test]
 fn a_box_tells_what_it_measured_alone_and_each_change_once() {
     let mut meters = Meters::default();
@@ -316,7 +325,7 @@
     assert_eq!(told[0].pace, Pace(19_000));
     assert!(
         measure(18_900).measured_since(stamp).0.is_empty(),
-        "too little"
+        "the change is too small to report"
     );
     let mut meters = measure(15_000);
     assert_eq!(meters.measured_since(stamp).0[0].pace, Pace(15_000));
--- a/tests/testsuite/size.rs
+++ b/tests/testsuite/size.rs
@@ -1,8 +1,8 @@
-//! Hundreds of boxes before a service whose endpoints vanish and return, in one process: what
-//! they do together when each sees a request in hundreds.
+//! A simulation, in one process, of hundreds of boxes in front of a service whose endpoints vanish
+//! and return. Each box sees only one request in some hundred.
 //!
-//! Dispatchers and hubs are the real ones. Endpoints read prompts one after the other at a fixed
-//! rate; time goes in steps; arrivals come from a seed.
+//! Dispatchers and hubs are the real ones. Endpoints prefill prompts one after the other at a fixed
+//! rate; time advances in steps; arrivals are drawn from a seed.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -25,61 +25,63 @@
 const ZONES: usize = 6;
 const BOXES: usize = 240;
 const ENDPOINTS: usize = 32;
-/// Tokens that an endpoint reads in a step: 60 a millisecond.
-const READ: u64 = 300;
-/// The tokens of a prompt, and those of them that it shares with others.
-const PROMPT: u64 = 3000;
-const SHARED: u64 = 1000;
+/// The tokens that an endpoint prefills in a step: 60 per millisecond.
+const PREFILL_TOKENS_PER_STEP: u64 = 300;
+/// The tokens of a prompt, and how many of them are a prefix shared with others.
+const PROMPT_TOKENS: u64 = 3000;
+const SHARED_TOKENS: u64 = 1000;
 const PREFIXES: u64 = 96;
 const TARGET: Duration = Duration::from_millis(400);
 const DEADLINE: Duration = Duration::from_secs(8);
-/// Requests a second: a fifth more than three quarters of the endpoints can read anew.
-const RATE: f64 = 576.0;
-/// How often hubs tell each other.
-const SHARE: Duration = Duration::from_millis(100);
-/// The part of the endpoints that vanishes, and when for how long.
+/// Requests per second: a fifth more than three quarters of the endpoints can prefill without
+/// cached prefixes.
+const REQUESTS_PER_SECOND: f64 = 576.0;
+/// The interval of the exchanges between hubs.
+const SHARE_PERIOD: Duration = Duration::from_millis(100);
+/// How many endpoints vanish, when they do, and when they return.
 const VANISHING: usize = ENDPOINTS / 4;
-const VANISH: Duration = Duration::from_secs(106);
-const RETURN: Duration = Duration::from_secs(108);
+const VANISH_AT: Duration = Duration::from_secs(106);
+const RETURN_AT: Duration = Duration::from_secs(108);
 
-/// A prompt at an endpoint.
-struct Work {
+/// A prompt in the queue of an endpoint.
+struct Prompt {
     from: usize,
     attempt: Attempt,
     left: u64,
-    asked: Duration,
+    arrived_at: Duration,
 }
 
-/// What boxes exchange through which hubs, and how often.
+/// How many hubs the boxes exchange their loads through, and at which interval.
 #[derive(Clone, Copy)]
 struct Plan {
     hubs: usize,
     period: Duration,
 }
 
-struct Place {
+struct EntryBox {
     dispatcher: Dispatcher,
     name: name::Box,
-    told: Loads,
+    reported: Loads,
     others: Loads,
-    /// When it exchanges next.
+    /// The time of its next exchange.
     next: Duration,
     anew: bool,
 }
 
 struct World {
     plan: Plan,
-    places: Vec<Place>,
+    boxes: Vec<EntryBox>,
     hubs: Vec<Hub>,
-    shared_at: Duration,
-    queues: BTreeMap<usize, VecDeque<Work>>,
-    /// The generation of each endpoint: it returns under another name.
+    hubs_exchanged_at: Duration,
+    queues: BTreeMap<usize, VecDeque<Prompt>>,
+    /// The generation of each endpoint, which is part of its name: it returns under another name.
     generations: Vec<u32>,
     down: BTreeSet<usize>,
     random: SmallRng,
     requests: u64,
     now: Duration,
-    /// Requests by the second in which they came: all, and those in time.
+    /// For each second, how many requests arrived in it, and how many of these were answered in
+    /// time.
     seen: BTreeMap<u64, (u32, u32)>,
 }
 
@@ -104,7 +106,7 @@
 impl World {
     fn new(plan: Plan, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let places = (0..BOXES).map(|i| {
+        let boxes = (0..BOXES).map(|i| {
             let settings = Settings {
                 seed: i as u64,
                 ..Settings::default()
@@ -115,10 +117,10 @@
             for report in [Report::Hello, Report::Announced] {
                 dispatcher.step(Input::Report(name.clone(), report), START);
             }
-            Place {
+            EntryBox {
                 dispatcher,
                 name,
-                told: Loads::new(),
+                reported: Loads::new(),
                 others: Loads::new(),
                 next: START + plan.period.mul_f64(random.random()),
                 anew: true,
@@ -126,9 +128,9 @@
         });
         let mut world = Self {
             plan,
-            places: places.collect(),
+            boxes: boxes.collect(),
             hubs: (0..plan.hubs).map(|_| Hub::default()).collect(),
-            shared_at: START,
+            hubs_exchanged_at: START,
             queues: BTreeMap::new(),
             generations: vec![0; ENDPOINTS],
             down: BTreeSet::new(),
@@ -145,7 +147,7 @@
         format!("i-{i}-{}", self.generations[i]).parse().unwrap()
     }
 
-    /// Tells all boxes which endpoints there are.
+    /// Configures all boxes with the endpoints that are up.
     fn configure(&mut self) {
         let there = (0..ENDPOINTS).filter(|i| !self.down.contains(i));
         let specs: Vec<_> = there
@@ -168,16 +170,16 @@
     }
 
     fn step(&mut self, i: usize, input: Input) {
-        let orders = self.places[i].dispatcher.step(input, self.now);
-        self.obey(i, orders);
+        let orders = self.boxes[i].dispatcher.step(input, self.now);
+        self.carry_out(i, orders);
     }
 
     fn report(&mut self, i: usize, report: Report) {
-        let name = self.places[i].name.clone();
+        let name = self.boxes[i].name.clone();
         self.step(i, Input::Report(name, report));
     }
 
-    fn obey(&mut self, i: usize, orders: Vec<Output>) {
+    fn carry_out(&mut self, i: usize, orders: Vec<Output>) {
         for (_, order) in orders {
             let Order::Grant(attempt, endpoint) = order else {
                 continue;
@@ -187,20 +189,21 @@
         }
     }
 
-    /// A request reaches an endpoint, or finds nobody there and is asked for once more.
+    /// Delivers a request to an endpoint; if the endpoint has vanished, the request is queued
+    /// again.
     fn send(&mut self, i: usize, attempt: Attempt, endpoint: &name::Endpoint) {
         let mut parts = endpoint.as_str().split('-').skip(1);
         let mut number = || parts.next().unwrap().parse::<usize>().unwrap();
         let (at, generation) = (number(), number());
         let is_there = !self.down.contains(&at) && self.generations[at] as usize == generation;
-        let asked = self.asked(attempt);
+        let arrived_at = self.arrived_at(attempt);
         if is_there {
-            // What it shares is kept, as if by all of the load before.
-            let work = Work {
+            // The shared prefix counts as cached, as it would be after earlier load.
+            let work = Prompt {
                 from: i,
                 attempt,
-                left: PROMPT - SHARED,
-                asked,
+                left: PROMPT_TOKENS - SHARED_TOKENS,
+                arrived_at,
             };
             self.queues.entry(at).or_default().push_back(work);
             return;
@@ -208,33 +211,33 @@
         let end = Report::End(attempt, End::Unreachable, unit::Tokens(0));
         self.report(i, end);
         if attempt.number < 6 {
-            let again = self.ask(attempt.next(), asked, Some(endpoint.clone()));
+            let again = self.ask(attempt.next(), arrived_at, Some(endpoint.clone()));
             self.report(i, Report::Ask(again));
         }
     }
 
-    /// When a request came: it is told by its number.
-    fn asked(&self, attempt: Attempt) -> Duration {
+    /// Returns when a request arrived, which its number contains.
+    fn arrived_at(&self, attempt: Attempt) -> Duration {
         Duration::from_millis(attempt.request.0 >> 32)
     }
 
-    fn ask(&self, attempt: Attempt, asked: Duration, avoid: Option<name::Endpoint>) -> Ask {
+    fn ask(&self, attempt: Attempt, arrived_at: Duration, avoid: Option<name::Endpoint>) -> Ask {
         Ask {
             attempt,
             class: "report".parse().unwrap(),
             tier: unit::Tier(0),
-            age: self.now.saturating_sub(asked),
+            age: self.now.saturating_sub(arrived_at),
             target: TARGET,
             deadline: DEADLINE,
             patience: None,
             returned: false,
             allowed: Default::default(),
-            prompt: unit::Tokens(PROMPT),
+            prompt: unit::Tokens(PROMPT_TOKENS),
             delivered: unit::Tokens(0),
             prefix: None,
             placed: Some(Placed {
                 prefix: Prefix(attempt.request.0 % PREFIXES),
-                shared: unit::Tokens(SHARED),
+                shared: unit::Tokens(SHARED_TOKENS),
             }),
             preemptible: false,
             preempted: 0,
@@ -245,7 +248,7 @@
     }
 
     fn arrive(&mut self) {
-        let expected = RATE * STEP.as_secs_f64();
+        let expected = REQUESTS_PER_SECOND * STEP.as_secs_f64();
         let mut count = expected as u32;
         count += u32::from(self.random.random::<f64>() < expected.fract());
         for _ in 0..count {
@@ -259,14 +262,14 @@
         }
     }
 
-    /// Endpoints read, one prompt after the other.
-    fn read(&mut self) {
+    /// Lets each endpoint prefill its prompts in order for one step.
+    fn prefill(&mut self) {
         for at in 0..ENDPOINTS {
-            let mut read = READ;
+            let mut budget = PREFILL_TOKENS_PER_STEP;
             while let Some(work) = self.queues.get_mut(&at).and_then(VecDeque::front_mut) {
-                let part = work.left.min(read);
+                let part = work.left.min(budget);
                 work.left -= part;
-                read -= part;
+                budget -= part;
                 if work.left > 0 {
                     break;
                 }
@@ -276,9 +279,9 @@
         }
     }
 
-    fn answer(&mut self, work: &Work) {
-        let in_time = self.now <= work.asked + TARGET;
-        let seen = self.seen.entry(work.asked.as_secs()).or_default();
+    fn answer(&mut self, work: &Prompt) {
+        let in_time = self.now <= work.arrived_at + TARGET;
+        let seen = self.seen.entry(work.arrived_at.as_secs()).or_default();
         seen.1 += u32::from(in_time);
         self.report(work.from, Report::First(work.attempt));
         let end = Report::End(work.attempt, End::Done, unit::Tokens(20));
@@ -286,7 +289,7 @@
     }
 
     fn vanish_or_return(&mut self) {
-        if self.now == VANISH {
+        if self.now == VANISH_AT {
             self.down = (0..VANISHING).collect();
             for at in 0..VANISHING {
                 for work in self.queues.remove(&at).unwrap_or_default() {
@@ -295,7 +298,7 @@
                 }
             }
         }
-        if self.now == RETURN {
+        if self.now == RETURN_AT {
             for at in 0..VANISHING {
                 self.generations[at] += 1;
             }
@@ -304,40 +307,40 @@
         }
     }
 
-    /// Boxes whose turn it is tell their hub, and hear; hubs tell each other.
+    /// Runs the exchanges that are due: between boxes and their hubs, and between the hubs.
     fn exchange(&mut self) {
         for i in 0..BOXES {
-            if self.places[i].next > self.now {
+            if self.boxes[i].next > self.now {
                 continue;
             }
             let hub = i % self.plan.hubs;
-            let place = &mut self.places[i];
-            place.next += self.plan.period;
-            let own: Loads = place.dispatcher.loads().collect();
-            let told = News {
-                loads: load::difference(&place.told, &own),
-                placements: place.dispatcher.take_placements(),
-                outcomes: place.dispatcher.take_outcomes(),
-                prompts: place.dispatcher.take_prompts(),
+            let entry = &mut self.boxes[i];
+            entry.next += self.plan.period;
+            let own: Loads = entry.dispatcher.loads().collect();
+            let report = News {
+                loads: load::difference(&entry.reported, &own),
+                placements: entry.dispatcher.take_placements(),
+                outcomes: entry.dispatcher.take_outcomes(),
+                prompts: entry.dispatcher.take_prompts(),
                 ..News::default()
             };
-            let news = self.hubs[hub].exchange(&place.name, place.anew, told, self.now);
-            place.anew = false;
-            place.told = own;
-            load::merge(&mut place.others, news.news.loads);
-            let others = place.others.clone();
+            let news = self.hubs[hub].exchange(&entry.name, entry.anew, report, self.now);
+            entry.anew = false;
+            entry.reported = own;
+            load::merge(&mut entry.others, news.news.loads);
+            let others = entry.others.clone();
             self.step(i, Input::Placed(news.news.placements));
             self.step(i, Input::Risks(news.news.risks));
             self.step(i, Input::Others(Some(others)));
         }
-        if self.now >= self.shared_at + SHARE {
-            let anew = self.shared_at == START;
-            self.shared_at = self.now;
-            self.share(anew);
+        if self.now >= self.hubs_exchanged_at + SHARE_PERIOD {
+            let anew = self.hubs_exchanged_at == START;
+            self.hubs_exchanged_at = self.now;
+            self.exchange_between_hubs(anew);
         }
     }
 
-    fn share(&mut self, anew: bool) {
+    fn exchange_between_hubs(&mut self, anew: bool) {
         for from in 0..self.plan.hubs {
             for to in (0..self.plan.hubs).filter(|to| *to != from) {
                 let news = self.hubs[from].news_for(&hub_name(to), anew, self.now);
@@ -351,7 +354,7 @@
             self.now += STEP;
             self.vanish_or_return();
             self.arrive();
-            self.read();
+            self.prefill();
             self.exchange();
             for i in 0..BOXES {
                 if (self.now.as_millis() / STEP.as_millis()) as usize % 10 == i % 10 {
@@ -364,13 +367,14 @@
     }
 }
 
-/// The part served in time in the seconds after the endpoints are back.
-fn recovered(served: &BTreeMap<u64, f64>) -> f64 {
-    let seconds = RETURN.as_secs()..RETURN.as_secs() + 4;
+/// Returns the share of requests that are served in time, over the four seconds from the endpoints'
+/// return on.
+fn served_after_return(served: &BTreeMap<u64, f64>) -> f64 {
+    let seconds = RETURN_AT.as_secs()..RETURN_AT.as_secs() + 4;
     seconds.map(|second| served[&second]).sum::<f64>() / 4.0
 }
 
-/// How often boxes exchange: each adds 4 ms to what its hub has to do.
+/// Returns the interval of a box's exchanges: each box of a hub adds 4 ms to it.
 fn period(boxes: usize) -> Duration {
     Duration::from_millis(4) * u32::try_from(boxes).unwrap()
 }
@@ -383,18 +387,18 @@
     };
     let served = World::new(zonal, 7).run(Duration::from_secs(113));
     println!("a hub in each zone: {served:.2?}");
-    let before = served[&(VANISH.as_secs() - 1)];
+    let before = served[&(VANISH_AT.as_secs() - 1)];
     assert!(before > 0.9, "before the loss: {before:.2}");
-    let after = recovered(&served);
-    assert!(after > 0.9, "once they are back: {after:.2}");
-    // What boxes hear by way of one hub is so old that they never get there.
+    let after = served_after_return(&served);
+    assert!(after > 0.9, "after their return: {after:.2}");
+    // With a single hub for all boxes the loads are so old that the boxes never recover fully.
     let single = Plan {
         hubs: 1,
         period: period(BOXES),
     };
     let served = World::new(single, 7).run(Duration::from_secs(113));
     println!("one hub for all: {served:.2?}");
-    let compared = recovered(&served);
+    let compared = served_after_return(&served);
     assert!(
         after > compared + 0.05,
         "{after:.2}, with one hub {compared:.2}"
