--- a/tests/testsuite/rest.rs
+++ b/tests/testsuite/rest.rs
@@ -1,4 +1,4 @@
-//! Endpoints that turn requests away and ask for rest, with real processes.
+//! Endpoints that refuse requests and ask for a rest (`Retry-After`), with real processes.
 
 use std::time::{Duration, Instant};
 
@@ -12,17 +12,17 @@
     routed::{self, Act, Endpoint, System, BOX, HOST, KEY},
 };
 
-/// Entry boxes.
+/// The number of boxes.
 const BOXES: usize = 3;
-/// How often endpoints announce themselves.
+/// The interval of the endpoints' heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(700);
-/// The most requests of a box that may reach an endpoint within its rest.
-const MOST: usize = 2;
+/// The maximum number of requests from one box that may reach an endpoint during its rest.
+const MAX_DURING_REST: usize = 2;
 
-/// A system with some boxes and endpoints.
+/// A running system with its boxes and endpoints.
 struct Site {
     system: System,
-    /// Kept until the end.
+    /// Held so that the processes run until the end of the test.
     _boxes: Vec<Option<deploy::Process>>,
     endpoints: Vec<Endpoint>,
 }
@@ -46,7 +46,7 @@
         site
     }
 
-    /// Has all endpoints say that they are ready, for so long.
+    /// Sends heartbeats of all endpoints, as ready, for the time `length`.
     async fn beat(&self, length: Duration) {
         let until = Instant::now() + length;
         for sequence in 2.. {
@@ -67,7 +67,7 @@
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, Default)]
 struct Outcome {
     status: u16,
@@ -109,8 +109,8 @@
     exchange.await.unwrap_or_default()
 }
 
-/// Sends requests to boxes at random, so many a second, for so long.
-async fn send_all(site: &Site, a_second: u32, length: Duration) -> Vec<Outcome> {
+/// Sends `per_second` requests a second to random boxes for the time `length`.
+async fn send_all(site: &Site, per_second: u32, length: Duration) -> Vec<Outcome> {
     const PATHS: [&str; 4] = ["/safe/", "/unsafe/", "/stream/", "/sresume/"];
     let mut random = SmallRng::seed_from_u64(1);
     let until = Instant::now() + length;
@@ -120,7 +120,7 @@
         let callers = site.system.callers_at(i);
         let path = PATHS[random.random_range(0..PATHS.len())];
         sent.push(tokio::spawn(send(callers, i, path, 4000)));
-        tokio::time::sleep(Duration::from_secs(1) / a_second).await;
+        tokio::time::sleep(Duration::from_secs(1) / per_second).await;
     }
     let mut outcomes = Vec::new();
     for task in sent {
@@ -133,23 +133,22 @@
     outcomes.iter().filter(|o| o.is_served()).count()
 }
 
-/// Three of nine endpoints of one service turned away all that they got, for eight seconds, and
-/// said with each answer for how long they wanted no more: three seconds. They got as much as
-/// before, up to seven requests from one box in one rest, and over a tenth of the requests of one
-/// kind were refused though the six other endpoints had room for all.
+/// Guards against boxes that ignore the rests that endpoints ask for. Three of nine endpoints of a
+/// service refuse all requests for eight seconds, and ask for a rest of three seconds with each
+/// answer. If boxes ignore that, these endpoints receive as many requests as before, up to seven
+/// from one box during one rest, and over a tenth of the requests of one kind are refused although
+/// the six other endpoints have capacity for all.
 ///
-/// No box read what they asked for, and a refusal changed nothing that was known of an endpoint.
-/// One that turns all away has no runs, so it looked as good as any, also to the next try of the
-/// request that it had just turned away.
-///
-/// What proved it: with the rest in the log (event 3216 and `rest_ms` of 3312) the sends within a
-/// rest are first, second and third tries alike, at each box. Retries alone don't bring it about.
+/// It comes about if a refusal changes nothing in a box's view of an endpoint: one that refuses
+/// everything runs nothing, so it looks as good as any other, even to the next attempt of the
+/// request that it has just refused. The log (event 3216, and `rest_ms` of 3312) shows first,
+/// second and third attempts within a rest at each box, so retries alone are not the cause.
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoints_that_ask_for_rest_get_it_and_the_others_serve_all() {
     const LENGTH: Duration = Duration::from_secs(12);
     let dir = tempfile::tempdir().unwrap();
     let site = Site::start(9, dir.path()).await;
-    // Boxes prefer other endpoints each; so that all meet it, each third does it in turn.
+    // Each box prefers other endpoints; the thirds rest in turn so that each box is affected.
     let turns = async {
         for third in site.endpoints.chunks(3) {
             let act = Some(Act::Rest(Duration::from_secs(3)));
@@ -162,24 +161,25 @@
     let (outcomes, (), ()) = tokio::join!(sending, turns, site.beat(LENGTH));
     let (rests, most) = routed::rests(&site.endpoints);
     let (served, sent) = (served(&outcomes), outcomes.len());
-    let told = format!("{rests} rests, at most {most} within one, {served} of {sent} served");
+    let told = format!("{rests} rests, at most {most} requests in one, {served} of {sent} served");
     println!("{told}");
-    assert!(rests >= BOXES, "nothing was brought about: {told}");
-    assert!(most <= MOST, "{told}");
-    // Each box learns it by one try at each of three endpoints, and each request has three tries.
+    assert!(rests >= BOXES, "no endpoint rested: {told}");
+    assert!(most <= MAX_DURING_REST, "{told}");
+    // Each box learns of the rests by one attempt at each of three endpoints, and each request has
+    // three attempts.
     assert!(served * 100 >= sent * 99, "{told}");
 }
 
-/// Endpoints that leave say so in each answer before any registry has heard of it. A box that has
-/// passed on such an answer sends them nothing more, though their heartbeats still say that they
-/// are ready: these may be from before. What runs there is finished.
+/// Endpoints that leave say so in each answer before it is in any registry. A box that has received
+/// such an answer sends them no more requests, although their heartbeats still say that they are
+/// ready: these may be older. Requests that run there complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoints_that_say_in_an_answer_that_they_leave_get_no_more() {
     const LENGTH: Duration = Duration::from_secs(6);
-    /// Requests that were under way when the first answer came.
-    const UNDER_WAY: Duration = Duration::from_millis(500);
-    /// How long word to all boxes may take: an exchange of loads and the voters' news.
-    const WORD: Duration = Duration::from_secs(1);
+    /// How long requests may still arrive that were sent before the first such answer.
+    const MAX_IN_FLIGHT: Duration = Duration::from_millis(500);
+    /// The maximum time until all boxes know: an exchange of loads, and the voters' news.
+    const MAX_PROPAGATION: Duration = Duration::from_secs(1);
     let dir = tempfile::tempdir().unwrap();
     let site = Site::start(6, dir.path()).await;
     let leaving = &site.endpoints[..2];
@@ -198,31 +198,35 @@
             let mut of_box = left.filter(|s| s.header(BOX) == Some(number.as_str()));
             let Some(first) = of_box.next() else { continue };
             told_boxes += 1;
-            late += of_box.filter(|s| s.at > first.at + UNDER_WAY).count();
+            late += of_box.filter(|s| s.at > first.at + MAX_IN_FLIGHT).count();
         }
     }
-    // The other boxes hear it by way of the voters, before they ask by themselves.
-    let mut unheard = 0;
+    // The other boxes learn of it through the voters, before they get such an answer themselves.
+    let mut after_propagation = 0;
     for endpoint in leaving {
         let seen = endpoint.seen();
         let mut left = seen.iter().filter(|s| s.act == Some(Act::Leave));
         let Some(first) = left.next() else { continue };
-        unheard += left.filter(|s| s.at > first.at + WORD).count();
+        after_propagation += left.filter(|s| s.at > first.at + MAX_PROPAGATION).count();
     }
     let (served, sent) = (served(&outcomes), outcomes.len());
     let told = format!(
-        "{told_boxes} told, {late} late, {unheard} from boxes that had not heard, \
+        "{told_boxes} boxes told, {late} late, {after_propagation} after all boxes had to know, \
          {served} of {sent} served"
     );
     println!("{told}");
-    assert!(told_boxes > 0, "nothing was brought about: {told}");
+    assert!(
+        told_boxes > 0,
+        "no endpoint answered that it leaves: {told}"
+    );
     assert_eq!(late, 0, "{told}");
-    assert_eq!(unheard, 0, "{told}");
+    assert_eq!(after_propagation, 0, "{told}");
     assert_eq!(served, sent, "{told}");
 }
 
-/// Where all endpoints rest from a box, a request waits if its caller does until one has ended its
-/// rest; else it is refused at once, truly, with the time until then. Nothing is asked meanwhile.
+/// If all endpoints rest from a box, a request waits if its deadline is after the end of a rest.
+/// Otherwise it is refused at once, as not run and with the time until then. No endpoint is sent a
+/// request meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_endpoints_rest_requests_wait_or_are_refused_with_the_time() {
     const REST: Duration = Duration::from_secs(2);
@@ -232,7 +236,7 @@
         endpoint.next(Act::Rest(REST));
     }
     let began = Instant::now();
-    // Three tries, one at each; the box knows of all rests then.
+    // Three attempts, one at each endpoint; after that the box knows of all rests.
     let first = site.send(0, "/safe/", 4000).await;
     let seen = || -> usize { site.endpoints.iter().map(|e| e.seen().len()).sum() };
     let before = seen();
@@ -241,18 +245,22 @@
     assert_eq!(short.status, 503, "{short:?}");
     assert_eq!(short.verdict.as_deref(), Some("not-run"), "{short:?}");
     assert!(short.took < Duration::from_millis(200), "{short:?}");
-    // In whole seconds, which callers of this interface read.
+    // `Retry-After` is in whole seconds.
     let told = Duration::from_secs_f64(short.retry_after.unwrap());
     assert!(
         told >= Duration::from_secs(1) && told <= Duration::from_secs(3),
         "{short:?}"
     );
     assert!(long.is_served(), "{long:?}");
-    assert!(began.elapsed() >= REST, "served within the rests: {long:?}");
-    assert_eq!(seen(), before + 1, "something was asked within the rests");
+    assert!(began.elapsed() >= REST, "served during the rests: {long:?}");
+    assert_eq!(
+        seen(),
+        before + 1,
+        "an endpoint was sent a request during the rests"
+    );
 }
 
-/// What is said of rest in ways that nobody can follow bars no endpoint for good, and stops no box.
+/// A rest that can't be parsed excludes no endpoint permanently and stops no box.
 #[tokio::test(flavor = "multi_thread")]
 async fn rests_that_cannot_be_read_bar_nobody() {
     let dir = tempfile::tempdir().unwrap();
@@ -279,7 +287,7 @@
 }
 
 fn read(values: &[&str], date: Option<&str>) -> rest::Asked {
-    /// Some time of day here, which is off.
+    /// The local time of day, which differs from the endpoint's.
     const HERE_MS: u64 = 1_000_000;
     rest::read(values.iter().copied(), date, HERE_MS)
 }
@@ -295,15 +303,15 @@
     for unreadable in ["-1", "", "+3", "inf", "NaN", "1e3", "3s", ".", "3,soon"] {
         assert_eq!(read(&[unreadable], None), Unreadable, "{unreadable}");
     }
-    // Twice, or joined on the way: the longer one.
+    // If the header is repeated, or its values are joined by a proxy, the longest rest counts.
     assert_eq!(read(&["2", "5"], None), millis(5000));
     assert_eq!(read(&["soon", "5"], None), millis(5000));
     assert_eq!(read(&["5", "soon"], None), millis(5000));
     assert_eq!(read(&["2, 5"], None), millis(5000));
-    // Absurd ones are cut.
+    // Very long rests are capped.
     assert_eq!(read(&["31536000"], None), For(rest::LONGEST));
     assert_eq!(read(&["9".repeat(400).as_str()], None), For(rest::LONGEST));
-    // A date counts from the answer's own, whatever the time of day is here.
+    // A date is relative to the answer's own `Date`, whatever the local time is.
     let (sent, until) = (
         "Sun, 06 Nov 1994 08:49:37 GMT",
         "Sun, 06 Nov 1994 08:49:41 GMT",
@@ -326,12 +334,13 @@
     book.note(&endpoint, &service, start(1), second(10), second(0));
     book.note(&endpoint, &service, start(1), second(1), second(1));
     assert!(book.left(&endpoint, start(1), second(9)) >= Some(second(1)));
-    // It stays away a little longer, as boxes that hear it together would else return together.
+    // The rest is extended by a time that differs between boxes; otherwise boxes that were told
+    // together would return together.
     assert!(book.left(&endpoint, start(1), second(11)).is_none());
     assert!(book.left(&endpoint, start(2), second(7)).is_none());
     book.note(&endpoint, &service, start(2), second(4), second(5));
     assert!(book.left(&endpoint, start(2), second(8)).is_some());
-    // An answer of the start before comes late.
+    // A late answer of the earlier start.
     book.note(&endpoint, &service, start(1), second(100), second(6));
     assert!(book.left(&endpoint, start(2), second(12)).is_none());
 }
@@ -360,8 +369,9 @@
     assert_eq!(told(&mut book, &other, None), 1);
 }
 
-/// Streams, whole answers and plain calls of the product's own interface, behind two boxes of which
-/// one dispatches for both, and the questions how endpoints do: each goes by what any of them heard.
+/// Streams, complete answers and plain calls of the native interface, through two boxes of which
+/// one dispatches for both, and health and load checks: all respect a rest that any of them was
+/// told.
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoints_of_the_own_interface_get_the_rest_that_they_ask_for() {
     const REST_MS: u64 = 3000;
@@ -374,7 +384,7 @@
         ..deploy::Plan::default()
     };
     let deployment = deploy::Deployment::start(plan, dir.path()).await;
-    // The first of the models and of the plain endpoints.
+    // The first endpoint with a model, and the first plain one.
     let first = |model| deployment.standins.iter().position(|s| s.model == model);
     let resting = [first(true).unwrap(), first(false).unwrap()];
     for i in resting {
@@ -414,14 +424,14 @@
     };
     for i in resting {
         let (rests, most) = deploy::rests(&deployment.standins[i], sender).await;
-        println!("{rests} rests, at most {most} within one, {served} of {ROUNDS} served");
-        assert!(rests > 0, "nothing was brought about");
-        assert!(most <= MOST, "{most} within a rest");
+        println!("{rests} rests, at most {most} requests in one, {served} of {ROUNDS} served");
+        assert!(rests > 0, "no endpoint rested");
+        assert!(most <= MAX_DURING_REST, "{most} requests in a rest");
     }
     assert_eq!(served, ROUNDS);
 }
 
-/// Operators see which endpoints rest from which box, and why a request was turned away.
+/// Operators see which endpoints rest from which box, and why a request was refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_see_who_rests_from_whom() {
     let dir = tempfile::tempdir().unwrap();
@@ -453,7 +463,7 @@
     );
 }
 
-/// An endpoint's own answer to one caller that asks too often is that caller's, and bars nobody.
+/// An endpoint's own 429 answer to one caller is passed on to that caller and affects no other.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_to_one_caller_that_asks_too_often_bars_nobody() {
     let dir = tempfile::tempdir().unwrap();
@@ -469,9 +479,10 @@
     assert!(other.is_served(), "{other:?}");
 }
 
-/// A box had just started and knew an endpoint by its start before the last one, as a voter remembered
-/// it. The last one asked for rest in an answer; half a second later its heartbeat came, and 17
-/// requests reached it within its rest, since that was taken for the earlier start's.
+/// Guards against a rest that is attributed to an earlier start of the endpoint. A box that has
+/// just started knows an endpoint only by its previous start, which a voter remembers. The current
+/// start asks for a rest in an answer, and its first heartbeat arrives half a second later. If the
+/// rest counts for the previous start only, 17 requests reach the endpoint during its rest.
 #[test]
 fn a_rest_holds_for_a_start_that_is_heard_of_after_the_answer() {
     let millis = Duration::from_millis;
@@ -481,7 +492,7 @@
     book.note(&endpoint, &service, start(5), millis(1109), millis(0));
     assert!(book.left(&endpoint, start(6), millis(500)).is_some());
     assert!(book.left(&endpoint, start(6), millis(2000)).is_none());
-    // One that is heard of long after has begun after it, and has asked for nothing.
+    // A start that becomes known long afterwards began after the answer and has asked for no rest.
     book.note(&endpoint, &service, start(6), millis(60_000), millis(3000));
     assert!(book.left(&endpoint, start(7), millis(7900)).is_some());
     assert!(book.left(&endpoint, start(7), millis(8100)).is_none());
--- a/tests/testsuite/rest_dispatch.rs
+++ b/tests/testsuite/rest_dispatch.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher makes of endpoints that rest from the boxes whose requests it has.
+//! How a dispatcher handles endpoints that rest from the boxes whose requests it dispatches.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
 
 const START: Duration = Duration::from_secs(1000);
 const SLOTS: u32 = 4;
-/// How long endpoints rest.
+/// The length of a rest.
 const REST: Duration = Duration::from_secs(3);
 
 fn origin(number: u32) -> name::Box {
@@ -25,7 +25,7 @@
     format!("i-{number}").parse().unwrap()
 }
 
-/// A dispatcher of so many endpoints for two boxes.
+/// Returns a dispatcher for two boxes with so many endpoints.
 fn dispatcher(endpoints: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(Settings::default(), START);
     dispatcher.step(configuration(endpoints, 1), START);
@@ -38,7 +38,7 @@
     dispatcher
 }
 
-/// The endpoints, each in this start of it.
+/// Returns an input that configures the endpoints, each with this incarnation.
 fn configuration(endpoints: u32, incarnation: u64) -> Input {
     let spec = |number| Spec {
         name: endpoint(number),
@@ -58,7 +58,7 @@
     Input::Configure((0..endpoints).map(spec).collect(), BTreeMap::from([class]))
 }
 
-fn told(number: u32, left: Duration) -> rest::Told {
+fn reported_rest(number: u32, left: Duration) -> rest::Told {
     rest::Told {
         endpoint: endpoint(number),
         start: Some(unit::Incarnation(1)),
@@ -94,7 +94,7 @@
     orders.into_iter().map(|(_, order)| order).collect()
 }
 
-/// Has a request served that was granted.
+/// Serves a request that was granted.
 fn serve(dispatcher: &mut Dispatcher, from: u32, request: u64, now: Duration) {
     let attempt = Attempt::first(Request(request));
     for report in [
@@ -106,8 +106,9 @@
     }
 }
 
-/// Where a request is granted, if it is at once; it is begun there.
-fn granted(dispatcher: &mut Dispatcher, from: u32, ask: Ask, now: Duration) -> Option<String> {
+/// Returns the endpoint of a request that is granted at once, and starts the request there; returns
+/// `None` if it waits.
+fn grant(dispatcher: &mut Dispatcher, from: u32, ask: Ask, now: Duration) -> Option<String> {
     match step(dispatcher, from, ask, now).as_slice() {
         [Order::Grant(attempt, endpoint)] => {
             let started = Report::Started(*attempt);
@@ -122,25 +123,23 @@
 #[test]
 fn an_endpoint_rests_from_the_box_that_it_asked_and_from_no_other() {
     let mut dispatcher = dispatcher(2);
-    let rests = vec![told(0, REST)];
+    let rests = vec![reported_rest(0, REST)];
     for request in 0..u64::from(SLOTS) {
-        // Told once, it is known for all requests of the box.
+        // A rest that is reported once applies to all requests of the box.
         let rests = if request == 0 {
             rests.clone()
         } else {
             Vec::new()
         };
-        let at = granted(&mut dispatcher, 1, ask(request, rests), START);
+        let at = grant(&mut dispatcher, 1, ask(request, rests), START);
         assert_eq!(at.as_deref(), Some("i-1"));
     }
-    // All its slots are taken; the box's next request waits, the other box's goes ahead of it.
-    assert_eq!(
-        granted(&mut dispatcher, 1, ask(10, Vec::new()), START),
-        None
-    );
-    let at = granted(&mut dispatcher, 2, ask(11, Vec::new()), START);
+    // All slots of the other endpoint are taken. The box's next request waits; the other box's
+    // request overtakes it.
+    assert_eq!(grant(&mut dispatcher, 1, ask(10, Vec::new()), START), None);
+    let at = grant(&mut dispatcher, 2, ask(11, Vec::new()), START);
     assert_eq!(at.as_deref(), Some("i-0"));
-    // It is served; as the rest ends, the one that waits gets the slot.
+    // That request completes; when the rest ends, the waiting one gets the slot.
     serve(&mut dispatcher, 2, 11, START);
     let after = START + REST + Duration::from_millis(20);
     let orders = dispatcher.step(Input::Tick, after);
@@ -152,22 +151,22 @@
 #[test]
 fn a_later_start_and_a_box_that_begins_anew_know_of_no_rest() {
     let mut dispatcher = dispatcher(1);
-    let first = ask(1, vec![told(0, REST)]);
-    assert_eq!(granted(&mut dispatcher, 1, first, START), None);
+    let first = ask(1, vec![reported_rest(0, REST)]);
+    assert_eq!(grant(&mut dispatcher, 1, first, START), None);
     dispatcher.step(Input::Report(origin(1), Report::Hello), START);
     dispatcher.step(Input::Report(origin(1), Report::Announced), START);
     let again = ask(2, Vec::new());
-    assert!(granted(&mut dispatcher, 1, again, START).is_some());
-    // What the start before asked for is told late.
+    assert!(grant(&mut dispatcher, 1, again, START).is_some());
+    // A late report of a rest that the earlier start asked for.
     dispatcher.step(configuration(1, 2), START);
-    let late = ask(3, vec![told(0, REST)]);
-    assert!(granted(&mut dispatcher, 1, late, START).is_some());
+    let late = ask(3, vec![reported_rest(0, REST)]);
+    assert!(grant(&mut dispatcher, 1, late, START).is_some());
 }
 
 #[test]
 fn where_all_rest_who_leaves_before_is_refused_with_the_time_and_the_others_wait() {
     let mut dispatcher = dispatcher(2);
-    let rests = vec![told(0, REST), told(1, REST * 2)];
+    let rests = vec![reported_rest(0, REST), reported_rest(1, REST * 2)];
     let short = Ask {
         deadline: Duration::from_secs(2),
         ..ask(1, rests)
@@ -177,17 +176,17 @@
         matches!(orders.as_slice(), [Order::Shed(_, _, retry)] if *retry == REST),
         "{orders:?}"
     );
-    // A caller that leaves early without a first token is one of them, whatever its deadline.
+    // A request whose caller's patience ends before the rest is refused too, whatever its deadline.
     let impatient = Ask {
         patience: Some(Duration::from_secs(1)),
         ..ask(2, Vec::new())
     };
     let orders = step(&mut dispatcher, 1, impatient, START);
     assert!(matches!(orders.as_slice(), [Order::Shed(..)]), "{orders:?}");
-    assert_eq!(granted(&mut dispatcher, 1, ask(3, Vec::new()), START), None);
-    // They rest once more, for so long that it can't wait.
+    assert_eq!(grant(&mut dispatcher, 1, ask(3, Vec::new()), START), None);
+    // The endpoints rest again, for longer than the waiting request's deadline.
     let longer = START + Duration::from_secs(2);
-    let more = vec![told(0, REST * 5), told(1, REST * 5)];
+    let more = vec![reported_rest(0, REST * 5), reported_rest(1, REST * 5)];
     let orders = step(&mut dispatcher, 1, ask(4, more), longer);
     let refused = orders.iter().filter(|o| matches!(o, Order::Shed(..)));
     assert_eq!(refused.count(), 1, "{orders:?}");
@@ -203,15 +202,20 @@
 fn after_a_rest_an_endpoint_gets_a_few_first() {
     let mut dispatcher = dispatcher(1);
     assert_eq!(
-        granted(&mut dispatcher, 1, ask(1, vec![told(0, REST)]), START),
+        grant(
+            &mut dispatcher,
+            1,
+            ask(1, vec![reported_rest(0, REST)]),
+            START
+        ),
         None
     );
     let after = START + REST + Duration::from_millis(20);
     let orders = dispatcher.step(Input::Tick, after);
     assert_eq!(orders.len(), 1, "{orders:?}");
-    assert_eq!(granted(&mut dispatcher, 1, ask(2, Vec::new()), after), None);
-    // Once the first has been served, the next one has the slot, and there is room for more.
+    assert_eq!(grant(&mut dispatcher, 1, ask(2, Vec::new()), after), None);
+    // Once the first request has been served, the next one gets the slot, and more may follow.
     serve(&mut dispatcher, 1, 1, after);
-    assert!(granted(&mut dispatcher, 1, ask(3, Vec::new()), after).is_some());
-    assert!(granted(&mut dispatcher, 1, ask(4, Vec::new()), after).is_some());
+    assert!(grant(&mut dispatcher, 1, ask(3, Vec::new()), after).is_some());
+    assert!(grant(&mut dispatcher, 1, ask(4, Vec::new()), after).is_some());
 }
--- a/tests/testsuite/throttle.rs
+++ b/tests/testsuite/throttle.rs
@@ -1,4 +1,4 @@
-//! Endpoints that limit the requests a second from all boxes together, with real processes.
+//! Endpoints that limit their requests per second over all boxes, with real processes.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -15,29 +15,29 @@
     routed::{self, Endpoint, System, BOX, HOST, KEY},
 };
 
-/// Entry boxes.
+/// The number of boxes.
 const BOXES: usize = 6;
-/// How often endpoints announce themselves.
+/// The interval of the endpoints' heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(700);
-/// How long after it was first named a limit has to be kept by all boxes.
-const KNOWN: Duration = Duration::from_secs(3);
-/// How long an endpoint takes for a request, so that all endpoints are used.
-const WORK: Duration = Duration::from_millis(250);
-/// The window in which requests are counted.
+/// The maximum time from the first answer with a limit until all boxes must keep to it.
+const MAX_PROPAGATION: Duration = Duration::from_secs(3);
+/// How long a request takes; long enough that all endpoints are used.
+const REQUEST_TIME: Duration = Duration::from_millis(250);
+/// The sliding window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// The most requests that an endpoint may get in a window: one and a half times what its limit
-/// allows, and five.
-fn most(limit: f64) -> usize {
+/// Returns the maximum number of requests that an endpoint may receive in a window: one and a half
+/// times what its limit allows, plus five.
+fn max_in_window(limit: f64) -> usize {
     (limit * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
-/// A system with some boxes and endpoints.
+/// A running system with its boxes and endpoints.
 struct Site {
     system: System,
     boxes: Vec<Option<deploy::Process>>,
     endpoints: Vec<Endpoint>,
-    /// The number of the last heartbeats.
+    /// The sequence number of the last heartbeats.
     sequence: AtomicU64,
 }
 
@@ -64,7 +64,7 @@
         site
     }
 
-    /// Has all endpoints say that they are ready, for so long.
+    /// Sends heartbeats of all endpoints, as ready, for the time `length`.
     async fn beat(&self, length: Duration) {
         let until = Instant::now() + length;
         loop {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Sends requests to boxes at random, so many a second, for so long.
-    async fn send_all(&self, a_second: u32, length: Duration) -> Vec<Outcome> {
+    /// Sends `per_second` requests a second to random boxes for the time `length`.
+    async fn send_all(&self, per_second: u32, length: Duration) -> Vec<Outcome> {
         const PATHS: [&str; 4] = ["/safe/", "/unsafe/", "/stream/", "/sresume/"];
         let mut random = SmallRng::seed_from_u64(1);
         let until = Instant::now() + length;
@@ -91,7 +91,7 @@
             let callers = self.system.callers_at(i);
             let path = PATHS[random.random_range(0..PATHS.len())];
             sent.push(tokio::spawn(send(callers, i, path)));
-            tokio::time::sleep(Duration::from_secs(1) / a_second).await;
+            tokio::time::sleep(Duration::from_secs(1) / per_second).await;
         }
         let mut outcomes = Vec::new();
         for task in sent {
@@ -101,7 +101,7 @@
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, Default)]
 struct Outcome {
     status: u16,
@@ -114,14 +114,14 @@
         self.status == 200
     }
 
-    /// Whether it was refused by a word that it has not run, with the rest of its time left.
+    /// Returns whether it was refused as not run with more than half of its time left.
     fn is_refused_early(&self) -> bool {
         let not_run = self.verdict.as_deref() == Some("not-run");
         not_run && self.took < DEADLINE / 2
     }
 }
 
-/// How long callers wait.
+/// The deadline of the requests.
 const DEADLINE: Duration = Duration::from_secs(4);
 
 async fn send(callers: std::net::SocketAddr, i: usize, path: &str) -> Outcome {
@@ -154,8 +154,8 @@
     outcomes.iter().filter(|o| o.is_served()).count()
 }
 
-/// When an endpoint got requests that it answered with its limit, as far as the limit had to be
-/// known by then.
+/// Returns when an endpoint received requests that it answered with a limit, without those before
+/// all boxes had to know the limit.
 fn limited(endpoint: &Endpoint) -> Vec<Instant> {
     let seen = endpoint.seen();
     let named = seen.iter().filter(|seen| seen.limit.is_some());
@@ -165,40 +165,44 @@
     };
     times
         .into_iter()
-        .filter(|at| *at >= first + KNOWN)
+        .filter(|at| *at >= first + MAX_PROPAGATION)
         .collect()
 }
 
-/// Endpoints named a limit of 2.5 requests a second in their answers, and got 39 and 43 requests
-/// in four seconds from boxes that had passed these answers on, where 20 were allowed.
+/// Guards against boxes that don't keep to limits. Endpoints that name a limit of 2.5 requests a
+/// second in their answers then receive 39 and 43 requests in four seconds, where 20 are allowed,
+/// from boxes that have received these answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_that_endpoints_name_are_kept_by_all_boxes_together() {
     const LIMIT: f64 = 2.5;
     const LENGTH: Duration = Duration::from_secs(14);
     let dir = tempfile::tempdir().unwrap();
     let site = Site::start(12, dir.path()).await;
-    let in_need = &site.endpoints[..4];
-    for endpoint in in_need {
+    let limited_endpoints = &site.endpoints[..4];
+    for endpoint in limited_endpoints {
         endpoint.limits(Some("2.5"));
     }
     for endpoint in &site.endpoints {
-        endpoint.takes(WORK);
+        endpoint.takes(REQUEST_TIME);
     }
     let (outcomes, ()) = tokio::join!(site.send_all(100, LENGTH), site.beat(LENGTH));
-    let most_seen: Vec<_> = in_need
+    let counts: Vec<_> = limited_endpoints
         .iter()
         .map(|e| routed::densest(&limited(e), WINDOW))
         .collect();
     let (served, sent) = (served(&outcomes), outcomes.len());
-    let told = format!("{most_seen:?} in a window, {served} of {sent} served");
-    println!("{told}");
-    assert!(most_seen.iter().all(|seen| *seen > 0), "{told}");
-    assert!(most_seen.iter().all(|seen| *seen <= most(LIMIT)), "{told}");
-    assert!(served * 100 >= sent * 99, "{told}");
+    let summary = format!("{counts:?} in a window, {served} of {sent} served");
+    println!("{summary}");
+    assert!(counts.iter().all(|seen| *seen > 0), "{summary}");
+    assert!(
+        counts.iter().all(|seen| *seen <= max_in_window(LIMIT)),
+        "{summary}"
+    );
+    assert!(served * 100 >= sent * 99, "{summary}");
 }
 
-/// Where all endpoints limit their requests, nearly all that they take is used; who finds no room is
-/// told so at once rather than held, and each refusal is true.
+/// If all endpoints have limits, nearly all of the allowed requests are used. A request that
+/// exceeds them is refused early instead of queued, and was indeed not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_endpoints_have_limits_these_are_used_and_others_are_refused_early() {
     const LIMIT: f64 = 5.0;
@@ -208,50 +212,53 @@
     let site = Site::start(ENDPOINTS, dir.path()).await;
     for endpoint in &site.endpoints {
         endpoint.limits(Some("5"));
-        endpoint.takes(WORK);
+        endpoint.takes(REQUEST_TIME);
     }
     let (outcomes, ()) = tokio::join!(site.send_all(60, LENGTH), site.beat(LENGTH));
-    let most_seen: Vec<_> = site
+    let counts: Vec<_> = site
         .endpoints
         .iter()
         .map(|e| routed::densest(&limited(e), WINDOW))
         .collect();
     let got: usize = site.endpoints.iter().map(|e| limited(e).len()).sum();
-    let taken = LIMIT * ENDPOINTS as f64 * (LENGTH - KNOWN).as_secs_f64();
+    let taken = LIMIT * ENDPOINTS as f64 * (LENGTH - MAX_PROPAGATION).as_secs_f64();
     let used = got as f64 / taken;
     let refused: Vec<_> = outcomes.iter().filter(|o| !o.is_served()).collect();
     let early = refused.iter().filter(|o| o.is_refused_early()).count();
-    let told = format!(
-        "{most_seen:?} in a window, {used:.2} used, {} of {} served, {early} of {} refused early",
+    let summary = format!(
+        "{counts:?} in a window, {used:.2} used, {} of {} served, {early} of {} refused early",
         served(&outcomes),
         outcomes.len(),
         refused.len()
     );
-    println!("{told}");
-    assert!(most_seen.iter().all(|seen| *seen <= most(LIMIT)), "{told}");
-    assert!(used >= 0.9, "{told}");
-    assert!(!refused.is_empty(), "{told}");
-    assert!(early * 100 >= refused.len() * 90, "{told}");
+    println!("{summary}");
+    assert!(
+        counts.iter().all(|seen| *seen <= max_in_window(LIMIT)),
+        "{summary}"
+    );
+    assert!(used >= 0.9, "{summary}");
+    assert!(!refused.is_empty(), "{summary}");
+    assert!(early * 100 >= refused.len() * 90, "{summary}");
 }
 
-/// A limit ends with the first answer to a later request that does not name it, and all boxes hear
-/// of that; named again, or lowered, it is kept again.
+/// A limit ends with the first answer to a later request that does not name one, and all boxes are
+/// informed. A limit that is named again, or a lower one, applies again.
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_end_and_begin_again() {
     const SPAN: Duration = Duration::from_secs(9);
     let dir = tempfile::tempdir().unwrap();
     let site = Site::start(3, dir.path()).await;
-    let in_need = &site.endpoints[0];
+    let limited_endpoint = &site.endpoints[0];
     for endpoint in &site.endpoints {
-        endpoint.takes(WORK);
+        endpoint.takes(REQUEST_TIME);
     }
     let mut spans = Vec::new();
     for limit in [Some("4"), None, Some("1.5"), None] {
-        in_need.limits(limit);
-        let before = in_need.seen().len();
+        limited_endpoint.limits(limit);
+        let before = limited_endpoint.seen().len();
         let (outcomes, ()) = tokio::join!(site.send_all(60, SPAN), site.beat(SPAN));
-        // The last four seconds, by when all boxes have heard.
-        let seen = in_need.seen().split_off(before);
+        // Counts the last four seconds, by when all boxes know of the change.
+        let seen = limited_endpoint.seen().split_off(before);
         let since = Instant::now() - WINDOW;
         let count = seen.iter().filter(|seen| seen.at > since).count();
         spans.push((limit, count, served(&outcomes), outcomes.len()));
@@ -259,16 +266,19 @@
     println!("{spans:?}");
     for (limit, count, served, sent) in spans {
         match limit {
-            Some(limit) => assert!(count <= most(limit.parse().unwrap()), "{limit}: {count}"),
-            // A third of 240 without a limit; 29 are the most with the higher one.
+            Some(limit) => assert!(
+                count <= max_in_window(limit.parse().unwrap()),
+                "{limit}: {count}"
+            ),
+            // Without a limit about a third of 240; with the higher limit at most 29.
             None => assert!(count > 40, "{count} without a limit"),
         }
         assert!(served * 100 >= sent * 99, "{served} of {sent} served");
     }
 }
 
-/// Boxes stop and start, and the only voter starts anew: the limit is kept meanwhile, but for what
-/// boxes send that have just started and have not heard of it.
+/// The limit holds while boxes and the only voter restart, except for requests from boxes that have
+/// just started and don't know the limit yet.
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_are_kept_while_boxes_and_the_voter_start_anew() {
     const LIMIT: f64 = 2.5;
@@ -276,7 +286,7 @@
     let dir = tempfile::tempdir().unwrap();
     let mut site = Site::start(6, dir.path()).await;
     for endpoint in &site.endpoints {
-        endpoint.takes(WORK);
+        endpoint.takes(REQUEST_TIME);
     }
     for endpoint in &site.endpoints[..2] {
         endpoint.limits(Some("2.5"));
@@ -292,20 +302,20 @@
     };
     let sending = site.send_all(60, LENGTH);
     let (outcomes, (), ()) = tokio::join!(sending, site.beat(LENGTH), restarts);
-    let most_seen: Vec<_> = site.endpoints[..2]
+    let counts: Vec<_> = site.endpoints[..2]
         .iter()
         .map(|e| routed::densest(&limited(e), WINDOW))
         .collect();
     println!(
-        "{most_seen:?} in a window, {} of {} served",
+        "{counts:?} in a window, {} of {} served",
         served(&outcomes),
         outcomes.len()
     );
     assert!(
-        most_seen.iter().all(|seen| *seen <= most(LIMIT)),
-        "{most_seen:?}"
+        counts.iter().all(|seen| *seen <= max_in_window(LIMIT)),
+        "{counts:?}"
     );
-    // The voter forgets all, and hears it from the boxes.
+    // The voter loses its state, and learns the limit from the boxes again.
     site.system.voters[0] = None;
     site.system.start_voter(0, false);
     let since = Instant::now();
@@ -318,32 +328,32 @@
         let times = limited(endpoint).into_iter();
         times.filter(|at| *at > since).collect()
     };
-    let most_seen: Vec<_> = site.endpoints[..2]
+    let counts: Vec<_> = site.endpoints[..2]
         .iter()
         .map(|e| routed::densest(&after(e), WINDOW))
         .collect();
     println!(
-        "{most_seen:?} in a window, {} of {} served",
+        "{counts:?} in a window, {} of {} served",
         served(&outcomes),
         outcomes.len()
     );
     assert!(
-        most_seen.iter().all(|seen| *seen <= most(LIMIT)),
-        "{most_seen:?}"
+        counts.iter().all(|seen| *seen <= max_in_window(LIMIT)),
+        "{counts:?}"
     );
 }
 
-/// What is named as a limit in ways that nobody can follow bars no endpoint and stops no box, and the
-/// highest limits bind nothing.
+/// A limit that can't be parsed excludes no endpoint and stops no box, and very high limits have no
+/// effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_that_cannot_be_read_bar_nobody() {
     let dir = tempfile::tempdir().unwrap();
     let site = Site::start(1, dir.path()).await;
-    for said in ["", "nan", "-1", "soon", "1e9", "99999999999999999999"] {
-        site.endpoints[0].limits(Some(said));
+    for value in ["", "nan", "-1", "soon", "1e9", "99999999999999999999"] {
+        site.endpoints[0].limits(Some(value));
         let length = Duration::from_secs(2);
         let (outcomes, ()) = tokio::join!(site.send_all(40, length), site.beat(length));
         let unserved: Vec<_> = outcomes.iter().filter(|o| !o.is_served()).collect();
-        assert!(unserved.is_empty(), "{said:?}: {unserved:?}");
+        assert!(unserved.is_empty(), "{value:?}: {unserved:?}");
     }
 }
--- a/tests/testsuite/throttle_dispatch.rs
+++ b/tests/testsuite/throttle_dispatch.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher makes of endpoints that limit their requests.
+//! How a dispatcher handles endpoints that limit their request rate.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +17,7 @@
 
 const START: Duration = Duration::from_secs(1000);
 const SLOTS: u32 = 4;
-/// How long callers wait.
+/// The deadline of the requests.
 const DEADLINE: Duration = Duration::from_secs(4);
 
 fn own() -> name::Box {
@@ -28,7 +28,7 @@
     format!("i-{number}").parse().unwrap()
 }
 
-/// A dispatcher of so many endpoints; it is the only box.
+/// Returns a dispatcher for so many endpoints; its box is the only one.
 fn dispatcher(endpoints: u32) -> Dispatcher {
     let spec = |number| Spec {
         name: endpoint(number),
@@ -55,7 +55,7 @@
     dispatcher
 }
 
-fn limit(dispatcher: &mut Dispatcher, number: u32, limit: Option<&str>) {
+fn set_limit(dispatcher: &mut Dispatcher, number: u32, limit: Option<&str>) {
     let change = LimitChange {
         endpoint: endpoint(number),
         start: Some(unit::Incarnation(1)),
@@ -64,8 +64,9 @@
     dispatcher.step(Input::Limits(vec![change]), START);
 }
 
-/// Permits for an endpoint, for a second and a half from the start.
-fn permit(dispatcher: &mut Dispatcher, number: u32, count: u32) -> Vec<Order> {
+/// Adds permits for an endpoint that are valid for 1.5 seconds from `START`, and returns the
+/// orders.
+fn add_permits(dispatcher: &mut Dispatcher, number: u32, count: u32) -> Vec<Order> {
     let pass = Pass {
         endpoint: endpoint(number),
         count,
@@ -103,8 +104,8 @@
     orders.into_iter().map(|(_, order)| order).collect()
 }
 
-/// Has so many requests served, one after the other; at which endpoints.
-fn served(dispatcher: &mut Dispatcher, from: u64, count: u64) -> Vec<String> {
+/// Serves so many requests in turn and returns the endpoints that served them.
+fn serve(dispatcher: &mut Dispatcher, from: u64, count: u64) -> Vec<String> {
     let mut places = Vec::new();
     for request in from..from + count {
         let orders = step(dispatcher, Report::Ask(ask(request, 0)), START);
@@ -128,35 +129,35 @@
 #[test]
 fn an_endpoint_with_a_limit_gets_a_request_for_each_permit_and_others_serve_the_rest() {
     let mut dispatcher = dispatcher(2);
-    limit(&mut dispatcher, 0, Some("2.5"));
-    assert_eq!(served(&mut dispatcher, 1, 8), ["i-1"; 8]);
-    permit(&mut dispatcher, 0, 3);
-    let places = served(&mut dispatcher, 11, 40);
+    set_limit(&mut dispatcher, 0, Some("2.5"));
+    assert_eq!(serve(&mut dispatcher, 1, 8), ["i-1"; 8]);
+    add_permits(&mut dispatcher, 0, 3);
+    let places = serve(&mut dispatcher, 11, 40);
     let limited = places.iter().filter(|place| *place == "i-0").count();
     assert!(limited <= 3, "{places:?}");
-    limit(&mut dispatcher, 0, None);
-    let places = served(&mut dispatcher, 61, 40);
+    set_limit(&mut dispatcher, 0, None);
+    let places = serve(&mut dispatcher, 61, 40);
     assert_eq!(places.len(), 40, "{places:?}");
 }
 
 #[test]
 fn a_request_that_waits_goes_as_soon_as_a_permit_comes() {
     let mut dispatcher = dispatcher(1);
-    limit(&mut dispatcher, 0, Some("10"));
+    set_limit(&mut dispatcher, 0, Some("10"));
     assert!(step(&mut dispatcher, Report::Ask(ask(1, 0)), START).is_empty());
     let wanted = dispatcher.wanted_permits(START);
     assert!(wanted[0].count >= 1, "{wanted:?}");
-    let orders = permit(&mut dispatcher, 0, 1);
+    let orders = add_permits(&mut dispatcher, 0, 1);
     assert!(matches!(orders[..], [Order::Grant(..)]), "{orders:?}");
 }
 
-/// Where all endpoints have limits, what waits is bounded by them: the least urgent are refused at
-/// once, and more urgent ones of which there are few wait.
+/// If all endpoints have limits, these bound the queue: the least urgent requests are refused at
+/// once, and the more urgent ones, which are few, wait.
 #[test]
 fn where_all_have_limits_the_least_urgent_are_refused_first_with_a_true_time() {
     let mut dispatcher = dispatcher(2);
     for number in 0..2 {
-        limit(&mut dispatcher, number, Some("2"));
+        set_limit(&mut dispatcher, number, Some("2"));
     }
     let mut refused = Vec::new();
     for request in 0..60 {
@@ -174,7 +175,7 @@
             refused.push(attempt.request.0);
         }
     }
-    // Four a second may begin, so some sixteen wait within the time that callers have.
+    // Four requests a second may start, so about sixteen can wait within the deadline.
     let urgent = refused.iter().filter(|request| *request % 3 == 0).count();
     let waiting = 60 - refused.len();
     println!("{waiting} wait, {urgent} urgent ones refused: {refused:?}");
@@ -183,7 +184,8 @@
     assert!(refused[0] % 3 != 0, "{refused:?}");
 }
 
-/// A slot at an endpoint that bears no more requests is of no use, so nothing gives way for one.
+/// A slot at an endpoint that has reached its rate limit is of no use, so nothing is preempted for
+/// it.
 #[test]
 fn nothing_is_preempted_where_a_slot_alone_is_of_no_use() {
     let mut dispatcher = dispatcher(1);
@@ -194,7 +196,7 @@
         };
         step(&mut dispatcher, Report::Started(attempt), START);
     }
-    limit(&mut dispatcher, 0, Some("2"));
+    set_limit(&mut dispatcher, 0, Some("2"));
     let later = START + Duration::from_millis(200);
     let orders = step(&mut dispatcher, Report::Ask(ask(100, 0)), later);
     assert!(orders.is_empty(), "{orders:?}");
--- a/tests/testsuite/throttle_issuer.rs
+++ b/tests/testsuite/throttle_issuer.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints set, and the permits that voters issue: the pure parts.
+//! Rate limits that endpoints set, and the permits that voters issue for them: the parts without
+//! I/O.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -40,18 +41,18 @@
     for unreadable in ["", "nan", "inf", "-1", "soon", "2.5/s", "-0"] {
         assert_eq!(read(&[unreadable]), Said::Unreadable, "{unreadable}");
     }
-    // Twice, or joined on the way: the lower one.
+    // If the header is repeated, or its values are joined by a proxy, the lowest limit counts.
     assert_eq!(read(&["4", "2.5"]), Said::Limit(limit("2.5")));
     assert_eq!(read(&["2.5, 4"]), Said::Limit(limit("2.5")));
     assert_eq!(read(&["soon", "4"]), Said::Limit(limit("4")));
     assert_eq!(read(&["4", "soon"]), Said::Limit(limit("4")));
     assert_eq!(limit("2.5").to_string(), "2.5");
-    // One request now and then finds out whether it still holds.
+    // A limit of zero still lets an occasional request through, to find out whether it still holds.
     assert!(limit("0").per_second() > 0.0);
 }
 
-/// Answers overtake each other. One to a request that was sent before a limit was named may be from
-/// before it, and ends nothing.
+/// Answers may be reordered. An answer to a request that was sent before a limit was named may be
+/// older than the limit, so it does not end it.
 #[test]
 fn an_older_answer_takes_no_limit_back() {
     let endpoint: name::Endpoint = name("i-1");
@@ -63,7 +64,7 @@
     assert_eq!(hear(None, 0, 50), Heard::Nothing);
     assert_eq!(hear(Some("2.5"), 50, 100), Heard::Named(limit("2.5")));
     assert_eq!(hear(None, 60, 110), Heard::Nothing);
-    // A higher one may be older, and a lower one binds at once.
+    // A higher limit may be from an older answer; a lower one applies at once.
     assert_eq!(hear(Some("9"), 60, 120), Heard::Nothing);
     assert_eq!(hear(Some("2"), 60, 130), Heard::Named(limit("2")));
     assert_eq!(hear(Some("9"), 140, 150), Heard::Named(limit("9")));
@@ -79,7 +80,7 @@
     book.hear(&endpoint, start(2), said, second(1), second(2));
     assert_eq!(book.limit(&endpoint, start(2)), said);
     assert_eq!(book.limit(&endpoint, start(3)), None);
-    // An answer of the start before comes late.
+    // A late answer of the earlier start.
     let late = book.hear(&endpoint, start(1), Some(limit("1")), second(1), second(3));
     assert_eq!(
         (late, book.limit(&endpoint, start(1))),
@@ -90,13 +91,13 @@
     assert_eq!(book.limit(&endpoint, start(2)), None);
 }
 
-/// What is told goes round between boxes and voters. It ends there, and the later word holds
-/// whichever way it came.
+/// Limits are exchanged between boxes and voters in both directions. A limit is not sent back and
+/// forth for ever, and the most recent information wins, by whichever path it arrives.
 #[test]
 fn the_later_word_holds_and_nothing_goes_round_for_ever() {
     let endpoint: name::Endpoint = name("i-1");
     let (mut here, mut there) = (throttle::Book::default(), throttle::Book::default());
-    let (mut told, mut told_back) = (0, 0);
+    let (mut stamp, mut stamp_back) = (0, 0);
     here.hear(
         &endpoint,
         start(1),
@@ -104,18 +105,18 @@
         second(1),
         second(1),
     );
-    let tell = |from: &throttle::Book, to: &mut throttle::Book, told: &mut u64, now| {
-        let rows = from.news(told, now);
-        // On its way.
+    let tell = |from: &throttle::Book, to: &mut throttle::Book, stamp: &mut u64, now| {
+        let rows = from.news(stamp, now);
+        // The time in transit.
         let now = now + millis(30);
         rows.iter().filter(|row| to.merge(row, now)).count()
     };
-    assert_eq!(tell(&here, &mut there, &mut told, second(2)), 1);
+    assert_eq!(tell(&here, &mut there, &mut stamp, second(2)), 1);
     for round in 3..10 {
-        assert_eq!(tell(&there, &mut here, &mut told_back, second(round)), 0);
-        assert_eq!(tell(&here, &mut there, &mut told, second(round)), 0);
+        assert_eq!(tell(&there, &mut here, &mut stamp_back, second(round)), 0);
+        assert_eq!(tell(&here, &mut there, &mut stamp, second(round)), 0);
     }
-    // There it ends, and here it is named again later.
+    // The limit ends at one book, and is named again later at the other.
     assert_eq!(
         there.hear(&endpoint, start(1), None, second(11), second(12)),
         Heard::Ended
@@ -127,8 +128,8 @@
         second(12),
         second(13),
     );
-    assert_eq!(tell(&there, &mut here, &mut told_back, second(14)), 0);
-    assert_eq!(tell(&here, &mut there, &mut told, second(14)), 1);
+    assert_eq!(tell(&there, &mut here, &mut stamp_back, second(14)), 0);
+    assert_eq!(tell(&here, &mut there, &mut stamp, second(14)), 1);
     assert_eq!(there.limit(&endpoint, start(1)), Some(limit("4")));
 }
 
@@ -143,7 +144,7 @@
     assert!(!permits.permits(two, second(2)));
 }
 
-/// Where no voter issues permits, this box has one of its own for each of its parts of the limit.
+/// If no voter issues permits, a box issues its own at its share of the limit.
 #[test]
 fn own_permits_come_one_by_one_and_run_out() {
     let two = limit("2");
@@ -157,7 +158,7 @@
     assert!(permits.permits(two, second(12)));
     permits.take(two, second(12));
     assert!(!permits.permits(two, second(13)));
-    // What was not used for long does not come together.
+    // Permits that were not used for a long time don't accumulate.
     assert!(!permits.permits(two, millis(31_800)));
     assert!(permits.permits(two, second(32)));
     permits.take(two, second(32));
@@ -166,44 +167,44 @@
     assert!(!permits.permits(two, second(60)));
 }
 
-/// The window of the bound.
+/// The sliding window for which the number of requests is bounded.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How often a box or a voter tells another one.
-const PERIOD: u64 = 100;
+/// The interval of the exchanges of a box or a voter with another one, in milliseconds.
+const PERIOD_MS: u64 = 100;
 
-/// A box of the world.
+/// A simulated box.
 struct Box {
     name: name::Box,
     permits: Permits,
     voter: usize,
-    /// Until when it is not there.
-    gone: u64,
+    /// The time until which it is down, in milliseconds.
+    down_until: u64,
     issued: u64,
-    told: bool,
+    synced: bool,
     phase: f64,
 }
 
-/// A voter of the world.
+/// A simulated voter.
 struct Voter {
     name: name::Box,
     issuer: Issuer,
-    gone: u64,
-    /// The voters that it tells all, since they know nothing of it.
+    down_until: u64,
+    /// The voters that it sends its whole state to, because they have none of it.
     anew: BTreeSet<usize>,
 }
 
-/// Boxes and voters around one endpoint that names a limit.
+/// A simulation of boxes and voters with one endpoint that names a limit.
 struct World {
     random: SmallRng,
     boxes: Vec<Box>,
     voters: Vec<Voter>,
     endpoint: name::Endpoint,
     limit: Limit,
-    /// Which side of a cut each voter is on, and its boxes.
+    /// Which side of a network partition each voter is on, together with its boxes.
     cut: Vec<bool>,
-    /// Voters that don't reach each other, whoever else they reach.
-    severed: BTreeSet<(usize, usize)>,
-    /// When requests were sent.
+    /// Pairs of voters that can't reach each other, although they may reach others.
+    unreachable: BTreeSet<(usize, usize)>,
+    /// The times at which requests were sent, in milliseconds.
     sent: Vec<u64>,
     now: u64,
 }
@@ -218,19 +219,19 @@
         let voter = |i: usize| Voter {
             name: name(&format!("c{i}")),
             issuer: Issuer::new(name(&format!("c{i}"))),
-            gone: 0,
+            down_until: 0,
             anew: BTreeSet::new(),
         };
-        let a_box = |i: usize| Box {
+        let make_box = |i: usize| Box {
             name: name(&format!("e{i}")),
             permits: Permits::default(),
             voter: i % voters,
-            gone: 0,
+            down_until: 0,
             issued: 0,
-            told: false,
+            synced: false,
             phase: random.random(),
         };
-        let boxes = (0..boxes).map(a_box).collect();
+        let boxes = (0..boxes).map(make_box).collect();
         Self {
             random,
             boxes,
@@ -238,7 +239,7 @@
             endpoint: name("i-1"),
             limit,
             cut: vec![false; voters],
-            severed: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             sent: Vec::new(),
             now: 0,
         }
@@ -249,17 +250,18 @@
     }
 
     fn is_up(&self, voter: usize) -> bool {
-        self.voters[voter].gone <= self.now
+        self.voters[voter].down_until <= self.now
     }
 
-    /// Something is lost on the way now and then.
+    /// Returns whether a message is lost, which happens at random.
     fn is_lost(&mut self) -> bool {
         self.random.random_bool(0.02)
     }
 
-    /// A box asks its voter, or the next one that it reaches.
+    /// Lets a box ask its voter for permits. If the voter is down, the box switches to the next one
+    /// that it reaches.
     fn ask(&mut self, i: usize) {
-        if self.boxes[i].gone > self.now || self.is_lost() {
+        if self.boxes[i].down_until > self.now || self.is_lost() {
             return;
         }
         let voter = self.boxes[i].voter;
@@ -272,7 +274,7 @@
                 .find(|v| self.is_up(*v) && self.cut[*v] == side);
             if let Some(next) = next {
                 self.boxes[i].voter = next;
-                self.boxes[i].told = false;
+                self.boxes[i].synced = false;
             }
             return;
         }
@@ -286,16 +288,16 @@
             age: Duration::ZERO,
         };
         let news = throttle::News {
-            limits: if asking.told { Vec::new() } else { vec![row] },
+            limits: if asking.synced { Vec::new() } else { vec![row] },
             wanted: vec![Wanted { endpoint, count: 6 }],
         };
         let issuer = &mut self.voters[voter].issuer;
-        let answer = issuer.ask(&asking.name, !asking.told, news, now);
+        let answer = issuer.ask(&asking.name, !asking.synced, news, now);
         if lost {
-            asking.told = false;
+            asking.synced = false;
             return;
         }
-        asking.told = true;
+        asking.synced = true;
         asking.issued = self.now;
         asking.permits.set_alone(None);
         for issued in answer.issued {
@@ -303,33 +305,33 @@
         }
     }
 
-    /// A voter tells another one.
+    /// Sends a voter's news to another voter.
     fn share(&mut self, from: usize, to: usize) {
         let reached = self.is_up(from) && self.is_up(to) && self.cut[from] == self.cut[to];
-        let severed = self.severed.contains(&(from.min(to), from.max(to)));
-        if !reached || severed || self.is_lost() {
+        let unreachable = self.unreachable.contains(&(from.min(to), from.max(to)));
+        if !reached || unreachable || self.is_lost() {
             return;
         }
         let (now, lost) = (self.now(), self.is_lost());
         let names = (self.voters[from].name.clone(), self.voters[to].name.clone());
-        let teller = &mut self.voters[from];
-        let anew = teller.anew.remove(&to);
-        let news = teller.issuer.news_for(&names.1, anew, now);
+        let sender = &mut self.voters[from];
+        let anew = sender.anew.remove(&to);
+        let news = sender.issuer.news_for(&names.1, anew, now);
         let answer = self.voters[to].issuer.ask_for(&names.0, news, now);
-        let teller = &mut self.voters[from];
+        let sender = &mut self.voters[from];
         if lost {
-            teller.anew.insert(to);
+            sender.anew.insert(to);
         } else {
-            teller.issuer.take(&names.1, Some(answer), now, now);
+            sender.issuer.take(&names.1, Some(answer), now, now);
         }
     }
 
-    /// Each box sends what it may: requests wait everywhere.
+    /// Lets each box send as much as it may: requests wait at all boxes.
     fn send(&mut self) {
         let now = self.now();
         let boxes = u32::try_from(self.boxes.len()).unwrap();
         for asking in &mut self.boxes {
-            if asking.gone > self.now {
+            if asking.down_until > self.now {
                 continue;
             }
             if self.now >= asking.issued + 1000 {
@@ -341,42 +343,43 @@
             }
             while asking.permits.permits(self.limit, now) {
                 asking.permits.take(self.limit, now);
-                // A connection takes its time.
+                // The request is sent late by the time that a connection takes.
                 let late = self.random.random_range(0..250);
                 self.sent.push(self.now + late);
             }
         }
     }
 
-    /// A voter ends, and starts after a while knowing nothing.
+    /// Stops a voter; it restarts without state after `after` milliseconds.
     fn restart_voter(&mut self, i: usize, after: u64) {
         let count = self.voters.len();
         let voter = &mut self.voters[i];
-        voter.gone = self.now + after;
+        voter.down_until = self.now + after;
         voter.issuer = Issuer::new(voter.name.clone());
         voter.issuer.set_voters(count);
         for voter in &mut self.voters {
             voter.anew.insert(i);
         }
         let of_voter = self.boxes.iter_mut().filter(|asking| asking.voter == i);
-        of_voter.for_each(|asking| asking.told = false);
+        of_voter.for_each(|asking| asking.synced = false);
     }
 
-    /// Something goes wrong: a box or a voter starts anew, or voters are cut off.
-    fn disturb(&mut self) {
-        let gone = self.now + self.random.random_range(200..4000);
+    /// Injects a fault: a box or a voter restarts, the network is partitioned, or the partition
+    /// ends.
+    fn inject_fault(&mut self) {
+        let down_until = self.now + self.random.random_range(200..4000);
         match self.random.random_range(0..4) {
             0 => {
                 let i = self.random.random_range(0..self.boxes.len());
-                let boxed = &mut self.boxes[i];
-                boxed.gone = gone;
-                boxed.issued = gone;
-                boxed.told = false;
-                boxed.permits = Permits::default();
+                let restarted = &mut self.boxes[i];
+                restarted.down_until = down_until;
+                restarted.issued = down_until;
+                restarted.synced = false;
+                restarted.permits = Permits::default();
             }
             1 => {
                 let i = self.random.random_range(0..self.voters.len());
-                self.restart_voter(i, gone - self.now);
+                self.restart_voter(i, down_until - self.now);
             }
             2 => {
                 let random = &mut self.random;
@@ -386,8 +389,8 @@
         }
     }
 
-    /// Plays so many seconds; what was sent.
-    fn play(&mut self, length: Duration, disturbed: bool) -> Vec<u64> {
+    /// Runs the simulation until the time `length` and returns when requests were sent.
+    fn run(&mut self, length: Duration, faulty: bool) -> Vec<u64> {
         let count = self.voters.len();
         for voter in &mut self.voters {
             voter.issuer.set_voters(count);
@@ -396,19 +399,19 @@
         while self.now < end {
             self.now += 20;
             for i in 0..self.boxes.len() {
-                if self.now % PERIOD == (i as u64 * 20) % PERIOD {
+                if self.now % PERIOD_MS == (i as u64 * 20) % PERIOD_MS {
                     self.ask(i);
                 }
             }
             for from in 0..count {
                 for to in (0..count).filter(|to| *to != from) {
-                    if self.now % PERIOD == ((from * 3 + to) as u64 * 20) % PERIOD {
+                    if self.now % PERIOD_MS == ((from * 3 + to) as u64 * 20) % PERIOD_MS {
                         self.share(from, to);
                     }
                 }
             }
-            if disturbed && self.random.random_bool(0.02) {
-                self.disturb();
+            if faulty && self.random.random_bool(0.02) {
+                self.inject_fault();
             }
             self.send();
         }
@@ -422,7 +425,7 @@
     }
 }
 
-/// The most requests in any window.
+/// Returns the maximum number of requests in any window.
 fn densest(sent: &[u64]) -> usize {
     let window = u64::try_from(WINDOW.as_millis()).unwrap();
     let ends = sent.iter().enumerate();
@@ -430,95 +433,95 @@
     counts.max().unwrap_or_default()
 }
 
-/// Where nothing goes wrong but that messages are lost, an endpoint gets nearly all that it takes,
-/// and never more than one and a half times that, and five.
+/// With message loss as the only fault, an endpoint receives nearly as many requests as its limit
+/// allows, and never more than one and a half times as many plus five in a window.
 #[test]
 fn permits_keep_to_a_limit_and_use_it() {
     for seed in 0..40 {
         let mut world = World::new(seed);
-        let sent = world.play(second(30), false);
-        let a_second = world.limit.per_second();
-        let most = a_second * WINDOW.as_secs_f64() * 1.5 + 5.0;
+        let sent = world.run(second(30), false);
+        let per_second = world.limit.per_second();
+        let bound = per_second * WINDOW.as_secs_f64() * 1.5 + 5.0;
         let densest = densest(&sent);
-        let used = sent.len() as f64 / (a_second * 30.0);
-        let told = format!(
+        let used = sent.len() as f64 / (per_second * 30.0);
+        let summary = format!(
             "seed {seed}: limit {}, {} boxes, {} voters: {densest} in a window, {used:.2} used",
             world.limit,
             world.boxes.len(),
             world.voters.len()
         );
-        println!("{told}");
-        assert!(densest as f64 <= most, "{told}");
-        assert!(used >= 0.9 || a_second < 1.0, "{told}");
+        println!("{summary}");
+        assert!(densest as f64 <= bound, "{summary}");
+        assert!(used >= 0.9 || per_second < 1.0, "{summary}");
     }
 }
 
-/// The longest time without a request.
+/// Returns the longest time without a request, in milliseconds.
 fn longest_gap(sent: &[u64]) -> u64 {
     let gaps = sent.windows(2).map(|pair| pair[1] - pair[0]);
     gaps.max().unwrap_or_default()
 }
 
-/// Boxes and voters start anew, messages are lost, voters are cut off from each other with their
-/// boxes: an endpoint that all of them reach gets no more than that either.
+/// Boxes and voters restart, messages are lost, and partitions separate voters together with their
+/// boxes. An endpoint that all boxes reach still receives no more than the same bound.
 #[test]
 fn permits_keep_to_a_limit_while_everything_is_disturbed() {
     let mut worst = 0.0_f64;
     for seed in 100..300 {
         let mut world = World::new(seed);
-        let sent = world.play(second(40), true);
-        let a_second = world.limit.per_second();
-        let most = a_second * WINDOW.as_secs_f64() * 1.5 + 5.0;
+        let sent = world.run(second(40), true);
+        let per_second = world.limit.per_second();
+        let bound = per_second * WINDOW.as_secs_f64() * 1.5 + 5.0;
         let densest = densest(&sent);
-        let told = format!(
-            "seed {seed}: limit {}, {} boxes, {} voters: {densest} in a window of {most:.1}, \
+        let summary = format!(
+            "seed {seed}: limit {}, {} boxes, {} voters: {densest} in a window of {bound:.1}, \
              {} ms without any",
             world.limit,
             world.boxes.len(),
             world.voters.len(),
             longest_gap(&sent)
         );
-        println!("{told}");
-        assert!(densest as f64 <= most, "{told}");
-        worst = worst.max(densest as f64 / most);
+        println!("{summary}");
+        assert!(densest as f64 <= bound, "{summary}");
+        worst = worst.max(densest as f64 / bound);
     }
-    println!("at worst {worst:.2} of what may arrive");
+    println!("at worst {worst:.2} of the bound");
 }
 
-/// Links between two voters are lost and come back, one or a few at a time, beside all else: voters
-/// that don't reach each other may each reach a majority.
+/// In addition to the other faults, the connections between pairs of voters fail and recover, one
+/// or a few at a time. Voters that don't reach each other may then each reach a majority.
 #[test]
 fn permits_keep_to_a_limit_while_links_between_voters_are_lost() {
     for seed in 300..500 {
         let mut world = World::new(seed);
         let count = world.voters.len();
         for end in (5..=40).step_by(5) {
-            let disturbed = world.random.random_bool(0.5);
-            world.play(second(end), disturbed);
+            let faulty = world.random.random_bool(0.5);
+            world.run(second(end), faulty);
             let lost = world.random.random_range(0..4);
-            world.severed.clear();
+            world.unreachable.clear();
             for _ in 0..lost {
                 let (a, b) = (
                     world.random.random_range(0..count),
                     world.random.random_range(0..count),
                 );
-                world.severed.insert((a.min(b), a.max(b)));
+                world.unreachable.insert((a.min(b), a.max(b)));
             }
         }
         let sent = world.sent_in_order();
-        let most = world.limit.per_second() * WINDOW.as_secs_f64() * 1.5 + 5.0;
+        let bound = world.limit.per_second() * WINDOW.as_secs_f64() * 1.5 + 5.0;
         let densest = densest(&sent);
         assert!(
-            densest as f64 <= most,
-            "seed {seed}: limit {}, {} boxes, {count} voters: {densest} in a window of {most:.1}",
+            densest as f64 <= bound,
+            "seed {seed}: limit {}, {} boxes, {count} voters: {densest} in a window of {bound:.1}",
             world.limit,
             world.boxes.len(),
         );
     }
 }
 
-/// The voter that issues the permits is lost again and again: others issue them before the endpoint
-/// has had nothing for seconds.
+/// Voters crash repeatedly, among them the one that issues the permits. Another one takes over
+/// before the endpoint has been without requests for two seconds.
 #[test]
 fn permits_go_on_where_the_voter_that_issues_them_is_lost() {
     for seed in 0..20 {
@@ -527,11 +530,11 @@
             continue;
         }
         for length in (5..40).step_by(5) {
-            world.play(second(length), false);
+            world.run(second(length), false);
             let lost = world.random.random_range(0..world.voters.len());
             world.restart_voter(lost, 2000);
         }
-        let sent = world.play(second(40), false);
+        let sent = world.run(second(40), false);
         let gap = longest_gap(&sent);
         println!("seed {seed}: {gap} ms without any");
         assert!(gap < 2000, "seed {seed}: {gap} ms without any");
--- a/tests/testsuite/warm_up.rs
+++ b/tests/testsuite/warm_up.rs
@@ -1,4 +1,4 @@
-//! Warm-up: what is believed of endpoints that are cold, who may send to them, and how.
+//! Warm-up: which endpoints count as cold, which box may send to them, and at which rate.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -43,7 +43,7 @@
     }
 }
 
-/// What is left of the warm-up of the registry's endpoint, in milliseconds.
+/// Returns the rest of the warm-up of the registry's endpoint, in milliseconds.
 fn left(registry: &Registry, now: Duration) -> u128 {
     let belief = registry.warm_up(&"i".parse().unwrap()).unwrap();
     let until = belief.until(&RATE, None, now);
@@ -55,13 +55,13 @@
     let mut voter = Registry::default();
     voter.merge(record(1, Some(3000)), START);
     let stamp = voter.stamp();
-    // Heartbeats that say what is known are no news, though the number falls.
+    // Heartbeats that agree with what is known are no change, although the remaining time falls.
     assert_eq!(
         voter.merge(record(2, Some(1800)), START + ms(1200)),
         Merged::Alive
     );
     assert_eq!(voter.stamp(), stamp);
-    // A box that starts in the middle hears what is left then.
+    // A box that starts during the warm-up receives the time that remains then.
     let told = voter.told_since(0, START + ms(2000));
     assert_eq!(told[0].warm_up, Some(Left(1000)));
     let mut started = Registry::default();
@@ -76,25 +76,25 @@
     let mut registry = Registry::default();
     registry.merge(record(1, Some(0)), START);
     assert_eq!(left(&registry, START), 0);
-    // It has become cold again, which is news.
+    // The endpoint has become cold again, which is a change.
     let now = START + ms(2000);
     assert_eq!(registry.merge(record(4, Some(3000)), now), Merged::Changed);
-    // Said before that, heard after it, from whichever voter.
+    // Heartbeats that were sent earlier and arrive later, through any voter, are ignored.
     for sequence in [2, 3, 4] {
         registry.merge(record(sequence, Some(0)), now + ms(10));
     }
     assert_eq!(left(&registry, now), 3000);
-    // A second start in the middle of the first warm-up makes it longer.
+    // A second warm-up that begins during the first one extends it.
     let again = now + ms(1500);
     assert_eq!(
         registry.merge(record(5, Some(3000)), again),
         Merged::Changed
     );
     assert_eq!(left(&registry, again), 3000);
-    // Some heartbeats are lost, and a word that names no time ends nothing.
+    // After lost heartbeats, one that names no time does not end the warm-up.
     registry.merge(record(8, None), again + ms(100));
     assert_eq!(left(&registry, again + ms(500)), 2500);
-    // It says that it is warm.
+    // The endpoint reports that it is warm.
     let warm = registry.merge(record(9, Some(0)), again + ms(600));
     assert_eq!(warm, Merged::Changed);
     assert_eq!(left(&registry, again + ms(600)), 0);
@@ -147,17 +147,17 @@
     let (one, other): (name::Box, name::Box) = ("e1".parse().unwrap(), "e2".parse().unwrap());
     let wanted = names(&["a", "b", "c"]);
     let mut hub = Leases::default();
-    // What was given before its start may hold still.
+    // Leases that were granted before the hub's start may still be valid.
     assert!(hub.give(&one, &wanted, 2, START).is_empty());
     assert!(hub.give(&one, &wanted, 2, START + LEASE).is_empty());
     let now = START + 2 * LEASE;
     assert_eq!(hub.give(&one, &wanted, 2, now), names(&["a", "b"]));
     assert_eq!(hub.give(&other, &wanted, 2, now), names(&["c"]));
-    // It keeps what it has, though it wants others more by now.
+    // A box keeps its leases, even if it now prefers other endpoints.
     let wanted = names(&["c", "b", "a"]);
     let later = now + ms(500);
     assert_eq!(hub.give(&one, &wanted, 2, later), names(&["b", "a"]));
-    // It is not heard of any more.
+    // The first box is silent from now on.
     let wanted = names(&["a", "b"]);
     assert!(hub.give(&other, &wanted, 1, later + LEASE).is_empty());
     let over = later + LEASE + ms(100);
@@ -170,7 +170,8 @@
     let mut granted = Vec::new();
     let mut pass = Pass::default();
     for now in (0..10_000).map(ms) {
-        // Each second another box, whose pass knows nothing of the one before.
+        // Each second another box is the holder; its pass starts without the earlier holder's
+        // state.
         if now.as_millis().is_multiple_of(1000) {
             pass = Pass::default();
             pass.renew(now + ms(1000), 2, now);
@@ -185,9 +186,9 @@
         granted.iter().filter(counts).count()
     };
     let most = granted.iter().map(within).max();
-    // Twice as much, by two hubs that do not agree, is below 17.6.
+    // Two hubs that grant leases independently allow twice as much, which is below 17.6.
     assert_eq!(most, Some(8));
-    // Without a leeway the plain rate binds all together, 8.4.
+    // Without leeway, the plain rate of 8.4 a second applies.
     let strict = Warming::new(Duration::MAX, &RATE, &Leeway::default());
     let mut pass = Pass::default();
     pass.renew(Duration::MAX, 2, START);
@@ -195,7 +196,8 @@
     assert!(pass.permits(&strict, START + ms(350)));
 }
 
-/// A dispatcher of three endpoints of one zone, with few slots, some of which warm up.
+/// Returns a dispatcher with three endpoints of one zone and `slots` slots each; those at the
+/// places `warming` warm up.
 fn dispatcher(warming: &[usize], slots: u32) -> Dispatcher {
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = Dispatcher::new(Settings::default(), START);
@@ -234,7 +236,7 @@
     orders.into_iter().map(|(_, order)| order).collect()
 }
 
-/// Ends a request that was granted, whole and at once.
+/// Completes a granted request at once.
 fn end(dispatcher: &mut Dispatcher, request: u64, now: Duration) {
     let attempt = ask(request, "short", 0).attempt;
     step(dispatcher, Report::First(attempt), now);
@@ -259,14 +261,14 @@
         assert_eq!(grants(&orders), [(request, "i-2".to_owned())]);
         end(&mut one, request, START);
     }
-    // Where all warm up it waits, and nothing spins.
+    // If all endpoints warm up, the request waits, and no orders are produced meanwhile.
     let mut all = dispatcher(&[0, 1, 2], 64);
     let orders = step(&mut all, Report::Ask(ask(1, "short", 1)), START);
     assert!(orders.is_empty(), "{orders:?}");
     assert_eq!(all.waiting(), 1);
     let wanted: BTreeSet<_> = all.wants(START).into_iter().map(|(_, name)| name).collect();
     assert_eq!(wanted, names(&["i-0", "i-1", "i-2"]).into_iter().collect());
-    // A lease lets it go, a moment later.
+    // With a lease it starts a moment later.
     all.step(Input::Leases(names(&["i-1"]), START + LEASE, 2), START);
     assert_eq!(all.step(Input::Tick, START + ms(100)), []);
     let orders = all.step(Input::Tick, START + ms(160));
@@ -305,30 +307,30 @@
 #[test]
 fn tiers_are_served_in_their_order_while_most_endpoints_warm_up() {
     let mut one = dispatcher(&[0, 1], 2);
-    // Two take the slots of the warm one, the others wait.
+    // Two requests take the slots of the warm endpoint; the others wait.
     for request in 0..2 {
         let orders = step(&mut one, Report::Ask(ask(request, "long", request)), START);
         assert_eq!(orders.len(), 1);
     }
     for request in 2..8 {
-        // The less urgent ones come first.
+        // The less urgent requests arrive first.
         let class = if request < 5 { "long" } else { "short" };
         let orders = step(&mut one, Report::Ask(ask(request, class, request)), START);
         assert!(orders.is_empty(), "{orders:?}");
     }
     let leased = Input::Leases(names(&["i-0"]), START + LEASE, 2);
     one.step(leased, START);
-    let mut begun = Vec::new();
+    let mut started = Vec::new();
     for at in (20..900).step_by(20) {
         let orders = one.step(Input::Tick, START + ms(at));
         let orders: Vec<_> = orders.into_iter().map(|(_, order)| order).collect();
         for (request, _) in grants(&orders) {
-            begun.push(request);
-            // Its slot, which comes free, needs a permit again.
+            started.push(request);
+            // The slot that becomes free needs a permit for the next request.
             end(&mut one, request, START + ms(at));
         }
     }
-    assert_eq!(begun.len(), 5, "{begun:?}");
-    let urgent: BTreeSet<_> = begun[..3].iter().copied().collect();
+    assert_eq!(started.len(), 5, "{started:?}");
+    let urgent: BTreeSet<_> = started[..3].iter().copied().collect();
     assert_eq!(urgent, BTreeSet::from([5, 6, 7]));
 }
