--- a/benches/capacity/gossip.rs
+++ b/benches/capacity/gossip.rs
@@ -74,12 +74,12 @@
                 };
                 let question = send(question);
                 if p >= boxes - boxes / 8 {
-                    members[i].miss(&peer, now);
+                    members[i].record_unanswered(&peer, now);
                     continue;
                 }
-                members[p].hear(question, now);
+                members[p].receive(question, now);
                 let answer = send(members[p].message());
-                members[i].hear(answer, now);
+                members[i].receive(answer, now);
             }
         }
     }
--- a/benches/decisions/cost.rs
+++ b/benches/decisions/cost.rs
@@ -47,7 +47,7 @@
         preemptible: tier > 2,
         preempted: 0,
         avoid: None,
-        rests: Vec::new(),
+        backoffs: Vec::new(),
         hold: None,
     }
 }
@@ -55,7 +55,7 @@
 fn cost(endpoints: u32, waiting: u64) -> f64 {
     let mut now = Duration::from_secs(100_000);
     let settings = dispatch::Settings {
-        settle: Duration::ZERO,
+        settle_timeout: Duration::ZERO,
         ramp: SLOTS,
         ..Default::default()
     };
@@ -64,12 +64,12 @@
         name: format!("m{i}").parse().expect("an endpoint"),
         slots: SLOTS,
         leaving: false,
-        away: false,
-        place: 0,
+        in_other_zone: false,
+        rank: 0,
         zone: "z0".parse().expect("a zone"),
         slow: false,
         memory: None,
-        standing: Default::default(),
+        admission: Default::default(),
     });
     let classes: BTreeMap<name::Class, config::Class> = (0..5u8)
         .map(|tier| {
--- a/benches/decisions/fingerprint.rs
+++ b/benches/decisions/fingerprint.rs
@@ -55,7 +55,7 @@
     };
     let mut book = Book::default();
     let fingerprint = Fingerprint::of(head(body.len()), body);
-    book.ended(fingerprint, end, Duration::from_secs(1));
+    book.record_end(fingerprint, end, Duration::from_secs(1));
     book
 }
 
@@ -65,7 +65,7 @@
         return false;
     }
     let head = head(body.len());
-    book.knows(head) && book.is_held_back(&Fingerprint::of(head, body))
+    book.knows_head(head) && book.is_held_back(&Fingerprint::of(head, body))
 }
 
 fn time(book: &Book, body: &[u8], rounds: usize) -> Duration {
--- a/benches/decisions/ours.rs
+++ b/benches/decisions/ours.rs
@@ -88,7 +88,7 @@
         for zone in 0..zones {
             ours.homes.push(home(world, zone));
             let settings = dispatch::Settings {
-                settle: Duration::ZERO,
+                settle_timeout: Duration::ZERO,
                 ..Default::default()
             };
             let dispatcher = ours.dispatcher(world, zone, settings);
@@ -114,17 +114,17 @@
             name: endpoint_name(i),
             slots: world.service.slots,
             leaving: engine.leaving,
-            away: false,
-            place: 0,
+            in_other_zone: false,
+            rank: 0,
             zone: "z0".parse().expect("a zone"),
             slow: false,
             memory: None,
-            standing: Default::default(),
+            admission: Default::default(),
         });
         dispatcher.step(Input::Configure(specs.collect(), classes), world.now);
         let alive = (0..world.lost[zone].len()).filter(|entry| !world.lost[zone][*entry]);
         let alive = alive.map(|entry| box_name((zone, entry)));
-        dispatcher.step(Input::Boxes(alive.collect()), world.now);
+        dispatcher.step(Input::LiveBoxes(alive.collect()), world.now);
         dispatcher
     }
 
@@ -197,7 +197,7 @@
                 .and_then(|p| p.avoid)
                 .map(endpoint_name),
             hold: self.known_lengths.then(|| world.hold(request)),
-            rests: Vec::new(),
+            backoffs: Vec::new(),
         }
     }
 
--- a/src/bin/scalewood/commands/item.rs
+++ b/src/bin/scalewood/commands/item.rs
@@ -84,7 +84,7 @@
         macro_rules! list {
             ($map:expr) => {
                 $map.iter()
-                    .filter_map(|(k, v)| Some((k.to_string(), audit::show(v)?)))
+                    .filter_map(|(k, v)| Some((k.to_string(), audit::redacted_json(v)?)))
                     .collect()
             };
         }
--- a/src/bin/scalewood/commands/voter.rs
+++ b/src/bin/scalewood/commands/voter.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use clap::{value_parser, Arg, ArgMatches, Command};
-use scalewood::core::agree;
+use scalewood::core::raft;
 
 use crate::{
     commands,
@@ -45,22 +45,22 @@
             let address: SocketAddr = *matches
                 .get_one("address")
                 .expect("clap requires the address");
-            change(matches, agree::MembersRequest::Add(node(matches)?, address)).await
+            change(matches, raft::MembersRequest::Add(node(matches)?, address)).await
         }
         Some(("remove", matches)) => {
-            change(matches, agree::MembersRequest::Remove(node(matches)?)).await
+            change(matches, raft::MembersRequest::Remove(node(matches)?)).await
         }
         _ => Ok(()),
     }
 }
 
-fn node(matches: &ArgMatches) -> Result<agree::Node, Failure> {
+fn node(matches: &ArgMatches) -> Result<raft::Node, Failure> {
     let text: &String = matches.get_one("node").expect("clap requires the node");
     let wrong = |why: String| Failure::Usage(format!("`{text}` is no voter: {why}"));
     let (name, identity) = text
         .split_once('/')
         .ok_or_else(|| wrong("write BOX/IDENTITY".into()))?;
-    Ok(agree::Node {
+    Ok(raft::Node {
         name: name
             .parse()
             .map_err(|e: scalewood::core::name::Error| wrong(e.to_string()))?,
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-async fn change(matches: &ArgMatches, request: agree::MembersRequest) -> Exit {
+async fn change(matches: &ArgMatches, request: raft::MembersRequest) -> Exit {
     commands::client(matches)?.members(&request).await?;
     println!("accepted");
     Ok(())
--- a/src/scalewood/board/entry.rs
+++ b/src/scalewood/board/entry.rs
@@ -15,8 +15,8 @@
 use crate::{
     board::{feed, view},
     core::{
-        attempt, catchup, claim, config, crash, dispatch, limit, member, name, pace, region,
-        registry, residency, rest, retry, throttle, unit, usage, wall, warm_up,
+        attempt, backoff, catchup, claim, config, crash, dispatch, limit, member, name, pace,
+        region, registry, residency, retry, throttle, unit, usage, wall_clock, warm_up,
     },
     util::{
         clock::Clock,
@@ -165,7 +165,7 @@
     /// How fast endpoints go, as this box measures it.
     pub paces: Mutex<pace::Meters>,
     /// The endpoints that rest from this box.
-    pub rests: Mutex<rest::Book>,
+    pub rests: Mutex<backoff::Book>,
     /// The limits that endpoints set to requests from all boxes together.
     pub throttles: Mutex<throttle::Book>,
     /// The requests under which endpoints have ended.
@@ -181,7 +181,7 @@
     /// The requests that endpoints have begun for this box, by team and window.
     pub usage: Mutex<usage::Tally>,
     /// The time of day that the voters agree on.
-    pub wall: Mutex<wall::Follower>,
+    pub wall: Mutex<wall_clock::Follower>,
     /// Tells this start of the process from others of the same box.
     pub start: u64,
     /// How many voters' registries are followed.
@@ -227,7 +227,7 @@
             rand::random(),
         );
         let claims = claim::Holder::new(own.name.clone(), retention, now);
-        let rests = rest::Book::new(own.name.clone());
+        let rests = backoff::Book::new(own.name.clone());
         Self {
             own,
             clock,
@@ -316,16 +316,16 @@
     /// How much longer an endpoint rests from this box, if it does.
     pub fn rest_left(&self, endpoint: &name::Endpoint) -> Option<Duration> {
         let start = self.start_of(endpoint);
-        lock(&self.rests).left(endpoint, start, self.clock.now())
+        lock(&self.rests).remaining(endpoint, start, self.clock.now())
     }
 
     /// Brings what is told of a rest up to the start of its endpoint that is known now; whether that
     /// rests.
-    pub fn renew_rest(&self, told: &mut rest::Told) -> bool {
+    pub fn renew_rest(&self, told: &mut backoff::Notice) -> bool {
         let Some(left) = self.rest_left(&told.endpoint) else {
             return false;
         };
-        told.left = left;
+        told.remaining = left;
         told.start = self.start_of(&told.endpoint);
         true
     }
--- a/src/scalewood/board/view.rs
+++ b/src/scalewood/board/view.rs
@@ -99,7 +99,7 @@
         let displaced = registry.displaced();
         let registered = in_turns(registered.collect()).into_iter().enumerate();
         let registered = registered.map(|(place, (record, slow))| dispatch::Spec {
-            place,
+            rank: place,
             slow,
             memory,
             ..self.spec(record, displaced.contains(&record.name), zone, regions)
@@ -110,12 +110,12 @@
                 name: name.clone(),
                 slots: endpoint.slots.0,
                 leaving: endpoint.leaving,
-                away: false,
-                place: 0,
+                in_other_zone: false,
+                rank: 0,
                 zone: endpoint.zone.clone(),
                 slow: false,
                 memory: None,
-                standing: self.standing(&endpoint.zone, regions),
+                admission: self.standing(&endpoint.zone, regions),
             });
         let specs = specs.chain(registered);
         let classes = self.document.classes_of(service);
@@ -135,7 +135,7 @@
         after: u64,
         regions: &region::Map,
     ) -> dispatch::Input {
-        let changed = registry.touched_since(after);
+        let changed = registry.affected_since(after);
         let known = changed.iter().filter_map(|name| registry.graded_one(name));
         let known = known.filter(|(record, _)| record.service == *service);
         let memory = self.memory(service);
@@ -149,7 +149,7 @@
         });
         let specs = specs.collect();
         let gone = changed.iter().filter(|name| registry.get(name).is_none());
-        dispatch::Input::Changed(specs, gone.cloned().collect())
+        dispatch::Input::EndpointsChanged(specs, gone.cloned().collect())
     }
 
     fn memory(&self, service: &name::Service) -> Option<unit::Tokens> {
@@ -169,12 +169,12 @@
             name: record.name.clone(),
             slots: record.slots.0,
             leaving: record.state != registry::State::Ready || displaced,
-            away: record.zone != *zone,
-            place: usize::MAX,
+            in_other_zone: record.zone != *zone,
+            rank: usize::MAX,
             zone: record.zone.clone(),
             slow: false,
             memory: None,
-            standing: dispatch::Standing {
+            admission: dispatch::Admission {
                 incarnation: record.incarnation,
                 ..self.standing(&record.zone, regions)
             },
@@ -185,7 +185,7 @@
     /// routes, so the class gets its least urgent one.
     fn ranked(&self, class: &config::Class) -> config::Class {
         let tier = match self.document.routing {
-            Some(_) => self.table.least_rank(class.tier),
+            Some(_) => self.table.lowest_rank(class.tier),
             None => class.tier,
         };
         config::Class {
@@ -195,11 +195,11 @@
     }
 
     /// What is said of sending new work to the endpoints of a zone.
-    fn standing(&self, zone: &name::Zone, regions: &region::Map) -> dispatch::Standing {
-        dispatch::Standing {
+    fn standing(&self, zone: &name::Zone, regions: &region::Map) -> dispatch::Admission {
+        dispatch::Admission {
             cordoned: self.document.cordoned.contains(zone),
             region: regions.region_of(zone).cloned(),
-            ..dispatch::Standing::default()
+            ..dispatch::Admission::default()
         }
     }
 
--- a/src/scalewood/core/audit.rs
+++ b/src/scalewood/core/audit.rs
@@ -59,8 +59,8 @@
 /// Returns the difference that cordoning or uncordoning a zone makes.
 pub fn cordon_difference(mark: &cordon::Mark) -> Difference {
     let (before, after) = match mark.act {
-        cordon::Act::Cordon => (None, Some(true.into())),
-        cordon::Act::Uncordon => (Some(true.into()), None),
+        cordon::Action::Cordon => (None, Some(true.into())),
+        cordon::Action::Uncordon => (Some(true.into()), None),
     };
     Difference {
         item: format!("cordon {}", mark.zone),
@@ -88,27 +88,28 @@
         .filter(|name| before.routes.get(*name) != after.routes.get(*name));
     let describe = |name: &name::Class| Difference {
         item: format!("route {name}"),
-        before: before.routes.get(name).and_then(show),
-        after: after.routes.get(name).and_then(show),
+        before: before.routes.get(name).and_then(redacted_json),
+        after: after.routes.get(name).and_then(redacted_json),
     };
     changed.take(MAX_ROUTE_DIFFERENCES).map(describe).collect()
 }
 
-/// Returns an item of a document as JSON, if it exists, with its token hash cut as in [`show`].
+/// Returns an item of a document as JSON, if it exists, with its token hash cut as in
+/// [`redacted_json`].
 fn item_as_json(document: &config::Document, key: &change::Key) -> Option<serde_json::Value> {
     match key {
-        change::Key::Box(name) => show(document.boxes.get(name)?),
-        change::Key::Service(name) => show(document.services.get(name)?),
-        change::Key::Class(name) => show(document.classes.get(name)?),
-        change::Key::Team(name) => show(document.teams.get(name)?),
-        change::Key::Endpoint(name) => show(document.endpoints.get(name)?),
-        change::Key::Policy(name) => show(document.policies.get(name)?),
+        change::Key::Box(name) => redacted_json(document.boxes.get(name)?),
+        change::Key::Service(name) => redacted_json(document.services.get(name)?),
+        change::Key::Class(name) => redacted_json(document.classes.get(name)?),
+        change::Key::Team(name) => redacted_json(document.teams.get(name)?),
+        change::Key::Endpoint(name) => redacted_json(document.endpoints.get(name)?),
+        change::Key::Policy(name) => redacted_json(document.policies.get(name)?),
     }
 }
 
 /// Returns an item as JSON, with its token hash cut to the first digits, so that a changed token
 /// still shows as a difference.
-pub fn show<T: Serialize>(item: &T) -> Option<serde_json::Value> {
+pub fn redacted_json<T: Serialize>(item: &T) -> Option<serde_json::Value> {
     /// The number of hex digits of a token hash that are shown, enough to see a change.
     const SHOWN_HASH_DIGITS: usize = 8;
     let mut value = serde_json::to_value(item).ok()?;
--- a/src/scalewood/core/rest.rs
+++ b/src/scalewood/core/backoff.rs
@@ -1,4 +1,4 @@
-//! Rests: how long endpoints ask this box to send them no requests.
+//! Backoffs: how long endpoints ask this box to send them no requests.
 //!
 //! An endpoint that refuses a request may name a time for which it wants no more requests from the
 //! box that sent it (`Retry-After`, RFC 9110). This applies to that box and to that start of the
@@ -15,48 +15,52 @@
 
 use crate::core::{name, registry, rendezvous, unit};
 
-/// The longest rest that is accepted. An endpoint that asks for more is expected to leave or to
+/// The longest backoff that is accepted. An endpoint that asks for more is expected to leave or to
 /// have sent a wrong value; within a day an operator has seen it in the log.
-pub const LONGEST: Duration = Duration::from_secs(24 * 3600);
-/// The largest part of a rest by which this box extends it. Otherwise boxes that were refused at
+pub const MAX_BACKOFF: Duration = Duration::from_secs(24 * 3600);
+/// The largest part of a backoff by which this box extends it. Otherwise boxes that were refused at
 /// the same moment would all return at the same moment.
 const MAX_EXTENSION_RATIO: f64 = 0.25;
-/// The longest extension of a rest.
+/// The longest extension of a backoff.
 const MAX_EXTENSION: Duration = Duration::from_secs(1);
 
-/// How long after an answer a rest applies to a later start too. The endpoint may have restarted
+/// How long after an answer a backoff applies to a later start too. The endpoint may have restarted
 /// before the answer, and the heartbeat of the new start arrive seconds late: then the answer came
 /// from the new start.
 const LATER_START_GRACE: Duration = Duration::from_secs(5);
-/// The most rests in one message, which limits them to 4 KB. The oldest rests are sent first.
-const MAX_RESTS_PER_MESSAGE: usize = 64;
+/// The most backoffs in one message, which limits them to 4 KB. The oldest backoffs are sent first.
+const MAX_BACKOFFS_PER_MESSAGE: usize = 64;
 
-/// What an answer says about a rest.
+/// What an answer says about a backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Parsed {
     /// It asks for none.
-    Nothing,
+    Absent,
     /// The endpoint wants no requests for this time.
     For(Duration),
     /// The value is not a time.
-    Unreadable,
+    Invalid,
 }
 
 /// Parses the values of `Retry-After`, each a date or a number of seconds, which may have a
 /// fraction. Returns the longest of several. A date is compared with the answer's own `date`, so
 /// that differing clocks don't matter, or without one with the time of day here.
-pub fn read<'a>(values: impl Iterator<Item = &'a str>, date: Option<&str>, unix_ms: u64) -> Asked {
-    let mut asked = Asked::Nothing;
+pub fn parse<'a>(
+    values: impl Iterator<Item = &'a str>,
+    date: Option<&str>,
+    unix_ms: u64,
+) -> Parsed {
+    let mut asked = Parsed::Absent;
     for value in values {
         asked = match (asked, parse_value(value, date, unix_ms)) {
-            (Asked::For(known), Some(length)) => Asked::For(known.max(length)),
-            (_, Some(length)) => Asked::For(length),
-            (Asked::For(known), None) => Asked::For(known),
-            (_, None) => Asked::Unreadable,
+            (Parsed::For(known), Some(length)) => Parsed::For(known.max(length)),
+            (_, Some(length)) => Parsed::For(length),
+            (Parsed::For(known), None) => Parsed::For(known),
+            (_, None) => Parsed::Invalid,
         };
     }
     match asked {
-        Asked::For(Duration::ZERO) => Asked::Nothing,
+        Parsed::For(Duration::ZERO) => Parsed::Absent,
         asked => asked,
     }
 }
@@ -68,7 +72,7 @@
         let sent = date.and_then(|date| httpdate::parse_http_date(date.trim()).ok());
         let sent = sent.unwrap_or(std::time::UNIX_EPOCH + Duration::from_millis(unix_ms));
         let left = until.duration_since(sent).unwrap_or_default();
-        return Some(left.min(LONGEST));
+        return Some(left.min(MAX_BACKOFF));
     }
     // A proxy may have joined several header fields into a list.
     let lengths = value.split(',').map(|part| seconds(part.trim()));
@@ -79,80 +83,83 @@
 fn seconds(text: &str) -> Option<Duration> {
     let is_number = text.chars().all(|c| c.is_ascii_digit() || c == '.');
     let seconds = text.parse::<f64>().ok().filter(|_| is_number)?;
-    Some(Duration::try_from_secs_f64(seconds).map_or(LONGEST, |rest| rest.min(LONGEST)))
+    Some(
+        Duration::try_from_secs_f64(seconds)
+            .map_or(MAX_BACKOFF, |backoff| backoff.min(MAX_BACKOFF)),
+    )
 }
 
-/// A rest that an endpoint has asked of this box.
+/// A backoff that an endpoint has asked of this box.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rest {
+pub struct Backoff {
     /// The service of the endpoint.
     pub service: name::Service,
     /// The start of the endpoint that asked for it.
     pub start: registry::Start,
     /// When the endpoint last asked for it.
     pub asked: Duration,
-    /// When the rest ends.
+    /// When the backoff ends.
     pub until: Duration,
-    /// The number of the request for rest; it increases with each one that this box gets.
+    /// The number of the request for it; it increases with each one that this box gets.
     pub number: u64,
 }
 
-/// A rest as it is reported to a dispatcher; serialised as a tuple.
+/// A backoff as it is reported to a dispatcher; serialised as a tuple.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Row", into = "Row")]
-pub struct Told {
+pub struct Notice {
     /// The endpoint.
     pub endpoint: name::Endpoint,
     /// The start of the endpoint that asked for it.
     pub start: registry::Start,
     /// The remaining time. Clocks differ between machines, so the end is not sent as a time of day.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// Endpoint, start, and remaining time in milliseconds.
 type Row = (name::Endpoint, Option<unit::Incarnation>, u64);
 
-impl From<Row> for Told {
+impl From<Row> for Notice {
     fn from((endpoint, start, left_ms): Row) -> Self {
         Self {
             endpoint,
             start,
-            left: Duration::from_millis(left_ms),
+            remaining: Duration::from_millis(left_ms),
         }
     }
 }
 
-impl From<Told> for Row {
-    fn from(told: Told) -> Self {
-        let left_ms = u64::try_from(told.left.as_millis()).unwrap_or(u64::MAX);
-        (told.endpoint, told.start, left_ms)
+impl From<Notice> for Row {
+    fn from(notice: Notice) -> Self {
+        let left_ms = u64::try_from(notice.remaining.as_millis()).unwrap_or(u64::MAX);
+        (notice.endpoint, notice.start, left_ms)
     }
 }
 
-/// The rests that endpoints have asked of this box.
+/// The backoffs that endpoints have asked of this box.
 #[derive(Debug)]
 pub struct Book {
     own: name::Box,
-    rests: BTreeMap<name::Endpoint, Rest>,
-    /// The highest number of a rest that each dispatcher of a service was sent.
+    backoffs: BTreeMap<name::Endpoint, Backoff>,
+    /// The highest number of a backoff that each dispatcher of a service was sent.
     told: HashMap<(name::Box, name::Service), u64>,
     last_number: u64,
 }
 
 impl Book {
-    /// Returns the book of a box that knows of no rests.
+    /// Returns the book of a box that knows of no backoffs.
     pub fn new(own: name::Box) -> Self {
         Self {
             own,
-            rests: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
             told: HashMap::new(),
             last_number: 0,
         }
     }
 
-    /// Records that a start of an endpoint asked for a rest, in an answer that arrives now. If two
-    /// rests overlap, the later end applies.
-    pub fn note(
+    /// Records that a start of an endpoint asked for a backoff, in an answer that arrives now. If
+    /// two backoffs overlap, the later end applies.
+    pub fn record(
         &mut self,
         endpoint: &name::Endpoint,
         service: &name::Service,
@@ -160,8 +167,8 @@
         length: Duration,
         now: Duration,
     ) {
-        self.rests.retain(|_, rest| rest.until > now);
-        let known = self.rests.get(endpoint);
+        self.backoffs.retain(|_, backoff| backoff.until > now);
+        let known = self.backoffs.get(endpoint);
         if known.is_some_and(|known| known.start > start) {
             return;
         }
@@ -169,17 +176,17 @@
         let until = now + length + self.extension(endpoint, length);
         let until = known.map_or(until, |known| known.until.max(until));
         self.last_number += 1;
-        let rest = Rest {
+        let backoff = Backoff {
             service: service.clone(),
             start,
             asked: now,
             until,
             number: self.last_number,
         };
-        self.rests.insert(endpoint.clone(), rest);
+        self.backoffs.insert(endpoint.clone(), backoff);
     }
 
-    /// Returns by how much this box extends a rest.
+    /// Returns by how much this box extends a backoff.
     fn extension(&self, endpoint: &name::Endpoint, length: Duration) -> Duration {
         let hash = rendezvous::hash(&[self.own.as_str(), endpoint.as_str()]);
         // The remainder is below 1000, so the cast is exact.
@@ -190,64 +197,68 @@
             .mul_f64(part)
     }
 
-    /// Returns the remaining rest of a start of an endpoint, if it has one.
-    pub fn left(
+    /// Returns the remaining backoff of a start of an endpoint, if it has one.
+    pub fn remaining(
         &self,
         endpoint: &name::Endpoint,
         start: registry::Start,
         now: Duration,
     ) -> Option<Duration> {
-        let rest = self.rests.get(endpoint)?;
-        let until = match rest.start.cmp(&start) {
-            Ordering::Equal => rest.until,
-            Ordering::Less => rest.until.min(rest.asked + LATER_START_GRACE),
+        let backoff = self.backoffs.get(endpoint)?;
+        let until = match backoff.start.cmp(&start) {
+            Ordering::Equal => backoff.until,
+            Ordering::Less => backoff.until.min(backoff.asked + LATER_START_GRACE),
             Ordering::Greater => return None,
         };
         Some(until.saturating_sub(now)).filter(|left| !left.is_zero())
     }
 
-    /// Returns the rests of a service's endpoints that a dispatcher was not sent yet. A rest of the
-    /// endpoint that the dispatcher just chose in vain is always included, as the earlier message
-    /// may have been lost.
-    pub fn news(
+    /// Returns the backoffs of a service's endpoints that a dispatcher was not sent yet. A backoff
+    /// of the endpoint that the dispatcher just chose in vain is always included, as the earlier
+    /// message may have been lost.
+    pub fn updates(
         &mut self,
         to: &name::Box,
         service: &name::Service,
         in_vain: Option<&name::Endpoint>,
         now: Duration,
-    ) -> Vec<Told> {
-        if self.rests.is_empty() {
+    ) -> Vec<Notice> {
+        if self.backoffs.is_empty() {
             return Vec::new();
         }
         let key = (to.clone(), service.clone());
         let last_sent = self.told.get(&key).copied().unwrap_or_default();
-        let is_new = |(name, rest): &(&name::Endpoint, &Rest)| {
-            rest.number > last_sent || in_vain == Some(*name)
+        let is_new = |(name, backoff): &(&name::Endpoint, &Backoff)| {
+            backoff.number > last_sent || in_vain == Some(*name)
         };
-        let of_service = self.all(now).filter(|(_, rest)| rest.service == *service);
-        let mut news: Vec<_> = of_service.filter(is_new).collect();
-        news.sort_unstable_by_key(|(_, rest)| rest.number);
-        news.truncate(MAX_RESTS_PER_MESSAGE);
-        let last = news.last().map(|(_, rest)| rest.number);
-        let told = |(name, rest): (&name::Endpoint, &Rest)| Told {
+        let of_service = self
+            .all(now)
+            .filter(|(_, backoff)| backoff.service == *service);
+        let mut updates: Vec<_> = of_service.filter(is_new).collect();
+        updates.sort_unstable_by_key(|(_, backoff)| backoff.number);
+        updates.truncate(MAX_BACKOFFS_PER_MESSAGE);
+        let last = updates.last().map(|(_, backoff)| backoff.number);
+        let told = |(name, backoff): (&name::Endpoint, &Backoff)| Notice {
             endpoint: name.clone(),
-            start: rest.start,
-            left: rest.until.saturating_sub(now),
+            start: backoff.start,
+            remaining: backoff.until.saturating_sub(now),
         };
-        let news = news.into_iter().map(told).collect();
+        let updates = updates.into_iter().map(told).collect();
         if let Some(last) = last {
             self.told.insert(key, last.max(last_sent));
         }
-        news
+        updates
     }
 
-    /// Records that a dispatcher of a service has to be sent all rests again.
-    pub fn tell_anew(&mut self, to: &name::Box, service: &name::Service) {
+    /// Records that a dispatcher of a service has to be sent all backoffs again.
+    pub fn reset_dispatcher(&mut self, to: &name::Box, service: &name::Service) {
         self.told.remove(&(to.clone(), service.clone()));
     }
 
-    /// Iterates over all rests that have not ended.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = (&name::Endpoint, &Rest)> {
-        self.rests.iter().filter(move |(_, rest)| rest.until > now)
+    /// Iterates over all backoffs that have not ended.
+    pub fn all(&self, now: Duration) -> impl Iterator<Item = (&name::Endpoint, &Backoff)> {
+        self.backoffs
+            .iter()
+            .filter(move |(_, backoff)| backoff.until > now)
     }
 }
--- a/src/scalewood/core/catchup.rs
+++ b/src/scalewood/core/catchup.rs
@@ -61,7 +61,7 @@
 
 impl Catchup {
     /// Records the revision that a voter announces; `same_zone` if it is in this box's zone.
-    pub fn told(
+    pub fn record_announced(
         &mut self,
         voter: SocketAddr,
         revision: unit::Revision,
@@ -82,13 +82,13 @@
     }
 
     /// Forgets a voter that is no longer followed.
-    pub fn lost(&mut self, voter: SocketAddr) {
+    pub fn remove_voter(&mut self, voter: SocketAddr) {
         self.voters.remove(&voter);
     }
 
     /// Records the revision in force here. Returns whether no voter has announced a newer one;
     /// open requests are then forgotten.
-    pub fn reached(&mut self, own: unit::Revision) -> bool {
+    pub fn record_applied(&mut self, own: unit::Revision) -> bool {
         self.own = self.own.max(own);
         let caught_up = self.voters_ahead().next().is_none();
         if caught_up {
@@ -123,7 +123,7 @@
     }
 
     /// Records the end of a request to a voter: `delivered` if it delivered the configuration.
-    pub fn answered(&mut self, voter: SocketAddr, delivered: bool, now: Duration) {
+    pub fn record_answer(&mut self, voter: SocketAddr, delivered: bool, now: Duration) {
         if let Some(known) = self.voters.get_mut(&voter) {
             known.state = if delivered {
                 State::Idle
@@ -135,7 +135,7 @@
 
     /// Returns for how long voters have announced a newer configuration than the one in force
     /// here: the longest such time among the voters that are ahead.
-    pub fn behind(&self, now: Duration) -> Duration {
+    pub fn lag(&self, now: Duration) -> Duration {
         let since = self
             .voters_ahead()
             .map(|(_, voter)| voter.announced_at)
--- a/src/scalewood/core/change.rs
+++ b/src/scalewood/core/change.rs
@@ -7,7 +7,7 @@
 use crate::core::{config, cordon, difference, name, unit};
 
 /// The maximum length of a change id, in bytes.
-pub const MAX_ID: usize = 64;
+pub const MAX_ID_BYTES: usize = 64;
 
 /// The id that an operator gives to a change, as an idempotency key: a change that is sent again
 /// under the same id gets the first answer.
@@ -17,17 +17,17 @@
 
 impl Id {
     /// Returns the audit trail's id for a published routing version.
-    pub(crate) fn of_version(version: u64) -> Self {
+    pub(crate) fn for_version(version: u64) -> Self {
         Self(format!("version-{version}"))
     }
 
     /// Returns the audit trail's id for a cordon that was ordered without an id.
-    pub(crate) fn of_cordon(revision: unit::Revision) -> Self {
+    pub(crate) fn for_cordon(revision: unit::Revision) -> Self {
         Self(format!("cordon-{revision}"))
     }
 
     /// Returns the audit trail's id for an order of endpoints from the provider.
-    pub(crate) fn of_scaling(at_unix_ms: u64) -> Self {
+    pub(crate) fn for_scaling(at_unix_ms: u64) -> Self {
         Self(format!("scaling-{at_unix_ms}"))
     }
 }
@@ -37,9 +37,9 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-        if text.is_empty() || text.len() > MAX_ID || !text.bytes().all(allowed) {
+        if text.is_empty() || text.len() > MAX_ID_BYTES || !text.bytes().all(allowed) {
             return Err(format!(
-                "a change id has 1 to {MAX_ID} letters, digits, `-`, `_` and `.`"
+                "a change id has 1 to {MAX_ID_BYTES} letters, digits, `-`, `_` and `.`"
             ));
         }
         Ok(Self(text.to_owned()))
@@ -222,13 +222,13 @@
     /// The revision that results.
     pub revision: unit::Revision,
     /// The content of the difference.
-    pub what: What,
+    pub what: Delta,
 }
 
 /// The content of a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum Delta {
     /// Edits of single items.
     Edits(Vec<Edit>),
     /// A difference of the routing.
@@ -236,23 +236,23 @@
     /// A difference of the set of cordoned zones.
     Cordons(cordon::Difference),
     /// Several of these, applied in order; none if nothing differs.
-    Several(Vec<What>),
+    Several(Vec<Delta>),
 }
 
-impl What {
+impl Delta {
     fn apply(&self, to: &mut config::Document) {
         match self {
-            What::Edits(edits) => {
+            Delta::Edits(edits) => {
                 for edit in edits {
                     edit.apply(to);
                 }
             }
-            What::Routing(difference) => {
+            Delta::Routing(difference) => {
                 let old = to.routing.clone().unwrap_or_default();
                 to.replace_routing(Arc::new(difference.apply(&old)));
             }
-            What::Cordons(difference) => difference.apply(&mut to.cordoned),
-            What::Several(parts) => {
+            Delta::Cordons(difference) => difference.apply(&mut to.cordoned),
+            Delta::Several(parts) => {
                 for part in parts {
                     part.apply(to);
                 }
@@ -263,30 +263,30 @@
     /// Returns how many items it changes.
     fn len(&self) -> usize {
         match self {
-            What::Edits(edits) => edits.len(),
-            What::Routing(difference) => difference.len(),
-            What::Cordons(difference) => difference.len(),
-            What::Several(parts) => parts.iter().map(What::len).sum(),
+            Delta::Edits(edits) => edits.len(),
+            Delta::Routing(difference) => difference.len(),
+            Delta::Cordons(difference) => difference.len(),
+            Delta::Several(parts) => parts.iter().map(Delta::len).sum(),
         }
     }
 }
 
 impl Step {
     /// Returns the step of an operator's change, from the revision before.
-    pub fn of_edits(revision: unit::Revision, edits: Vec<Edit>) -> Self {
+    pub fn from_edits(revision: unit::Revision, edits: Vec<Edit>) -> Self {
         Self {
             base: unit::Revision(revision.0.saturating_sub(1)),
             revision,
-            what: What::Edits(edits),
+            what: Delta::Edits(edits),
         }
     }
 
     /// Returns the step of an order to cordon or uncordon zones, from the revision before.
-    pub fn of_cordon(revision: unit::Revision, difference: cordon::Difference) -> Self {
+    pub fn from_cordon(revision: unit::Revision, difference: cordon::Difference) -> Self {
         Self {
             base: unit::Revision(revision.0.saturating_sub(1)),
             revision,
-            what: What::Cordons(difference),
+            what: Delta::Cordons(difference),
         }
     }
 
@@ -299,18 +299,18 @@
         let mut parts = Vec::new();
         match (old.routing.as_deref(), new.routing.as_deref()) {
             (Some(old), Some(new)) if old != new => {
-                parts.push(What::Routing(difference::Routing::between(old, new)));
+                parts.push(Delta::Routing(difference::Routing::between(old, new)));
             }
             (Some(_), Some(_)) | (None, None) => {}
             _ => return None,
         }
         if old.cordoned != new.cordoned {
             let difference = cordon::Difference::between(&old.cordoned, &new.cordoned);
-            parts.push(What::Cordons(difference));
+            parts.push(Delta::Cordons(difference));
         }
         let what = match parts.len() {
             1 => parts.remove(0),
-            _ => What::Several(parts),
+            _ => Delta::Several(parts),
         };
         let step = Self {
             base,
--- a/src/scalewood/core/claim.rs
+++ b/src/scalewood/core/claim.rs
@@ -187,7 +187,7 @@
     }
 
     /// Returns the boxes whose claims still have to be read back.
-    pub fn unheard(&self, now: Duration) -> Vec<name::Box> {
+    pub fn not_read_back(&self, now: Duration) -> Vec<name::Box> {
         if now >= self.settled_at {
             return Vec::new();
         }
@@ -200,7 +200,7 @@
 
     /// Returns whether this box holds all claims that it may have forgotten.
     pub fn is_settled(&self, now: Duration) -> bool {
-        now >= self.settled_at || (!self.boxes.is_empty() && self.unheard(now).is_empty())
+        now >= self.settled_at || (!self.boxes.is_empty() && self.not_read_back(now).is_empty())
     }
 
     fn may_vote(&self, key: Key, now: Duration) -> bool {
@@ -272,7 +272,7 @@
     }
 
     /// Merges the claims that another box remembers.
-    pub fn absorb(&mut self, from: &name::Box, claims: Vec<(Key, Record)>, now: Duration) {
+    pub fn merge(&mut self, from: &name::Box, claims: Vec<(Key, Record)>, now: Duration) {
         for (key, record) in claims {
             let at = now.saturating_sub(record.age);
             let claim = Claim {
--- a/src/scalewood/core/config.rs
+++ b/src/scalewood/core/config.rs
@@ -284,7 +284,7 @@
     }
 
     /// Returns the service that serves a model.
-    pub fn service_of(&self, model: &str) -> Option<&name::Service> {
+    pub fn service_of_model(&self, model: &str) -> Option<&name::Service> {
         let serves = |service: &Service| service.models.iter().any(|m| m.as_str() == model);
         self.services
             .iter()
@@ -359,17 +359,17 @@
                 problem("a call of a plain service is never preempted; leave `preemptible` out");
             }
             if class.allowed.is_nowhere() {
-                problem(residency::NOWHERE);
+                problem(residency::EMPTY_REGIONS_ERROR);
             }
             if class.preemptible && !class.repeatable {
                 problem("a class that may not be repeated can't be preempted");
             }
             *shares.entry(&key.service).or_default() += class.share.get();
         }
-        for (service, _) in shares.iter().filter(|(_, sum)| **sum > MAX_SHARES) {
+        for (service, _) in shares.iter().filter(|(_, sum)| **sum > MAX_SHARE_SUM) {
             problems.push(Problem {
                 item: format!("service {service}"),
-                why: format!("the shares of its classes add up to more than {MAX_SHARES}"),
+                why: format!("the shares of its classes add up to more than {MAX_SHARE_SUM}"),
             });
         }
     }
@@ -389,7 +389,7 @@
                 ));
             }
             if team.allowed.is_nowhere() {
-                problem(residency::NOWHERE.into());
+                problem(residency::EMPTY_REGIONS_ERROR.into());
             }
             if team.classes.is_empty() {
                 problem("it may not use any class; name at least one in `classes`".into());
@@ -463,7 +463,7 @@
                 ));
             }
             let classes: Vec<_> = self.classes_of(&item.service).collect();
-            if let Err(error) = policy::Program::trial(&item.program, &classes) {
+            if let Err(error) = policy::Program::compile_checked(&item.program, &classes) {
                 problem(error.to_string());
             }
         }
@@ -472,7 +472,7 @@
 
 /// The maximum sum of the shares of a service's classes. The remaining slots are granted
 /// by tier; with a higher sum, the tiers would lose their effect.
-pub const MAX_SHARES: f64 = 0.5;
+pub const MAX_SHARE_SUM: f64 = 0.5;
 
 /// Serializes durations as whole milliseconds.
 mod millis {
--- a/src/scalewood/core/cordon.rs
+++ b/src/scalewood/core/cordon.rs
@@ -27,24 +27,24 @@
 /// What an order does to a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum Action {
     /// Its endpoints get no new work.
     Cordon,
     /// Its endpoints get new work again.
     Uncordon,
 }
 
-impl Act {
+impl Action {
     /// Returns the name used in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
-            Act::Cordon => "cordon",
-            Act::Uncordon => "uncordon",
+            Action::Cordon => "cordon",
+            Action::Uncordon => "uncordon",
         }
     }
 }
 
-impl fmt::Display for Act {
+impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -56,15 +56,15 @@
     /// The zone.
     pub zone: name::Zone,
     /// What is done to it.
-    pub act: Act,
+    pub act: Action,
 }
 
 impl Mark {
     /// Applies the change. Returns false if it has no effect.
     fn apply(&self, cordoned: &mut BTreeSet<name::Zone>) -> bool {
         match self.act {
-            Act::Cordon => cordoned.insert(self.zone.clone()),
-            Act::Uncordon => cordoned.remove(&self.zone),
+            Action::Cordon => cordoned.insert(self.zone.clone()),
+            Action::Uncordon => cordoned.remove(&self.zone),
         }
     }
 
@@ -72,8 +72,8 @@
     fn difference(&self) -> Difference {
         let zone = BTreeSet::from([self.zone.clone()]);
         let (cordoned, uncordoned) = match self.act {
-            Act::Cordon => (zone, BTreeSet::new()),
-            Act::Uncordon => (BTreeSet::new(), zone),
+            Action::Cordon => (zone, BTreeSet::new()),
+            Action::Uncordon => (BTreeSet::new(), zone),
         };
         Difference {
             cordoned,
@@ -154,16 +154,16 @@
 
 /// The history of orders: the answers by id, and the latest orders that took effect.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Memory {
+pub struct History {
     // Shared, since the state is copied for each snapshot and each reader.
     answers: VecDeque<Arc<FirstAnswer>>,
     marks: VecDeque<(unit::Revision, Mark)>,
 }
 
-impl Memory {
+impl History {
     /// Returns the first answer under an order's id, or a refusal if the id was used for another
     /// order. `current` is the revision in force.
-    pub fn answered(&self, order: &Order, current: unit::Revision) -> Option<change::Answer> {
+    pub fn first_answer(&self, order: &Order, current: unit::Revision) -> Option<change::Answer> {
         let id = order.id.as_ref()?;
         let first = self.answers.iter().rev().find(|first| first.id == *id)?;
         if first.mark == order.mark && first.operator == order.operator {
@@ -177,7 +177,7 @@
     }
 
     /// Records the answer to an order, if it has an id.
-    pub fn remember(&mut self, order: &Order, answer: &change::Answer) {
+    pub fn record_answer(&mut self, order: &Order, answer: &change::Answer) {
         let Some(id) = order.id.clone() else { return };
         self.answers.push_back(Arc::new(FirstAnswer {
             id,
@@ -191,7 +191,7 @@
     }
 
     /// Records an order that took effect.
-    pub fn note(&mut self, revision: unit::Revision, mark: Mark) {
+    pub fn record(&mut self, revision: unit::Revision, mark: Mark) {
         self.marks.push_back((revision, mark));
         if self.marks.len() > MAX_MARKS {
             self.marks.pop_front();
@@ -201,7 +201,7 @@
     /// Returns the steps of the remembered orders after a revision.
     pub fn steps_since(&self, from: unit::Revision) -> impl Iterator<Item = change::Step> + '_ {
         let newer = self.marks.iter().filter(move |(at, _)| *at > from);
-        newer.map(|(at, mark)| change::Step::of_cordon(*at, mark.difference()))
+        newer.map(|(at, mark)| change::Step::from_cordon(*at, mark.difference()))
     }
 }
 
@@ -210,7 +210,7 @@
 /// # Errors
 ///
 /// Fails if too many zones would be cordoned.
-pub fn weigh(
+pub fn evaluate(
     mark: &Mark,
     cordoned: &BTreeSet<name::Zone>,
 ) -> Result<Option<BTreeSet<name::Zone>>, String> {
--- a/src/scalewood/core/crash/book.rs
+++ b/src/scalewood/core/crash/book.rs
@@ -9,12 +9,12 @@
     time::Duration,
 };
 
-use super::{max_successive, End, Id, Row, MIN_ENDS_TOLD_ALL, MOST_ENDS};
+use super::{max_successive, End, Id, Row, ENDS_TO_HOLD_BACK, MIN_ENDS_TOLD_ALL};
 use crate::core::fingerprint::{Fingerprint, HeadHash};
 
 /// How long a request is remembered after it last arrived or an endpoint last ended under it. If it
 /// arrives after that, it may take down three more endpoints.
-pub const REMEMBERED: Duration = Duration::from_secs(600);
+pub const RETENTION: Duration = Duration::from_secs(600);
 /// The shortest interval between two reports that a request still arrives.
 const ARRIVAL_REPORT_INTERVAL: Duration = Duration::from_secs(30);
 /// The most requests that are remembered without being held back: those that run when some seventy
@@ -23,7 +23,7 @@
 /// The most requests that are held back. Each has taken down three endpoints.
 const MAX_HELD_BACK: usize = 1024;
 /// The most ends that are remembered per request.
-const MAX_ENDS_PER_REQUEST: usize = 2 * MOST_ENDS;
+const MAX_ENDS_PER_REQUEST: usize = 2 * ENDS_TO_HOLD_BACK;
 /// The most void ends that are remembered per request.
 const MAX_VOID_PER_REQUEST: usize = 2 * MAX_ENDS_PER_REQUEST;
 /// The interval between two searches for expired requests.
@@ -69,7 +69,7 @@
 
     /// Returns whether enough endpoints ended under it.
     fn is_suspect(&self) -> bool {
-        max_successive(&self.ends) >= MOST_ENDS
+        max_successive(&self.ends) >= ENDS_TO_HOLD_BACK
     }
 
     /// Returns whether it is held back, that is sent to no endpoint.
@@ -142,8 +142,8 @@
         for end in row.ends {
             is_news |= self.add(end);
         }
-        if row.heard > self.heard {
-            self.heard = row.heard;
+        if row.arrivals > self.heard {
+            self.heard = row.arrivals;
             is_news = true;
         }
         is_news
@@ -152,17 +152,17 @@
 
 /// Selects which changes to report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Scope {
     /// What was seen here or reported by processes that report to this book only; for a new reader,
     /// everything.
-    Own,
+    Local,
     /// What all processes must know, whoever reported it.
-    Wide,
+    Global,
 }
 
 /// How far a reader has been sent the changes; the default is the beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Cursor {
     stamp: u64,
     /// Whether everything that was known at the beginning has been sent.
     is_begun: bool,
@@ -187,8 +187,11 @@
 
     /// Returns whether any request with this head is known, in which case the body has to be hashed
     /// too.
-    pub fn knows(&self, head: HeadHash) -> bool {
-        self.cases.range(Fingerprint::all_of(head)).next().is_some()
+    pub fn knows_head(&self, head: HeadHash) -> bool {
+        self.cases
+            .range(Fingerprint::range_of(head))
+            .next()
+            .is_some()
     }
 
     /// Returns whether a request is held back, that is sent to no endpoint.
@@ -219,7 +222,7 @@
     }
 
     /// Records that an endpoint ended under a request.
-    pub fn ended(&mut self, fingerprint: Fingerprint, end: End, now: Duration) {
+    pub fn record_end(&mut self, fingerprint: Fingerprint, end: End, now: Duration) {
         self.sweep(now);
         self.change(fingerprint, now, |case| case.add(end));
     }
@@ -239,7 +242,7 @@
     }
 
     /// Records the arrival of a request that is held back.
-    pub fn came(&mut self, fingerprint: &Fingerprint, now: Duration) {
+    pub fn record_arrival(&mut self, fingerprint: &Fingerprint, now: Duration) {
         let Some(case) = self.cases.get_mut(fingerprint) else {
             return;
         };
@@ -276,12 +279,12 @@
 
     /// Returns the changes that a reader has not been sent yet, the oldest first, and advances
     /// `told`.
-    pub fn news(&self, told: &mut Told, part: Part) -> Vec<Row> {
+    pub fn updates(&self, told: &mut Cursor, part: Scope) -> Vec<Row> {
         let stamp = |case: &Case| match part {
-            Part::Own if told.is_begun => case.changed_locally,
-            Part::Own | Part::Wide => case.changed,
+            Scope::Local if told.is_begun => case.changed_locally,
+            Scope::Local | Scope::Global => case.changed,
         };
-        let is_selected = |case: &Case| part == Part::Own || case.is_global;
+        let is_selected = |case: &Case| part == Scope::Local || case.is_global;
         let cases = self.cases.iter();
         let cases = cases.filter(|(_, case)| stamp(case) > told.stamp && is_selected(case));
         let mut cases: Vec<_> = cases.collect();
@@ -289,7 +292,7 @@
         let is_complete = cases.len() <= MAX_ROWS_PER_MESSAGE;
         cases.truncate(MAX_ROWS_PER_MESSAGE);
         let last = cases.last().map_or(told.stamp, |(_, case)| stamp(case));
-        *told = Told {
+        *told = Cursor {
             stamp: if is_complete { self.stamp } else { last },
             is_begun: told.is_begun || is_complete,
         };
@@ -323,13 +326,13 @@
         self.shrink();
     }
 
-    /// Removes the requests that were not seen for [`REMEMBERED`].
+    /// Removes the requests that were not seen for [`RETENTION`].
     fn sweep(&mut self, now: Duration) {
         if now < self.swept_at + SWEEP_INTERVAL {
             return;
         }
         self.swept_at = now;
-        let is_old = |case: &Case| now >= case.last_seen + REMEMBERED;
+        let is_old = |case: &Case| now >= case.last_seen + RETENTION;
         let old = self.cases.iter().filter(|(_, case)| is_old(case));
         let old: Vec<_> = old.map(|(fingerprint, _)| *fingerprint).collect();
         self.forget(&old);
@@ -412,6 +415,6 @@
         fingerprint: *fingerprint,
         ends: case.ends.clone(),
         void: case.void.iter().copied().collect(),
-        heard: case.heard,
+        arrivals: case.heard,
     }
 }
--- a/src/scalewood/core/crash/mod.rs
+++ b/src/scalewood/core/crash/mod.rs
@@ -3,8 +3,8 @@
 //! Such a request is retried, arrives at any box, and crashes one endpoint after another. What is
 //! known about it must outlive its attempts and its box. So each process keeps a [`Book`] of the
 //! requests that were running on endpoints as these ended; boxes report to their voters together
-//! with the loads, and voters to each other and to the boxes. When [`MOST_ENDS`] endpoints have
-//! ended under a request, all boxes hold it back.
+//! with the loads, and voters to each other and to the boxes. When [`ENDS_TO_HOLD_BACK`] endpoints
+//! have ended under a request, all boxes hold it back.
 //!
 //! Harmless requests that run beside it fail with it. A request that completes anywhere is cleared.
 //! Only a request that was present each time and never completed is held back.
@@ -15,15 +15,15 @@
 
 mod book;
 
-pub use book::{Book, Part, Told, REMEMBERED};
+pub use book::{Book, Cursor, Scope, RETENTION};
 
 /// The number of ended endpoints after which a request is held back. Few of the harmless requests
 /// that were present at two ends are present at a third: with 50 long streams beside such a request
 /// on nine endpoints, none was, in three runs.
-pub const MOST_ENDS: usize = 3;
+pub const ENDS_TO_HOLD_BACK: usize = 3;
 /// The number of ended endpoints from which on all boxes are told of a request. Below it only
 /// voters are: each end adds as many requests with one end as the endpoint had.
-const MIN_ENDS_TOLD_ALL: usize = MOST_ENDS - 1;
+const MIN_ENDS_TOLD_ALL: usize = ENDS_TO_HOLD_BACK - 1;
 
 /// The shortest time within which an endpoint that ended serves again, in milliseconds.
 const MIN_RESTART_MS: u64 = 100;
@@ -114,5 +114,5 @@
     pub ends: Vec<End>,
     /// Increases while the request still arrives although it is held back.
     #[serde(rename = "h", default)]
-    pub heard: u32,
+    pub arrivals: u32,
 }
--- a/src/scalewood/core/dispatch/cause.rs
+++ b/src/scalewood/core/dispatch/cause.rs
@@ -13,9 +13,9 @@
     /// The request itself could not be started in time.
     Itself,
     /// This box refuses requests of a more urgent class.
-    Here(name::Class),
+    HeldBackHere(name::Class),
     /// All boxes together refuse requests of a more urgent class.
-    Anywhere(name::Class),
+    HeldBackAnywhere(name::Class),
 }
 
 impl Cause {
@@ -23,8 +23,8 @@
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Itself => "itself",
-            Self::Here(_) => "held-back-here",
-            Self::Anywhere(_) => "held-back-anywhere",
+            Self::HeldBackHere(_) => "held-back-here",
+            Self::HeldBackAnywhere(_) => "held-back-anywhere",
         }
     }
 
@@ -32,7 +32,7 @@
     pub fn class(&self) -> Option<&name::Class> {
         match self {
             Self::Itself => None,
-            Self::Here(class) | Self::Anywhere(class) => Some(class),
+            Self::HeldBackHere(class) | Self::HeldBackAnywhere(class) => Some(class),
         }
     }
 }
--- a/src/scalewood/core/dispatch/endpoint.rs
+++ b/src/scalewood/core/dispatch/endpoint.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::core::{
-    dispatch::{message, pauses, placement, reading, zone, Settings},
+    dispatch::{message, pauses, placement, prefill, zone, Settings},
     estimate,
     load::{self, Load},
     name, registry, rendezvous, risk,
@@ -22,18 +22,18 @@
     unit, warm_up,
 };
 
+mod backoff;
 mod cost;
 mod eligible;
 mod health;
-mod home;
-mod rest;
 mod restart;
 mod ring;
+mod select;
 mod slots;
 mod throttle;
 
-pub(super) use eligible::Seeker;
-pub use eligible::Standing;
+pub use eligible::Admission;
+pub(super) use eligible::Constraints;
 pub use throttle::{Change as LimitChange, Pass};
 pub(super) use {
     cost::{Model, Prompt},
@@ -56,7 +56,7 @@
 
 /// The prompt of a run as it is counted at its endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Tokens {
+pub(super) struct Prefill {
     /// The tokens to be prefilled there: those that are not cached.
     pub(super) unread: u64,
     /// The tier of the request.
@@ -70,9 +70,9 @@
     /// The tokens of the prompt to be prefilled there.
     pub(super) unread: u64,
     /// The tokens of other prompts waiting for prefill there when the prompt was placed.
-    pub(super) ahead: reading::Ahead,
+    pub(super) ahead: prefill::Ahead,
     /// Whether the endpoint likely caches the prompt's shared prefix.
-    pub(super) kept: bool,
+    pub(super) cached: bool,
     /// The kind of placement, if the prompt was placed by its shared prefix.
     pub(super) place: Option<pauses::Place>,
 }
@@ -90,9 +90,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Overload {
     /// The predicted time to its first token.
-    pub(super) first: Duration,
+    pub(super) first_token: Duration,
     /// By how much that exceeds the limit, so how much later the caller should retry.
-    pub(super) over: Duration,
+    pub(super) excess: Duration,
 }
 
 /// Returns the placeholder zone of an endpoint that is not configured.
@@ -137,11 +137,11 @@
     /// Its zone.
     zone: name::Zone,
     /// Restrictions on sending it new requests.
-    standing: Standing,
+    admission: Admission,
     /// The start (incarnation) that this entry stands for, once it has been configured.
     start: Option<registry::Start>,
     /// The boxes that it asked to back off (`Retry-After`), with the end of each back-off.
-    rests: BTreeMap<name::Box, Duration>,
+    backoffs: BTreeMap<name::Box, Duration>,
     /// This box's lease to send to it while it warms up.
     pass: warm_up::Pass,
     /// This box's permits to send to it while it limits its request rate.
@@ -158,7 +158,7 @@
     /// The tokens of this box's prompts there that have no first token yet.
     unread: u64,
     /// For each tier, the part of `unread` that belongs to less urgent requests.
-    later: load::Later,
+    later: load::LessUrgent,
     /// The tokens of this box's prompts that it holds in memory.
     held: u64,
     /// The load of the other boxes there.
@@ -184,7 +184,7 @@
 impl Endpoint {
     /// Returns how many requests it may run at once.
     fn allowed(&self) -> u32 {
-        if !self.configured || self.leaving_since.is_some() || self.standing.cordoned {
+        if !self.configured || self.leaving_since.is_some() || self.admission.cordoned {
             return 0;
         }
         match self.state {
@@ -201,7 +201,7 @@
     }
 
     /// Subtracts a prompt whose first token has come or will never come.
-    fn subtract_unread(&mut self, prompt: Tokens) {
+    fn subtract_unread(&mut self, prompt: Prefill) {
         self.unread = self.unread.saturating_sub(prompt.unread);
         self.later.remove(prompt.tier, prompt.unread);
     }
@@ -231,10 +231,10 @@
     /// Whether it is marked as leaving.
     pub leaving: bool,
     /// Whether it is in another zone than this box; endpoints of this zone are preferred.
-    pub away: bool,
+    pub in_other_zone: bool,
     /// Its rank in an order of endpoints that is the same at all boxes and alternates between
     /// zones.
-    pub place: usize,
+    pub rank: usize,
     /// Its zone.
     pub zone: name::Zone,
     /// Whether it is slow compared with the other endpoints of its service.
@@ -242,7 +242,7 @@
     /// The capacity of its KV cache in tokens, if known.
     pub memory: Option<unit::Tokens>,
     /// Restrictions on sending it new requests.
-    pub standing: Standing,
+    pub admission: Admission,
 }
 
 /// The endpoints of a service.
@@ -261,7 +261,7 @@
     /// Whether any endpoint may be warming up.
     any_warming: bool,
     hints: HashMap<message::Prefix, slots::Hint>,
-    cached: home::Cached,
+    cached: select::Cached,
     allowed: u32,
     running: u32,
     last_refresh: Duration,
@@ -278,7 +278,7 @@
     /// The region of this box, if known.
     region: Option<name::Region>,
     /// Whether any endpoint may have asked any box to back off.
-    any_resting: bool,
+    any_backing_off: bool,
     /// Whether any endpoint may limit its request rate.
     any_limited: bool,
     /// The sum of all limits, in requests per second, if all serving endpoints have one.
@@ -289,7 +289,7 @@
     diverted_by_limit: u32,
     /// Since when this box has been issued no permits and has used an equal share of each limit
     /// instead.
-    alone_since: Option<Duration>,
+    permits_unavailable_since: Option<Duration>,
     /// The number of endpoints that are not configured.
     unconfigured: usize,
     /// When the next ejected endpoint is to be probed.
@@ -338,7 +338,7 @@
         self.any_warming = false;
         for spec in specs {
             let index = self.set_spec(spec, now, settings);
-            self.endpoints[index.0].rank = spec.place;
+            self.endpoints[index.0].rank = spec.rank;
         }
         let unconfigured = self.endpoints.iter().filter(|e| !e.configured);
         self.unconfigured = unconfigured.count();
@@ -372,22 +372,22 @@
     }
 
     fn set_spec(&mut self, spec: &Spec, now: Duration, settings: &Settings) -> Index {
-        let index = self.index_of_start(&spec.name, spec.standing.incarnation, settings);
+        let index = self.index_of_start(&spec.name, spec.admission.incarnation, settings);
         let endpoint = &mut self.endpoints[index.0];
         if !endpoint.configured {
             self.unconfigured = self.unconfigured.saturating_sub(1);
         }
         endpoint.configured = true;
         endpoint.slots = spec.slots;
-        endpoint.in_other_zone = spec.away;
+        endpoint.in_other_zone = spec.in_other_zone;
         endpoint.zone = spec.zone.clone();
-        endpoint.standing = spec.standing.clone();
+        endpoint.admission = spec.admission.clone();
         endpoint.in_other_region =
-            is_other_region(self.region.as_ref(), spec.standing.region.as_ref());
+            is_other_region(self.region.as_ref(), spec.admission.region.as_ref());
         endpoint.slow = spec.slow;
         endpoint.memory = spec.memory;
-        self.any_warming |= spec.standing.warming.is_some();
-        self.any_limited |= spec.standing.limit.is_some();
+        self.any_warming |= spec.admission.warming.is_some();
+        self.any_limited |= spec.admission.limit.is_some();
         match (spec.leaving, endpoint.leaving_since) {
             (true, None) => endpoint.leaving_since = Some(now),
             (false, Some(_)) => endpoint.leaving_since = None,
@@ -402,7 +402,7 @@
         let mut in_order: Vec<_> = configured.collect();
         in_order.sort_by_key(|endpoint| endpoint.rank);
         let slow: Vec<_> = in_order.iter().map(|endpoint| endpoint.slow).collect();
-        for (endpoint, short) in in_order.into_iter().zip(placement::part(&slow)) {
+        for (endpoint, short) in in_order.into_iter().zip(placement::partition(&slow)) {
             endpoint.for_short = short;
         }
     }
@@ -419,8 +419,8 @@
         self.ring.add(hash, index);
         let bias = rendezvous::hash(&[&settings.seed.to_string(), name.as_str()]) % MAX_BIAS;
         let mut permits = Permits::default();
-        permits.set_alone(throttle::own_share(
-            self.alone_since,
+        permits.set_fallback(throttle::own_share(
+            self.permits_unavailable_since,
             self.other_boxes,
             bias,
         ));
@@ -442,9 +442,9 @@
             rank: usize::MAX,
             hash,
             zone: unknown_zone(),
-            standing: Standing::default(),
+            admission: Admission::default(),
             start: None,
-            rests: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
             pass: warm_up::Pass::default(),
             permits,
             diverted: 0,
@@ -452,7 +452,7 @@
             for_short: true,
             memory: None,
             unread: 0,
-            later: load::Later::default(),
+            later: load::LessUrgent::default(),
             held: 0,
             others,
             pending: 0,
@@ -505,13 +505,13 @@
     }
 
     /// Sets the number of boxes that use the endpoints, including this one.
-    pub(super) fn set_sharers(&mut self, count: u32) {
+    pub(super) fn set_box_count(&mut self, count: u32) {
         self.other_boxes = count.saturating_sub(1);
     }
 
     /// Releases the slot and the prompt tokens of a run; `answered` tells whether it got its first
     /// token.
-    pub(super) fn free(&mut self, index: Index, prompt: Tokens, answered: bool) {
+    pub(super) fn free(&mut self, index: Index, prompt: Prefill, answered: bool) {
         let endpoint = &mut self.endpoints[index.0];
         endpoint.held = endpoint.held.saturating_sub(prompt.unread);
         if !answered {
@@ -560,13 +560,13 @@
                 allowed: e.allowed(),
                 ejected: matches!(e.state, State::Ejected(_)),
                 leaving: e.leaving_since.is_some(),
-                warming: e.standing.warming.map(|warming| warming.until),
+                warming: e.admission.warming.map(|warming| warming.until),
             })
     }
 
     /// Removes the unconfigured endpoints, if nothing runs. This takes linear time, so it waits
     /// until they are a fair part of all.
-    pub(super) fn forget_gone(&mut self) {
+    pub(super) fn remove_unconfigured(&mut self) {
         let is_below_threshold = self.unconfigured * REMOVAL_DIVISOR < self.endpoints.len();
         if self.running > 0 || self.unconfigured == 0 || is_below_threshold {
             return;
--- a/src/scalewood/core/dispatch/endpoint/rest.rs
+++ b/src/scalewood/core/dispatch/endpoint/backoff.rs
@@ -5,66 +5,71 @@
 
 use std::time::Duration;
 
-use super::{Seeker, Set};
-use crate::core::{name, rest};
+use super::{Constraints, Set};
+use crate::core::{backoff, name};
 
 impl Set {
     /// Records the endpoints that asked a box to back off, as that box reports them.
-    pub(in crate::core::dispatch) fn note_rests(
+    pub(in crate::core::dispatch) fn record_backoffs(
         &mut self,
         origin: &name::Box,
-        rests: &[rest::Told],
+        backoffs: &[backoff::Notice],
         now: Duration,
     ) {
-        for told in rests {
-            let Some(index) = self.names.get(&told.endpoint).copied() else {
+        for notice in backoffs {
+            let Some(index) = self.names.get(&notice.endpoint).copied() else {
                 continue;
             };
             let endpoint = &mut self.endpoints[index.0];
             // A different start of the endpoint has not asked for this.
-            if endpoint.start != Some(told.start) {
+            if endpoint.start != Some(notice.start) {
                 continue;
             }
-            endpoint.rests.insert(origin.clone(), now + told.left);
-            // What it runs now is what it can take. When the back-off ends it gets no more than
+            endpoint
+                .backoffs
+                .insert(origin.clone(), now + notice.remaining);
+            // What it runs now is what it can take. When the backoff ends it gets no more than
             // that at first, and one more with each first token.
             endpoint.ramp = endpoint.ramp.min(endpoint.running).max(1);
-            self.any_resting = true;
+            self.any_backing_off = true;
             self.rescore(index);
         }
     }
 
-    /// Removes all back-offs that a box reported.
-    pub(in crate::core::dispatch) fn forget_rests(&mut self, origin: &name::Box) {
+    /// Removes all backoffs that a box reported.
+    pub(in crate::core::dispatch) fn forget_backoffs(&mut self, origin: &name::Box) {
         for endpoint in &mut self.endpoints {
-            endpoint.rests.remove(origin);
+            endpoint.backoffs.remove(origin);
         }
     }
 
-    /// Removes the back-offs that are over.
-    pub(super) fn end_rests(&mut self, now: Duration) {
-        if !self.any_resting {
+    /// Removes the backoffs that are over.
+    pub(super) fn end_backoffs(&mut self, now: Duration) {
+        if !self.any_backing_off {
             return;
         }
-        self.any_resting = false;
+        self.any_backing_off = false;
         for endpoint in &mut self.endpoints {
-            endpoint.rests.retain(|_, until| *until > now);
-            self.any_resting |= !endpoint.rests.is_empty();
+            endpoint.backoffs.retain(|_, until| *until > now);
+            self.any_backing_off |= !endpoint.backoffs.is_empty();
         }
     }
 
     /// Returns whether any endpoint may have asked any box to back off.
-    pub(in crate::core::dispatch) fn has_rests(&self) -> bool {
-        self.any_resting
+    pub(in crate::core::dispatch) fn has_backoffs(&self) -> bool {
+        self.any_backing_off
     }
 
-    /// Returns when the first back-off ends, if all endpoints that may serve a request asked its
+    /// Returns when the first backoff ends, if all endpoints that may serve a request asked its
     /// box to back off; otherwise `None`.
-    pub(in crate::core::dispatch) fn rest_until(&self, seeker: Seeker<'_>) -> Option<Duration> {
+    pub(in crate::core::dispatch) fn backoff_until(
+        &self,
+        seeker: Constraints<'_>,
+    ) -> Option<Duration> {
         let serving = self.endpoints.iter();
         let serving = serving.filter(|e| e.configured && e.leaving_since.is_none());
         let serving = serving.filter(|e| e.may_serve(seeker.allowed));
-        let until = serving.map(|e| e.rests.get(seeker.origin).copied());
+        let until = serving.map(|e| e.backoffs.get(seeker.origin).copied());
         until.collect::<Option<Vec<_>>>()?.into_iter().min()
     }
 }
--- a/src/scalewood/core/dispatch/endpoint/cost.rs
+++ b/src/scalewood/core/dispatch/endpoint/cost.rs
@@ -8,9 +8,9 @@
 
 use std::time::Duration;
 
-use super::{Endpoint, Seeker, Set};
+use super::{Constraints, Endpoint, Set};
 use crate::core::{
-    dispatch::{message, pauses, reading},
+    dispatch::{message, pauses, prefill},
     name, unit,
 };
 
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Model<'a> {
     /// The rate at which prompts are prefilled.
-    pub(in crate::core::dispatch) reading: &'a reading::Reading,
+    pub(in crate::core::dispatch) reading: &'a prefill::Estimate,
     /// The fraction of streams that pause too long.
     pub(in crate::core::dispatch) pauses: &'a pauses::Pauses,
 }
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Prompt<'a> {
     /// The constraints of its request.
-    pub(in crate::core::dispatch) seeker: Seeker<'a>,
+    pub(in crate::core::dispatch) constraints: Constraints<'a>,
     /// Its shared prefix.
     pub(in crate::core::dispatch) placed: message::Placed,
     /// Its length in tokens, with the shared prefix.
@@ -76,20 +76,20 @@
     pub(in crate::core::dispatch) patience: Duration,
     /// Whether the caller may retry if the request is refused at once: it was not refused before
     /// and has not been sent to any endpoint.
-    pub(in crate::core::dispatch) may_return: bool,
+    pub(in crate::core::dispatch) client_may_retry: bool,
     /// The time within which the answer must be complete.
     pub(in crate::core::dispatch) deadline: Duration,
     /// The mean time for which a request of its class holds a slot.
-    pub(in crate::core::dispatch) hold: Duration,
+    pub(in crate::core::dispatch) mean_hold: Duration,
     /// The mean length of an answer of its class, in tokens or events, once one was seen.
-    pub(in crate::core::dispatch) length: Option<f64>,
+    pub(in crate::core::dispatch) mean_length: Option<f64>,
     /// Whether prompts of its class are long.
     pub(in crate::core::dispatch) long: bool,
     /// Whether it belongs to the endpoints for long prompts. Short prompts of the lower classes do,
     /// too, while the endpoints for short ones are nearly full.
     pub(in crate::core::dispatch) for_long: bool,
     /// Whether the endpoints are split into a group for short and one for long prompts.
-    pub(in crate::core::dispatch) parted: bool,
+    pub(in crate::core::dispatch) is_split: bool,
 }
 
 impl Prompt<'_> {
@@ -101,21 +101,21 @@
 
     /// Returns whether an endpoint belongs to the other group of prompt lengths.
     pub(super) fn is_foreign(&self, endpoint: &Endpoint) -> bool {
-        self.parted && endpoint.for_short == self.for_long
+        self.is_split && endpoint.for_short == self.for_long
     }
 
     /// Returns the kind of placement at an endpoint, by which pauses are counted.
     pub(super) fn place(&self, endpoint: &Endpoint) -> pauses::Place {
         pauses::Place {
             long: self.long,
-            foreign: self.parted && endpoint.for_short == self.long,
+            foreign: self.is_split && endpoint.for_short == self.long,
             slow: endpoint.slow,
         }
     }
 
     /// Returns the longest predicted time to the first token with which it is not refused.
     pub(super) fn max_first_token(&self) -> Duration {
-        if self.may_return {
+        if self.client_may_retry {
             self.patience.min(self.target.mul_f64(REFUSAL_TARGETS))
         } else {
             self.patience
@@ -193,7 +193,7 @@
 
 /// Returns the expected wait for a slot, if all boxes together hold all slots.
 fn slot_wait(endpoint: &Endpoint, prompt: &Prompt<'_>) -> Duration {
-    prompt.hold * missing_slots(endpoint) / endpoint.slots.max(1)
+    prompt.mean_hold * missing_slots(endpoint) / endpoint.slots.max(1)
 }
 
 /// Returns the number of slots missing for the runs of all boxes and one more.
@@ -209,11 +209,11 @@
     ///
     /// Without the extra time, requests leave endpoints that are merely busy and are prefilled once
     /// more at others, which under overload is more work for fewer answers.
-    pub(in crate::core::dispatch) fn patience(
+    pub(in crate::core::dispatch) fn max_silence(
         &self,
         name: &name::Endpoint,
         least: Duration,
-        reading: &reading::Reading,
+        reading: &prefill::Estimate,
         now: Duration,
     ) -> Duration {
         let Some(index) = self.names.get(name) else {
@@ -232,7 +232,7 @@
 /// Returns the probability that the answer is not complete by the deadline, at the recent pace of
 /// the endpoint. Answer lengths are assumed to be exponentially distributed, as most are.
 fn deadline_risk(endpoint: &Endpoint, prompt: &Prompt<'_>) -> f64 {
-    let (Some(pace), Some(length)) = (endpoint.seconds_per_unit.get(), prompt.length) else {
+    let (Some(pace), Some(length)) = (endpoint.seconds_per_unit.get(), prompt.mean_length) else {
         return 0.0;
     };
     let expected = pace * length;
@@ -244,10 +244,10 @@
 
 impl Endpoint {
     /// Returns the tokens of all boxes waiting for prefill there when a request of a tier arrives.
-    pub(super) fn ahead(&self, tier: unit::Tier) -> reading::Ahead {
-        let later = self.later.than(tier) + self.others.later.than(tier);
-        let unread = self.unread + self.others.unread;
-        reading::Ahead {
+    pub(super) fn ahead(&self, tier: unit::Tier) -> prefill::Ahead {
+        let later = self.later.than(tier) + self.others.less_urgent.than(tier);
+        let unread = self.unread + self.others.pending_prefill;
+        prefill::Ahead {
             sooner: unread.saturating_sub(later),
             later,
         }
@@ -255,19 +255,19 @@
 }
 
 /// Returns the time until the prefill of a prompt begins.
-fn prefill_wait(endpoint: &Endpoint, prompt: &Prompt<'_>, reading: &reading::Reading) -> Duration {
+fn prefill_wait(endpoint: &Endpoint, prompt: &Prompt<'_>, reading: &prefill::Estimate) -> Duration {
     let ahead = endpoint.ahead(prompt.tier);
     reading.wait(ahead).mul_f64(slowness(endpoint))
 }
 
 /// Returns the time to prefill everything that all boxes have waiting there.
-fn backlog_time(endpoint: &Endpoint, reading: &reading::Reading) -> Duration {
-    let backlog = endpoint.unread + endpoint.others.unread;
+fn backlog_time(endpoint: &Endpoint, reading: &prefill::Estimate) -> Duration {
+    let backlog = endpoint.unread + endpoint.others.pending_prefill;
     reading.time(backlog).mul_f64(slowness(endpoint))
 }
 
 /// Returns the risk of losing a request because the endpoint has stalled.
-fn stalled_risk(endpoint: &Endpoint, reading: &reading::Reading, now: Duration) -> f64 {
+fn stalled_risk(endpoint: &Endpoint, reading: &prefill::Estimate, now: Duration) -> f64 {
     let expected = backlog_time(endpoint, reading) * STALL_BACKLOG_FACTOR + STALL_GRACE;
     let stalled = endpoint.pending > 0 && now > endpoint.waiting_since + expected;
     if stalled {
@@ -282,7 +282,7 @@
     let Some(memory) = endpoint.memory else {
         return 0.0;
     };
-    let held = endpoint.held + endpoint.others.held + tokens;
+    let held = endpoint.held + endpoint.others.cached + tokens;
     // Both are far below 2^52, so the casts are exact.
     let part = held as f64 / memory.0.max(1) as f64;
     ((part - MEMORY_RISK_FROM) / (1.0 - MEMORY_RISK_FROM)).clamp(0.0, 1.0) * FULL_RISK
@@ -290,7 +290,7 @@
 
 /// Returns the probability that the prompt's own stream pauses too long there.
 fn pause_risk(endpoint: &Endpoint, prompt: &Prompt<'_>, model: &Model<'_>, now: Duration) -> f64 {
-    let part = model.pauses.part(prompt.place(endpoint), now);
+    let part = model.pauses.fraction(prompt.place(endpoint), now);
     if prompt.is_foreign(endpoint) {
         part.max(MIN_FOREIGN_RISK)
     } else {
@@ -309,7 +309,7 @@
             foreign,
             slow: endpoint.slow,
         };
-        model.pauses.part(place, now)
+        model.pauses.fraction(place, now)
     };
     let streams = endpoint.running + endpoint.others.running;
     f64::from(streams) * (part(true) - part(false)).max(0.0)
--- a/src/scalewood/core/dispatch/endpoint/eligible.rs
+++ b/src/scalewood/core/dispatch/endpoint/eligible.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::{Endpoint, Index, Score, Set, Tokens};
+use super::{Endpoint, Index, Prefill, Score, Set};
 use crate::core::{
     dispatch::{queue, Settings},
     invariant, name, registry, residency, throttle, warm_up,
@@ -17,7 +17,7 @@
 
 /// The operator's orders and the endpoint's own state that restrict new requests to it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct Admission {
     /// Whether its zone is cordoned, so that it gets no new requests.
     pub cordoned: bool,
     /// The region of its zone, if known.
@@ -32,14 +32,14 @@
 
 /// The properties of a request that rule out endpoints.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::core::dispatch) struct Seeker<'a> {
+pub(in crate::core::dispatch) struct Constraints<'a> {
     /// The regions where the request may be served.
     pub(in crate::core::dispatch) allowed: &'a residency::Allowed,
     /// The box that would send the request.
     pub(in crate::core::dispatch) origin: &'a name::Box,
 }
 
-impl<'a> From<&'a queue::Lane> for Seeker<'a> {
+impl<'a> From<&'a queue::Lane> for Constraints<'a> {
     fn from((allowed, origin): &'a queue::Lane) -> Self {
         Self { allowed, origin }
     }
@@ -67,24 +67,26 @@
 impl Endpoint {
     /// Returns whether a request with these allowed regions may be sent there, now or later.
     pub(super) fn may_serve(&self, allowed: &residency::Allowed) -> bool {
-        !self.standing.cordoned && allowed.permits(self.standing.region.as_ref())
+        !self.admission.cordoned && allowed.permits(self.admission.region.as_ref())
     }
 
     /// Returns whether a request may be sent there now, regardless of warm-up, rate limit and
     /// slots.
-    fn is_eligible(&self, seeker: Seeker<'_>) -> bool {
-        self.may_serve(seeker.allowed) && !self.rests.contains_key(seeker.origin)
+    fn is_eligible(&self, seeker: Constraints<'_>) -> bool {
+        self.may_serve(seeker.allowed) && !self.backoffs.contains_key(seeker.origin)
     }
 
     /// Returns its warm-up, while that lasts.
     pub(super) fn warming(&self, now: Duration) -> Option<warm_up::Warming> {
-        self.standing.warming.filter(|warming| warming.lasts(now))
+        self.admission
+            .warming
+            .filter(|warming| warming.is_active(now))
     }
 
     /// Returns whether its warm-up and its rate limit allow this box to send to it now.
     pub(super) fn may_send(&self, now: Duration) -> bool {
         let warming = self.warming(now);
-        let is_warm = warming.is_none_or(|warming| self.pass.permits(&warming, now));
+        let is_warm = warming.is_none_or(|warming| self.pass.may_send(&warming, now));
         is_warm && self.is_within_limit(now)
     }
 }
@@ -94,7 +96,7 @@
     /// choice.
     pub(super) fn eligible<'a>(
         &'a self,
-        seeker: Seeker<'a>,
+        seeker: Constraints<'a>,
         now: Duration,
     ) -> impl Iterator<Item = Eligible> + 'a {
         let ready = self.ready.iter();
@@ -112,7 +114,7 @@
     pub(super) fn eligible_at(
         &self,
         index: Index,
-        seeker: Seeker<'_>,
+        seeker: Constraints<'_>,
         now: Duration,
     ) -> Option<Eligible> {
         let endpoint = &self.endpoints[index.0];
@@ -129,7 +131,7 @@
 
     /// Returns and resets two counts: requests granted to endpoints that warm up, and requests
     /// diverted from their home because it warms up.
-    pub(in crate::core::dispatch) fn take_warm_up(&mut self) -> (u32, u32) {
+    pub(in crate::core::dispatch) fn take_warm_up_counts(&mut self) -> (u32, u32) {
         (
             std::mem::take(&mut self.sent_to_warming),
             std::mem::take(&mut self.diverted_by_warm_up),
@@ -153,7 +155,10 @@
 
     /// Returns the endpoints of this zone that warm up with their recent diverted requests, the
     /// highest count first.
-    pub(in crate::core::dispatch) fn wants(&mut self, now: Duration) -> Vec<(u32, name::Endpoint)> {
+    pub(in crate::core::dispatch) fn wanted_leases(
+        &mut self,
+        now: Duration,
+    ) -> Vec<(u32, name::Endpoint)> {
         if !self.any_warming {
             return Vec::new();
         }
@@ -175,7 +180,7 @@
     /// Returns whether a request may be sent to some endpoint with a free slot.
     pub(in crate::core::dispatch) fn has_free_for(
         &self,
-        seeker: Seeker<'_>,
+        seeker: Constraints<'_>,
         now: Duration,
     ) -> bool {
         self.eligible(seeker, now).next().is_some()
@@ -186,7 +191,7 @@
     pub(in crate::core::dispatch) fn permits(
         &self,
         index: Index,
-        seeker: Seeker<'_>,
+        seeker: Constraints<'_>,
         now: Duration,
     ) -> bool {
         let endpoint = &self.endpoints[index.0];
@@ -194,7 +199,7 @@
     }
 
     /// Returns whether no endpoint may serve a request, even once slots become free.
-    pub(in crate::core::dispatch) fn is_hopeless(&self, allowed: &residency::Allowed) -> bool {
+    pub(in crate::core::dispatch) fn is_unservable(&self, allowed: &residency::Allowed) -> bool {
         let serving = |e: &&Endpoint| e.configured && e.leaving_since.is_none();
         let mut serving = self.endpoints.iter().filter(serving);
         !serving.any(|endpoint| endpoint.may_serve(allowed))
@@ -204,18 +209,18 @@
     pub(in crate::core::dispatch) fn has_cordoned(&self, allowed: &residency::Allowed) -> bool {
         let serving = |e: &&Endpoint| e.configured && e.leaving_since.is_none();
         let mut serving = self.endpoints.iter().filter(serving);
-        serving.any(|e| e.standing.cordoned && allowed.permits(e.standing.region.as_ref()))
+        serving.any(|e| e.admission.cordoned && allowed.permits(e.admission.region.as_ref()))
     }
 
     /// Takes a slot for a prompt.
-    pub(super) fn grant(&mut self, to: Eligible, prompt: Tokens, now: Duration) {
+    pub(super) fn grant(&mut self, to: Eligible, prompt: Prefill, now: Duration) {
         self.check_grant(to.index, now);
         let endpoint = &mut self.endpoints[to.index.0];
         if let Some(warming) = endpoint.warming(now) {
             endpoint.pass.take(&warming, now);
             self.sent_to_warming += 1;
         }
-        if let Some(limit) = endpoint.standing.limit {
+        if let Some(limit) = endpoint.admission.limit {
             endpoint.permits.take(limit, now);
         }
         self.take(to.index, prompt, now);
@@ -226,7 +231,7 @@
     pub(in crate::core::dispatch) fn adopt(
         &mut self,
         name: &name::Endpoint,
-        prompt: Tokens,
+        prompt: Prefill,
         answered: bool,
         now: Duration,
         settings: &Settings,
@@ -234,7 +239,7 @@
         let index = self.index_or_add(name, settings);
         self.take(index, prompt, now);
         if answered {
-            self.answered(index, prompt, now);
+            self.record_first_token(index, prompt, now);
         }
         index
     }
@@ -249,7 +254,7 @@
             || format!("grant to leaving endpoint {}", endpoint.name),
         );
         invariant::check(
-            !endpoint.standing.cordoned,
+            !endpoint.admission.cordoned,
             invariant::Rule::CordonedGrant,
             || {
                 format!(
@@ -280,7 +285,7 @@
         );
     }
 
-    fn take(&mut self, index: Index, prompt: Tokens, now: Duration) {
+    fn take(&mut self, index: Index, prompt: Prefill, now: Duration) {
         let endpoint = &mut self.endpoints[index.0];
         if endpoint.pending == 0 {
             endpoint.waiting_since = now;
--- a/src/scalewood/core/dispatch/endpoint/health.rs
+++ b/src/scalewood/core/dispatch/endpoint/health.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::{Endpoint, Index, Set, State, Tokens, MAX_RISK_PENALTY};
+use super::{Endpoint, Index, Prefill, Set, State, MAX_RISK_PENALTY};
 use crate::core::{dispatch::Settings, load, rendezvous, risk};
 
 /// The sum of weights of consecutive failures at which an endpoint is ejected.
@@ -21,14 +21,14 @@
 impl Endpoint {
     /// Records a failed request; `weight`, from 0 to 1, scales its effect on the risk.
     fn raise_risk(&mut self, weight: f64, now: Duration) {
-        self.risk.raise(weight, now);
+        self.risk.record_failure(weight, now);
         self.outcomes.failed += 1;
         self.refresh_risk_penalty(now);
     }
 
     /// Records a request that got its first token.
     fn lower_risk(&mut self, now: Duration) {
-        self.risk.lower(now);
+        self.risk.record_answer(now);
         self.outcomes.answered += 1;
         self.refresh_risk_penalty(now);
     }
@@ -50,7 +50,7 @@
     }
 
     /// Records that an attempt succeeded.
-    pub(in crate::core::dispatch) fn succeeded(&mut self, index: Index) {
+    pub(in crate::core::dispatch) fn record_success(&mut self, index: Index) {
         let endpoint = &mut self.endpoints[index.0];
         endpoint.failures = 0;
         endpoint.state = State::Active;
@@ -63,10 +63,10 @@
     }
 
     /// Records that an attempt got its first token, which raises the endpoint's slow-start limit.
-    pub(in crate::core::dispatch) fn answered(
+    pub(in crate::core::dispatch) fn record_first_token(
         &mut self,
         index: Index,
-        prompt: Tokens,
+        prompt: Prefill,
         now: Duration,
     ) {
         let endpoint = &mut self.endpoints[index.0];
@@ -75,7 +75,7 @@
         endpoint.waiting_since = now;
         endpoint.lower_risk(now);
         self.unreported.insert(index);
-        self.zones.reached(&endpoint.zone);
+        self.zones.record_answer(&endpoint.zone);
         if endpoint.state == State::Active && endpoint.ramp < endpoint.slots {
             endpoint.ramp = endpoint.ramp.saturating_add(1);
             self.rescore(index);
@@ -83,7 +83,7 @@
     }
 
     /// Records that an attempt failed; a higher `weight` means clearer evidence of a fault.
-    pub(in crate::core::dispatch) fn failed(
+    pub(in crate::core::dispatch) fn record_failure(
         &mut self,
         index: Index,
         weight: u32,
@@ -92,7 +92,7 @@
     ) {
         let failed = &self.endpoints[index.0];
         if failed.in_other_zone {
-            self.zones.missed(&failed.zone, index.0, now);
+            self.zones.record_failure(&failed.zone, index.0, now);
         }
         let ejected = self
             .endpoints
@@ -121,7 +121,7 @@
 
     /// Records that a caller left before the first token: the endpoint may have lost the request or
     /// be busy.
-    pub(in crate::core::dispatch) fn suspected(&mut self, index: Index, now: Duration) {
+    pub(in crate::core::dispatch) fn record_abandoned(&mut self, index: Index, now: Duration) {
         /// The weight of this beside a failure.
         const SUSPICION_WEIGHT: f64 = 0.75;
         self.endpoints[index.0].raise_risk(SUSPICION_WEIGHT, now);
@@ -132,7 +132,7 @@
     /// Records that another endpoint answered at its address. It gets no more requests from this
     /// box, and the failure is reported to other boxes, each of which would otherwise learn it from
     /// a request of its own.
-    pub(in crate::core::dispatch) fn mistaken(&mut self, index: Index, now: Duration) {
+    pub(in crate::core::dispatch) fn record_wrong_endpoint(&mut self, index: Index, now: Duration) {
         let endpoint = &mut self.endpoints[index.0];
         endpoint.raise_risk(1.0, now);
         self.unreported.insert(index);
@@ -147,7 +147,7 @@
                 continue;
             };
             let endpoint = &mut self.endpoints[index.0];
-            endpoint.risk = risk::Risk::told(reported.chance, now);
+            endpoint.risk = risk::Risk::from_report(reported.chance, now);
             endpoint.refresh_risk_penalty(now);
             self.rescore(index);
         }
@@ -169,7 +169,7 @@
 
     /// Updates everything that depends on time.
     pub(in crate::core::dispatch) fn tick(&mut self, now: Duration) {
-        self.end_rests(now);
+        self.end_backoffs(now);
         if self.probe_at.is_some_and(|at| at <= now) {
             self.probe_ejected(now);
         }
@@ -244,7 +244,7 @@
 /// up to a half, so that many endpoints do not come back at once.
 fn ejection_time(endpoint: &Endpoint, settings: &Settings) -> Duration {
     let doubled = settings
-        .ejection
+        .base_ejection
         .saturating_mul(1 << endpoint.ejections.min(5));
     let seed = rendezvous::hash(&[endpoint.name.as_str(), &endpoint.ejections.to_string()]);
     // The remainder is below 1000, so the cast is exact.
--- a/src/scalewood/core/dispatch/endpoint/home.rs
+++ b/src/scalewood/core/dispatch/endpoint/select.rs
@@ -10,7 +10,7 @@
 use super::{
     cost::{self, Cost, Model, Prompt},
     eligible::Eligible,
-    Choice, Index, Overload, Set, Tokens, Unplaced,
+    Choice, Index, Overload, Prefill, Set, Unplaced,
 };
 use crate::core::{
     dispatch::message,
@@ -95,9 +95,9 @@
     /// Whether it likely caches the prompt's shared prefix.
     cached: bool,
     /// The predicted time to the first token there.
-    first: Duration,
-    /// By how much `first` exceeds the limit above which the prompt is refused.
-    over: Duration,
+    first_token: Duration,
+    /// By how much `first_token` exceeds the limit above which the prompt is refused.
+    excess: Duration,
 }
 
 impl Set {
@@ -111,29 +111,32 @@
     ) -> Result<Choice, Unplaced> {
         let candidates = self.candidates(prompt, now);
         let mut best = self.best_of(&candidates, prompt, model, avoid, now);
-        let is_late = best.as_ref().is_none_or(|best| !best.over.is_zero());
+        let is_late = best.as_ref().is_none_or(|best| !best.excess.is_zero());
         if is_late && self.ready.len() > MAX_COMPARED {
             // Other endpoints may have room, though they do not cache the prefix.
-            let others = self.eligible(prompt.seeker, now).take(MAX_FURTHER);
+            let others = self.eligible(prompt.constraints, now).take(MAX_FURTHER);
             let wider: Vec<_> = candidates.into_iter().chain(others).collect();
             best = self.best_of(&wider, prompt, model, avoid, now);
         }
         let Best {
             chosen,
             cached: is_cached,
-            first,
-            over,
+            first_token: first,
+            excess: over,
         } = best.ok_or(Unplaced::NoSlot)?;
         let index = chosen.index();
         if !over.is_zero() {
-            return Err(Unplaced::Overload(Overload { first, over }));
+            return Err(Unplaced::Overload(Overload {
+                first_token: first,
+                excess: over,
+            }));
         }
         let prefix = prompt.placed.prefix;
         if self.cached.note(prefix, index, now) {
             self.cached.unreported.push((prefix, index));
         }
         let choice = self.choice(index, prompt, is_cached);
-        let taken = Tokens {
+        let taken = Prefill {
             unread: choice.unread,
             tier: prompt.tier,
         };
@@ -186,8 +189,8 @@
         Some(Best {
             chosen,
             cached,
-            first,
-            over: first.saturating_sub(prompt.max_first_token()),
+            first_token: first,
+            excess: first.saturating_sub(prompt.max_first_token()),
         })
     }
 
@@ -195,10 +198,10 @@
     /// otherwise the prefix's candidates on the ring and those that likely cache the prefix.
     fn candidates(&self, prompt: &Prompt<'_>, now: Duration) -> Vec<Eligible> {
         if self.ready.len() <= MAX_COMPARED {
-            return self.eligible(prompt.seeker, now).collect();
+            return self.eligible(prompt.constraints, now).collect();
         }
         let prefix = prompt.placed.prefix;
-        let at = |index| self.eligible_at(index, prompt.seeker, now);
+        let at = |index| self.eligible_at(index, prompt.constraints, now);
         let mut candidates = self.ring.candidates(prefix.0, |index| at(index).is_some());
         candidates.extend(self.cached.places(prefix, now));
         candidates.into_iter().filter_map(at).collect()
@@ -231,7 +234,7 @@
             endpoint: index,
             unread: prompt.unread(kept),
             ahead: endpoint.ahead(prompt.tier),
-            kept,
+            cached: kept,
             place: Some(prompt.place(endpoint)),
         }
     }
@@ -242,7 +245,7 @@
     }
 
     /// Records the placements of other boxes.
-    pub(in crate::core::dispatch) fn note_placed(
+    pub(in crate::core::dispatch) fn record_placed(
         &mut self,
         placements: &[load::Placement],
         now: Duration,
@@ -269,7 +272,7 @@
     }
 
     /// Returns the fraction of the slots of the endpoints for short prompts that is in use.
-    pub(in crate::core::dispatch) fn crowding(&self) -> f64 {
+    pub(in crate::core::dispatch) fn short_prompt_utilisation(&self) -> f64 {
         let parted = self.endpoints.iter();
         let parted = parted.filter(|e| e.configured && e.for_short);
         let (own, others, slots) = parted.fold((0, 0, 0), |(own, others, slots), e| {
@@ -318,9 +321,9 @@
         loaded.map(|index| {
             let endpoint = &self.endpoints[index.0];
             let load = Load {
-                unread: endpoint.unread,
-                later: endpoint.later,
-                held: endpoint.held,
+                pending_prefill: endpoint.unread,
+                less_urgent: endpoint.later,
+                cached: endpoint.held,
                 running: endpoint.running,
             };
             (endpoint.name.clone(), load)
--- a/src/scalewood/core/dispatch/endpoint/slots.rs
+++ b/src/scalewood/core/dispatch/endpoint/slots.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use super::{eligible::Eligible, Choice, Index, Seeker, Set, Tokens};
+use super::{eligible::Eligible, Choice, Constraints, Index, Prefill, Set};
 use crate::core::{
-    dispatch::{reading, Settings},
+    dispatch::{prefill, Settings},
     name,
     prompt::Prefix,
 };
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Wanted<'a> {
     /// The constraints of the request.
-    pub(in crate::core::dispatch) seeker: Seeker<'a>,
+    pub(in crate::core::dispatch) constraints: Constraints<'a>,
     /// The prompt's prefix, if the request benefits from an engine's prefix cache.
     pub(in crate::core::dispatch) prefix: Option<Prefix>,
     /// The endpoint to use only if no other is free.
@@ -39,7 +39,7 @@
         now: Duration,
         settings: &Settings,
     ) -> Option<Choice> {
-        let mut candidates = self.eligible(wanted.seeker, now).take(2);
+        let mut candidates = self.eligible(wanted.constraints, now).take(2);
         let mut best = candidates.next()?;
         if self.is_avoided(best.index(), &wanted) {
             best = candidates.next().unwrap_or(best);
@@ -47,15 +47,15 @@
         drop(candidates);
         let chosen = self.hinted(best, &wanted, now, settings).unwrap_or(best);
         let index = chosen.index();
-        self.grant(chosen, Tokens::default(), now);
+        self.grant(chosen, Prefill::default(), now);
         if let Some(prefix) = wanted.prefix {
-            self.hint(prefix, index, now + settings.hint_life);
+            self.hint(prefix, index, now + settings.hint_ttl);
         }
         Some(Choice {
             endpoint: index,
             unread: 0,
-            ahead: reading::Ahead::default(),
-            kept: false,
+            ahead: prefill::Ahead::default(),
+            cached: false,
             place: None,
         })
     }
@@ -78,7 +78,7 @@
         let hint = self.hints.get(&wanted.prefix?);
         let index = hint.filter(|hint| hint.until > now)?.index;
         let most = best.score() + settings.hint_slack;
-        let mut near = self.eligible(wanted.seeker, now);
+        let mut near = self.eligible(wanted.constraints, now);
         let hinted = near.find(|eligible| eligible.index() == index)?;
         (!self.is_avoided(index, wanted) && hinted.score() <= most).then_some(hinted)
     }
--- a/src/scalewood/core/dispatch/endpoint/throttle.rs
+++ b/src/scalewood/core/dispatch/endpoint/throttle.rs
@@ -5,7 +5,7 @@
 use super::{Endpoint, Set, MAX_BIAS};
 use crate::core::{
     name, registry,
-    throttle::{Alone, Limit, Wanted},
+    throttle::{Fallback, Limit, Wanted},
 };
 
 /// The time, in seconds, for whose expected requests permits are requested in advance: a few
@@ -44,26 +44,26 @@
 
 /// Returns a box's own share of an endpoint's limit while no permits are issued. The bias shifts
 /// its own permits in time against those of other boxes.
-pub(super) fn own_share(since: Option<Duration>, other_boxes: u32, bias: u64) -> Option<Alone> {
-    let alone = |since| Alone {
+pub(super) fn own_share(since: Option<Duration>, other_boxes: u32, bias: u64) -> Option<Fallback> {
+    let fallback = |since| Fallback {
         since,
         boxes: other_boxes + 1,
         // Both are small, so the casts are exact.
         phase: bias as f64 / MAX_BIAS as f64,
     };
-    since.map(alone)
+    since.map(fallback)
 }
 
 impl Endpoint {
     /// Returns whether the rate limit, if any, allows this box to send to it now.
     pub(super) fn is_within_limit(&self, now: Duration) -> bool {
-        let limit = self.standing.limit;
-        limit.is_none_or(|limit| self.permits.permits(limit, now))
+        let limit = self.admission.limit;
+        limit.is_none_or(|limit| self.permits.may_send(limit, now))
     }
 
     /// Returns whether it serves requests and has a rate limit.
     fn is_limited(&self) -> bool {
-        self.configured && self.leaving_since.is_none() && self.standing.limit.is_some()
+        self.configured && self.leaving_since.is_none() && self.admission.limit.is_some()
     }
 }
 
@@ -76,7 +76,7 @@
             };
             let endpoint = &mut self.endpoints[index.0];
             if endpoint.start == Some(change.start) {
-                endpoint.standing.limit = change.limit;
+                endpoint.admission.limit = change.limit;
                 self.any_limited |= change.limit.is_some();
             }
         }
@@ -95,11 +95,11 @@
     }
 
     /// Sets since when this box has been issued no permits; `None` while it is issued some.
-    pub(in crate::core::dispatch) fn set_alone(&mut self, since: Option<Duration>) {
-        self.alone_since = since;
+    pub(in crate::core::dispatch) fn set_permits_unavailable(&mut self, since: Option<Duration>) {
+        self.permits_unavailable_since = since;
         for endpoint in &mut self.endpoints {
-            let alone = own_share(since, self.other_boxes, endpoint.bias);
-            endpoint.permits.set_alone(alone);
+            let fallback = own_share(since, self.other_boxes, endpoint.bias);
+            endpoint.permits.set_fallback(fallback);
         }
     }
 
@@ -109,7 +109,7 @@
             return;
         }
         let serving = self.endpoints.iter().filter(|e| e.allowed() > 0);
-        let limits = serving.map(|e| e.standing.limit.map(Limit::per_second));
+        let limits = serving.map(|e| e.admission.limit.map(Limit::per_second));
         let (mut sum, mut all, mut any) = (0.0, true, false);
         for limit in limits {
             sum += limit.unwrap_or_default();
@@ -123,7 +123,7 @@
     /// Returns the requests per second that this box may send if all serving endpoints limit
     /// theirs: its equal share of all limits, or the rate at which it is issued permits if that is
     /// well above the share.
-    pub(in crate::core::dispatch) fn throttled(&self, now: Duration) -> Option<f64> {
+    pub(in crate::core::dispatch) fn sendable_rate(&self, now: Duration) -> Option<f64> {
         let share = self.limit_sum? / f64::from(self.other_boxes + 1);
         let issued = self.issue_rate.rate(now);
         Some(if issued > share * MIN_ISSUED_FACTOR {
@@ -134,7 +134,7 @@
     }
 
     /// Returns and resets the number of requests diverted from their home by its limit.
-    pub(in crate::core::dispatch) fn take_limited(&mut self) -> u32 {
+    pub(in crate::core::dispatch) fn take_limit_diversions(&mut self) -> u32 {
         std::mem::take(&mut self.diverted_by_limit)
     }
 
--- a/src/scalewood/core/dispatch/grant.rs
+++ b/src/scalewood/core/dispatch/grant.rs
@@ -56,43 +56,43 @@
         now: Duration,
     ) -> Result<endpoint::Choice, endpoint::Unplaced> {
         let avoid = ask.avoid.as_ref();
-        let seeker = endpoint::Seeker {
+        let seeker = endpoint::Constraints {
             allowed: &ask.allowed,
             origin,
         };
         let Some(placed) = ask.placed else {
             let wanted = endpoint::Wanted {
-                seeker,
+                constraints: seeker,
                 prefix: ask.prefix,
                 avoid,
             };
             let chosen = self.endpoints.choose(wanted, now, &self.settings);
             return chosen.ok_or(endpoint::Unplaced::NoSlot);
         };
-        let parted = self.placement.is_partitioned(&self.reading);
-        let crowding = self.endpoints.crowding();
+        let parted = self.placement.is_partitioned(&self.prefill);
+        let crowding = self.endpoints.short_prompt_utilisation();
         let crowded = self.placement.update_crowding(crowding);
-        let long = self.placement.is_long(&ask.class, &self.reading);
+        let long = self.placement.is_long(&ask.class, &self.prefill);
         let class = self.classes.get(&ask.class);
         let hold = class.map_or(class::MIN_HOLD_S, |class| class.mean_hold_s);
         let remaining = |limit: Duration| limit.saturating_sub(ask.age);
         let prompt = endpoint::Prompt {
-            seeker,
+            constraints: seeker,
             placed,
             tokens: ask.prompt.0,
             tier: ask.tier,
             target: ask.target,
             patience: remaining(ask.patience.unwrap_or(ask.deadline)),
-            may_return: ask.attempt.number == 0 && !ask.returned,
+            client_may_retry: ask.attempt.number == 0 && !ask.returned,
             deadline: remaining(ask.deadline),
-            hold: Duration::from_secs_f64(hold),
-            length: class.and_then(|class| class.length.get()),
+            mean_hold: Duration::from_secs_f64(hold),
+            mean_length: class.and_then(|class| class.length.get()),
             long,
             for_long: long || (crowded && !self.is_most_urgent_short(&ask.class)),
-            parted,
+            is_split: parted,
         };
         let model = endpoint::Model {
-            reading: &self.reading,
+            reading: &self.prefill,
             pauses: &self.pauses,
         };
         self.endpoints.choose_home(&prompt, &model, avoid, now)
@@ -100,7 +100,7 @@
 
     /// Returns whether no endpoint is ruled out for a lane that another lane may use.
     pub(super) fn is_unrestricted(&self, (allowed, _): &queue::Lane) -> bool {
-        allowed.is_everywhere() && !self.endpoints.has_rests()
+        allowed.is_everywhere() && !self.endpoints.has_backoffs()
     }
 
     /// Returns what holds a request back while more urgent ones are refused. A request that was
@@ -117,7 +117,7 @@
         let short = self
             .classes
             .iter()
-            .filter(|(name, _)| !self.placement.is_long(name, &self.reading));
+            .filter(|(name, _)| !self.placement.is_long(name, &self.prefill));
         let first = short.map(|(_, class)| class.tier).min();
         self.classes.get(class).map(|class| class.tier) == first
     }
@@ -161,7 +161,7 @@
         let preceded = self.refusals.count_precedence(&waiting.ask, true, now);
         let is_new = attempt.number == 0;
         if is_new {
-            self.refusals.note_begun(&waiting.ask, now);
+            self.refusals.record_started(&waiting.ask, now);
         }
         invariant::check(!(preceded && is_new), invariant::Rule::Precedence, || {
             format!("{attempt} begins while a more urgent class is refused")
@@ -185,7 +185,7 @@
             granted: now,
             unread: choice.unread,
             ahead: choice.ahead,
-            kept: choice.kept,
+            kept: choice.cached,
             place: choice.place,
             paused: false,
             started: false,
--- a/src/scalewood/core/dispatch/message.rs
+++ b/src/scalewood/core/dispatch/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::{attempt, name, residency, rest, unit};
+use crate::core::{attempt, backoff, name, residency, unit};
 
 pub use crate::core::prompt::{Placed, Prefix};
 
@@ -51,11 +51,11 @@
     pub avoid: Option<name::Endpoint>,
     /// How long the run will hold its slot, if that is known in advance.
     pub hold: Option<Duration>,
-    /// The endpoints that asked this box for a rest (`Retry-After`), if the dispatcher may not
+    /// The endpoints that asked this box for a backoff (`Retry-After`), if the dispatcher may not
     /// know of it yet. It only saves grants that the box would give back: a dispatcher may
     /// ignore it.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub rests: Vec<rest::Told>,
+    #[serde(rename = "rests", default, skip_serializing_if = "Vec::is_empty")]
+    pub backoffs: Vec<backoff::Notice>,
 }
 
 /// A run that an entry box holds, announced to a new dispatcher.
--- a/src/scalewood/core/dispatch/mod.rs
+++ b/src/scalewood/core/dispatch/mod.rs
@@ -37,47 +37,47 @@
 mod placement;
 mod precedence;
 mod preempt;
+mod prefill;
 mod queue;
-mod reading;
 mod reserve;
 mod run;
 mod share;
 mod shed;
-mod shown;
 pub mod spill;
+mod status;
 mod work;
 mod zone;
 
 pub use cause::Cause;
-pub use endpoint::{LimitChange, Pass, Spec, Standing, View};
+pub use endpoint::{Admission, LimitChange, Pass, Spec, View};
 pub use message::{Ask, End, Held, Order, Placed, Prefix, Reason, Report};
 pub use placement::LONG_PROMPT;
-pub use precedence::{Met, Precedence};
+pub use precedence::{Precedence, Tally};
 
 /// Settings of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// How long an unused grant is valid.
-    pub grant_life: Duration,
+    pub grant_ttl: Duration,
     /// The longest that a new dispatcher waits for a live box to announce its runs. A dead or
     /// frozen box stops counting as alive long before.
-    pub settle: Duration,
+    pub settle_timeout: Duration,
     /// The most requests in the queue.
     pub max_waiting: usize,
     /// How long before its due time a request may preempt a run.
     pub preempt_lead: Duration,
     /// How long a run of a class is expected to hold a slot before any has ended.
-    pub first_guess: Duration,
+    pub initial_hold: Duration,
     /// The largest fraction of the endpoints that may be ejected at once.
     pub max_ejected: f64,
     /// How long an endpoint is ejected the first time; doubled each further time.
-    pub ejection: Duration,
+    pub base_ejection: Duration,
     /// The longest that an endpoint is ejected.
     pub max_ejection: Duration,
     /// Slots that a new endpoint may use before its first success.
     pub ramp: u32,
     /// How long a prefix is assumed to stay cached.
-    pub hint_life: Duration,
+    pub hint_ttl: Duration,
     /// How much more utilised, in thousandths of its slots, an endpoint that caches the prefix
     /// may be and still be chosen.
     pub hint_slack: u64,
@@ -90,16 +90,16 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            grant_life: Duration::from_secs(2),
-            settle: Duration::from_secs(10),
+            grant_ttl: Duration::from_secs(2),
+            settle_timeout: Duration::from_secs(10),
             max_waiting: 20_000,
             preempt_lead: Duration::from_millis(60),
-            first_guess: Duration::from_secs(1),
+            initial_hold: Duration::from_secs(1),
             max_ejected: 0.5,
-            ejection: Duration::from_secs(1),
+            base_ejection: Duration::from_secs(1),
             max_ejection: Duration::from_secs(30),
             ramp: 8,
-            hint_life: Duration::from_secs(120),
+            hint_ttl: Duration::from_secs(120),
             hint_slack: 250,
             seed: 0,
             region: None,
@@ -120,7 +120,7 @@
     Configure(Vec<Spec>, BTreeMap<name::Class, config::Class>),
     /// Endpoints that are new or have changed, and endpoints that are no longer configured.
     /// What depends on the whole set stays as it is until the next `Configure`.
-    Changed(Vec<Spec>, Vec<name::Endpoint>),
+    EndpointsChanged(Vec<Spec>, Vec<name::Endpoint>),
     /// Whether an endpoint is leaving.
     Leaving(name::Endpoint, bool),
     /// How many requests wait inside an endpoint, by its own report.
@@ -128,23 +128,23 @@
     /// Whether an endpoint caches a prefix, by its own report.
     Cached(name::Endpoint, Prefix, bool),
     /// An entry box has been disconnected for too long: its requests are void.
-    Gone(name::Box),
+    BoxGone(name::Box),
     /// The live entry boxes of the zone. The requests of all others are void.
-    Boxes(BTreeSet<name::Box>),
+    LiveBoxes(BTreeSet<name::Box>),
     /// How many boxes dispatch to the same endpoints, including this one.
     Sharers(u32),
     /// The load that the other boxes put on the endpoints, if it is known.
-    Others(Option<load::Loads>),
+    OtherLoads(Option<load::Loads>),
     /// The load that the other boxes put on some endpoints; replaces what was known of these.
-    OthersChanged(Vec<load::Loaded>),
+    OtherLoadsChanged(Vec<load::Loaded>),
     /// Prefixes that other boxes have recently placed; those at endpoints of other services are
     /// ignored.
-    Placed(Vec<load::Placement>),
+    Placements(Vec<load::Placement>),
     /// How likely requests fail at endpoints, as observed by all boxes together.
     Risks(Vec<load::Risk>),
     /// The prompt sizes of classes, as observed by all boxes together; classes of other
     /// services are ignored.
-    Prompts(Vec<load::Prompts>),
+    PromptSizes(Vec<load::Prompts>),
     /// All bounds on less urgent requests of this service that follow from refusals at any box.
     Bounds(Vec<load::Bound>),
     /// The warming endpoints that this box may send to, the time until which it may, and the
@@ -157,7 +157,7 @@
     Permits(Vec<Pass>),
     /// Since when no voter issues permits, if none does: this box then uses its own part of
     /// each limit.
-    Alone(Option<Duration>),
+    PermitsUnavailable(Option<Duration>),
     /// Time has passed.
     Tick,
 }
@@ -175,7 +175,7 @@
     classes: HashMap<name::Class, class::Class>,
     shares: share::Shares,
     placement: placement::Placement,
-    reading: reading::Reading,
+    prefill: prefill::Estimate,
     pauses: pauses::Pauses,
     refusals: precedence::Refusals,
     causes: cause::Causes,
@@ -223,7 +223,7 @@
 impl Dispatcher {
     /// Creates a dispatcher that has yet to settle.
     pub fn new(settings: Settings, now: Duration) -> Self {
-        let settled_at = now + settings.settle;
+        let settled_at = now + settings.settle_timeout;
         Self {
             endpoints: endpoint::Set::new(settings.region.clone()),
             settings,
@@ -232,7 +232,7 @@
             classes: HashMap::new(),
             shares: share::Shares::default(),
             placement: placement::Placement::default(),
-            reading: reading::Reading::default(),
+            prefill: prefill::Estimate::default(),
             pauses: pauses::Pauses::default(),
             refusals: precedence::Refusals::default(),
             causes: cause::Causes::default(),
@@ -252,24 +252,24 @@
         match input {
             Input::Report(origin, report) => self.report(origin, report, now),
             Input::Configure(specs, classes) => self.configure(&specs, &classes, now),
-            Input::Changed(specs, gone) => {
+            Input::EndpointsChanged(specs, gone) => {
                 self.endpoints.change(&specs, &gone, now, &self.settings);
                 self.shed_unservable();
             }
             Input::Leaving(name, leaving) => self.endpoints.set_leaving(&name, leaving, now),
             Input::Backlog(name, waiting) => self.endpoints.set_backlog(&name, waiting),
             Input::Cached(name, prefix, cached) => {
-                let until = now + self.settings.hint_life;
+                let until = now + self.settings.hint_ttl;
                 self.endpoints.set_cached(&name, prefix, cached, until);
             }
-            Input::Gone(origin) => self.drop_box(&origin),
-            Input::Boxes(alive) => self.set_boxes(alive),
-            Input::Sharers(count) => self.endpoints.set_sharers(count),
-            Input::Others(loads) => self.endpoints.set_others(loads.as_ref()),
-            Input::OthersChanged(changed) => self.endpoints.change_others(&changed),
-            Input::Placed(placements) => self.endpoints.note_placed(&placements, now),
+            Input::BoxGone(origin) => self.drop_box(&origin),
+            Input::LiveBoxes(alive) => self.set_boxes(alive),
+            Input::Sharers(count) => self.endpoints.set_box_count(count),
+            Input::OtherLoads(loads) => self.endpoints.set_others(loads.as_ref()),
+            Input::OtherLoadsChanged(changed) => self.endpoints.change_others(&changed),
+            Input::Placements(placements) => self.endpoints.record_placed(&placements, now),
             Input::Risks(risks) => self.endpoints.set_risks(&risks, now),
-            Input::Prompts(mut prompts) => {
+            Input::PromptSizes(mut prompts) => {
                 prompts.retain(|seen| self.classes.contains_key(&seen.class));
                 self.placement.set_sizes(&prompts);
             }
@@ -279,7 +279,7 @@
             }
             Input::Limits(changes) => self.endpoints.set_limits(&changes),
             Input::Permits(passes) => self.endpoints.take_permits(&passes, now),
-            Input::Alone(since) => self.endpoints.set_alone(since),
+            Input::PermitsUnavailable(since) => self.endpoints.set_permits_unavailable(since),
             Input::Tick => self.tick(now),
         }
         self.grant(now);
@@ -314,7 +314,7 @@
     }
 
     fn class(&mut self, name: &name::Class, tier: unit::Tier) -> &mut class::Class {
-        let guess = self.settings.first_guess;
+        let guess = self.settings.initial_hold;
         self.classes
             .entry(name.clone())
             .or_insert_with(|| class::Class::new(guess, tier))
@@ -349,12 +349,12 @@
             return;
         }
         self.request_rate.add(1, now);
-        self.endpoints.note_rests(&origin, &ask.rests, now);
+        self.endpoints.record_backoffs(&origin, &ask.backoffs, now);
         if ask.placed.is_some() {
             self.placement.record(&ask);
         }
         if attempt.number == 0 {
-            self.refusals.note_asked(&ask, now);
+            self.refusals.record_arrived(&ask, now);
         }
         let class = self.class(&ask.class, ask.tier);
         let hold = ask
@@ -383,11 +383,11 @@
         let waited = now.saturating_sub(run.granted);
         let (endpoint, prompt) = (run.endpoint, run.prompt());
         if !already && run.place.is_some_and(|place| !place.slow) {
-            self.reading.observe(run.ahead, prompt.unread, waited);
+            self.prefill.observe(run.ahead, prompt.unread, waited);
         }
         self.class(&name, tier).observe_first_token(waited);
         if !already {
-            self.endpoints.answered(endpoint, prompt, now);
+            self.endpoints.record_first_token(endpoint, prompt, now);
         }
     }
 
@@ -400,28 +400,31 @@
         match end {
             End::Done => self.done(&run, tokens, now),
             End::Unreachable | End::Silent => {
-                self.endpoints.failed(run.endpoint, 2, now, &self.settings);
+                self.endpoints
+                    .record_failure(run.endpoint, 2, now, &self.settings);
             }
-            End::Mistaken => self.endpoints.mistaken(run.endpoint, now),
-            End::Broken => self.endpoints.failed(run.endpoint, 1, now, &self.settings),
+            End::Mistaken => self.endpoints.record_wrong_endpoint(run.endpoint, now),
+            End::Broken => self
+                .endpoints
+                .record_failure(run.endpoint, 1, now, &self.settings),
             End::Cancelled if run.is_unanswered(now) => {
                 if run.is_overdue(now) {
-                    self.refusals.note_lost(&run.ask, now);
+                    self.refusals.record_lost(&run.ask, now);
                 }
-                self.endpoints.suspected(run.endpoint, now);
+                self.endpoints.record_abandoned(run.endpoint, now);
             }
             End::Cancelled if run.is_overdue(now) => {
                 if let Some(place) = run.place {
                     self.pauses.observe(place, true, now);
                 }
             }
-            // A rest that the endpoint asks for comes with the box's next request.
+            // A backoff that the endpoint asks for comes with the box's next request.
             End::Cancelled | End::Preempted | End::Refused | End::Unused => {}
         }
     }
 
     fn done(&mut self, run: &run::Run, tokens: unit::Tokens, now: Duration) {
-        self.endpoints.succeeded(run.endpoint);
+        self.endpoints.record_success(run.endpoint);
         if let Some(place) = run.place {
             self.pauses.observe(place, run.paused, now);
         }
@@ -445,7 +448,7 @@
         }
         self.queue.remove(held.ask.attempt);
         let unread = held.ask.prompt.0;
-        let prompt = endpoint::Tokens {
+        let prompt = endpoint::Prefill {
             unread,
             tier: held.ask.tier,
         };
@@ -462,7 +465,7 @@
             endpoint,
             granted: now.saturating_sub(held.held),
             unread,
-            ahead: reading::Ahead::default(),
+            ahead: prefill::Ahead::default(),
             kept: false,
             place: None,
             paused: false,
@@ -498,7 +501,7 @@
     }
 
     fn drop_box(&mut self, origin: &name::Box) {
-        self.endpoints.forget_rests(origin);
+        self.endpoints.forget_backoffs(origin);
         let waiting = self.queue.all().filter(|w| w.origin == *origin);
         let waiting: Vec<_> = waiting.map(|w| w.ask.attempt).collect();
         for attempt in waiting {
@@ -513,15 +516,15 @@
 
     fn tick(&mut self, now: Duration) {
         self.endpoints.tick(now);
-        self.endpoints.forget_gone();
+        self.endpoints.remove_unconfigured();
         self.expire_grants(now);
         self.shed_expired(now);
         self.shed_late(now);
-        self.shed_all_resting(now);
+        self.shed_all_backing_off(now);
     }
 
     fn expire_grants(&mut self, now: Duration) {
-        let before = now.saturating_sub(self.settings.grant_life);
+        let before = now.saturating_sub(self.settings.grant_ttl);
         while let Some(attempt) = self.runs.unused(before) {
             let Some(run) = self.release(attempt) else {
                 break;
@@ -540,7 +543,7 @@
     fn slot_gap(&self, now: Duration) -> f64 {
         let holds = self.classes.values().map(|class| class.mean_hold_s);
         let hold = holds.fold(0.0, f64::max);
-        if let Some(per_second) = self.endpoints.throttled(now) {
+        if let Some(per_second) = self.endpoints.sendable_rate(now) {
             return 1.0 / per_second;
         }
         hold / f64::from(self.endpoints.allowed().max(1))
@@ -549,7 +552,7 @@
     /// Returns whether the dispatcher has settled, so that it grants slots.
     pub fn is_settled(&self, now: Duration) -> bool {
         let all_announced = !self.alive.is_empty() && self.alive.is_subset(&self.announced);
-        let settle = self.settings.settle;
+        let settle = self.settings.settle_timeout;
         let announcing = self.announcing.values().any(|since| now < *since + settle);
         (now >= self.settled_at || all_announced) && !announcing
     }
--- a/src/scalewood/core/dispatch/pauses.rs
+++ b/src/scalewood/core/dispatch/pauses.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns the fraction of streams at a place that is expected to pause too long.
-    pub(super) fn part(&self, place: Place, now: Duration) -> f64 {
+    pub(super) fn fraction(&self, place: Place, now: Duration) -> f64 {
         let prior = if place.foreign {
             PRIOR_FOREIGN
         } else {
--- a/src/scalewood/core/dispatch/placement.rs
+++ b/src/scalewood/core/dispatch/placement.rs
@@ -19,7 +19,7 @@
 
 use crate::core::{
     config,
-    dispatch::{message, reading::Reading},
+    dispatch::{message, prefill::Estimate},
     estimate, load, name, unit,
 };
 
@@ -105,7 +105,7 @@
 
     /// Returns whether a class has long prompts: processing one takes much of the pause that
     /// the streams beside it allow.
-    pub(super) fn is_long(&self, class: &name::Class, reading: &Reading) -> bool {
+    pub(super) fn is_long(&self, class: &name::Class, reading: &Estimate) -> bool {
         let (Some(tokens), Some(gap)) = (self.mean_size(class), self.min_gap) else {
             return false;
         };
@@ -115,7 +115,7 @@
 
     /// Returns whether the endpoints are partitioned: there are classes with short prompts and
     /// classes with long ones.
-    pub(super) fn is_partitioned(&self, reading: &Reading) -> bool {
+    pub(super) fn is_partitioned(&self, reading: &Estimate) -> bool {
         let shared = self.global_sizes.keys();
         let own = self.own_sizes.keys();
         let own = own.filter(|class| !self.global_sizes.contains_key(*class));
@@ -144,7 +144,7 @@
 
 /// Returns which endpoints are for short prompts if they are partitioned; `slow` lists the
 /// endpoints in the order that all boxes know.
-pub(super) fn part(slow: &[bool]) -> Vec<bool> {
+pub(super) fn partition(slow: &[bool]) -> Vec<bool> {
     // The product is at most the count, so the cast is exact.
     let most = ((slow.len() as f64 * SHORT_FRACTION).round() as usize).max(1);
     let mut short = 0;
--- a/src/scalewood/core/dispatch/precedence.rs
+++ b/src/scalewood/core/dispatch/precedence.rs
@@ -63,7 +63,7 @@
     unreported: BTreeMap<name::Class, load::Counts>,
     exchanges: u32,
     /// Less urgent requests that were held back or started meanwhile.
-    met: BTreeMap<ClassPair, Met>,
+    met: BTreeMap<ClassPair, Tally>,
 }
 
 /// A request that must not start.
@@ -97,12 +97,12 @@
     /// The less urgent class.
     pub class: name::Class,
     /// What was done with its requests.
-    pub met: Met,
+    pub tally: Tally,
 }
 
 /// Counts of less urgent requests by what was done with them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Met {
+pub struct Tally {
     /// Requests that were held back.
     pub held: u32,
     /// Requests that started nevertheless, since an endpoint had had them before.
@@ -111,20 +111,20 @@
 
 impl Refusals {
     /// Counts a request that arrived.
-    pub(super) fn note_asked(&mut self, ask: &message::Ask, now: Duration) {
+    pub(super) fn record_arrived(&mut self, ask: &message::Ask, now: Duration) {
         let counts = load::Counts {
-            asked: 1,
-            returned: u32::from(ask.returned),
+            arrived: 1,
+            client_retries: u32::from(ask.returned),
             ..load::Counts::default()
         };
         self.count(ask, counts, now);
     }
 
     /// Counts a request that started for the first time.
-    pub(super) fn note_begun(&mut self, ask: &message::Ask, now: Duration) {
+    pub(super) fn record_started(&mut self, ask: &message::Ask, now: Duration) {
         let counts = load::Counts {
-            begun: 1,
-            begun_tokens: ask.prompt.0,
+            started: 1,
+            started_tokens: ask.prompt.0,
             ..load::Counts::default()
         };
         self.count(ask, counts, now);
@@ -132,9 +132,9 @@
 
     /// Counts a request that was refused for lack of capacity and received to retry after `retry`;
     /// as lost if its caller can't.
-    pub(super) fn note_refused(&mut self, ask: &message::Ask, retry: Duration, now: Duration) {
+    pub(super) fn record_refused(&mut self, ask: &message::Ask, retry: Duration, now: Duration) {
         if !ask.may_return(retry) {
-            return self.note_lost(ask, now);
+            return self.record_lost(ask, now);
         }
         let counts = load::Counts {
             deferred: 1,
@@ -145,7 +145,7 @@
     }
 
     /// Counts a request that failed for good for lack of capacity.
-    pub(super) fn note_lost(&mut self, ask: &message::Ask, now: Duration) {
+    pub(super) fn record_lost(&mut self, ask: &message::Ask, now: Duration) {
         let counts = load::Counts {
             lost: 1,
             lost_tokens: ask.prompt.0,
@@ -167,7 +167,7 @@
     pub(super) fn take_unreported(&mut self) -> Vec<(name::Class, load::Counts)> {
         self.exchanges += 1;
         let is_due = |counts: &load::Counts| {
-            counts.lost > 0 || counts.deferred > 0 || counts.asked >= MIN_REPORTED_REQUESTS
+            counts.lost > 0 || counts.deferred > 0 || counts.arrived >= MIN_REPORTED_REQUESTS
         };
         if self.exchanges < MAX_REPORT_EXCHANGES && !self.unreported.values().any(is_due) {
             return Vec::new();
@@ -201,13 +201,13 @@
     pub(super) fn hold_back(&self, ask: &message::Ask, now: Duration) -> Option<HeldBack> {
         let own = longest_wait(self.own_bounds(now), ask, now).map(|(wait, class)| HeldBack {
             wait,
-            cause: Cause::Here(class),
+            cause: Cause::HeldBackHere(class),
         });
         let received = self.bounds.iter();
         let received = received.map(|(class, bound)| (class.clone(), *bound));
         let received = longest_wait(received, ask, now).map(|(wait, class)| HeldBack {
             wait,
-            cause: Cause::Anywhere(class),
+            cause: Cause::HeldBackAnywhere(class),
         });
         own.into_iter().chain(received).max_by_key(|held| held.wait)
     }
@@ -237,7 +237,7 @@
         let row = |((refused, class), met)| Precedence {
             refused,
             class,
-            met,
+            tally: met,
         };
         all.map(row).collect()
     }
--- a/src/scalewood/core/dispatch/preempt.rs
+++ b/src/scalewood/core/dispatch/preempt.rs
@@ -23,7 +23,7 @@
             return;
         }
         for (tier, lane) in self.urgent(now) {
-            let seeker = endpoint::Seeker::from(&lane);
+            let seeker = endpoint::Constraints::from(&lane);
             if self.endpoints.has_free_for(seeker, now) {
                 continue;
             }
@@ -46,7 +46,7 @@
     pub(super) fn victim_for(
         &self,
         tier: unit::Tier,
-        seeker: endpoint::Seeker<'_>,
+        seeker: endpoint::Constraints<'_>,
         now: Duration,
     ) -> Option<&run::Run> {
         let fits = |run: &run::Run| self.endpoints.permits(run.endpoint, seeker, now);
--- a/src/scalewood/core/dispatch/reading.rs
+++ b/src/scalewood/core/dispatch/prefill.rs
@@ -42,14 +42,14 @@
 
 /// The rate at which prompts are processed, and in which order.
 #[derive(Clone, Debug)]
-pub(super) struct Reading {
+pub(super) struct Estimate {
     tokens: f64,
     millis: f64,
     /// The fraction of less urgent prompts that is processed first.
     later_fraction: f64,
 }
 
-impl Default for Reading {
+impl Default for Estimate {
     fn default() -> Self {
         Self {
             tokens: INITIAL_WEIGHT_TOKENS,
@@ -59,7 +59,7 @@
     }
 }
 
-impl Reading {
+impl Estimate {
     /// Records the time to first token of a request with a prompt of `own` tokens to process,
     /// which found `ahead` pending.
     pub(super) fn observe(&mut self, ahead: Ahead, own: u64, took: Duration) {
--- a/src/scalewood/core/dispatch/run.rs
+++ b/src/scalewood/core/dispatch/run.rs
@@ -8,7 +8,7 @@
 
 use crate::core::{
     attempt,
-    dispatch::{endpoint, message, pauses, reading},
+    dispatch::{endpoint, message, pauses, prefill},
     name, unit,
 };
 
@@ -23,7 +23,7 @@
     /// held in its memory until the end.
     pub(super) unread: u64,
     /// Prompt tokens that the endpoint had yet to process before this run when it was granted.
-    pub(super) ahead: reading::Ahead,
+    pub(super) ahead: prefill::Ahead,
     /// Whether the endpoint likely cached the part of the prompt that others share.
     pub(super) kept: bool,
     /// Where it runs, if its prompt was placed.
@@ -46,8 +46,8 @@
 
 impl Run {
     /// Returns what its prompt adds to the endpoint's unprocessed tokens.
-    pub(super) fn prompt(&self) -> endpoint::Tokens {
-        endpoint::Tokens {
+    pub(super) fn prompt(&self) -> endpoint::Prefill {
+        endpoint::Prefill {
             unread: self.unread,
             tier: self.ask.tier,
         }
--- a/src/scalewood/core/dispatch/shed.rs
+++ b/src/scalewood/core/dispatch/shed.rs
@@ -69,7 +69,7 @@
     /// rate, it is at most what requests started at that rate hold.
     pub(super) fn usable_slots(&self, now: Duration) -> f64 {
         let slots = f64::from(self.endpoints.allowed());
-        match (self.endpoints.throttled(now), self.queue.mean_hold()) {
+        match (self.endpoints.sendable_rate(now), self.queue.mean_hold()) {
             (Some(per_second), Some(hold)) => slots.min(per_second * hold),
             _ => slots,
         }
@@ -102,44 +102,45 @@
         if self.is_predicted_late(attempt, now) {
             return self.shed(attempt, message::Reason::Deadline, now);
         }
-        if let Some(until) = self.rests_too_long(attempt) {
-            self.shed_resting(attempt, until, now);
+        if let Some(until) = self.backs_off_too_long(attempt) {
+            self.shed_backing_off(attempt, until, now);
         }
     }
 
-    /// Returns until when all endpoints that may serve a request rest, if its caller leaves
-    /// before.
-    fn rests_too_long(&self, attempt: attempt::Attempt) -> Option<Duration> {
+    /// Returns until when all endpoints that may serve a request have asked to back off, if its
+    /// caller leaves before.
+    fn backs_off_too_long(&self, attempt: attempt::Attempt) -> Option<Duration> {
         let waiting = self.queue.get(attempt)?;
         let lane = waiting.lane();
-        let until = self.endpoints.rest_until((&lane).into())?;
+        let until = self.endpoints.backoff_until((&lane).into())?;
         (waiting.leaves_at() <= until).then_some(until)
     }
 
-    /// Sheds the requests for which all endpoints rest until their callers have left.
-    pub(super) fn shed_all_resting(&mut self, now: Duration) {
-        if !self.endpoints.has_rests() {
+    /// Sheds the requests for which all endpoints have asked to back off until their callers have
+    /// left.
+    pub(super) fn shed_all_backing_off(&mut self, now: Duration) {
+        if !self.endpoints.has_backoffs() {
             return;
         }
         let lanes: Vec<_> = self.queue.lanes().cloned().collect();
         for lane in lanes {
-            let Some(until) = self.endpoints.rest_until((&lane).into()) else {
+            let Some(until) = self.endpoints.backoff_until((&lane).into()) else {
                 continue;
             };
             for attempt in self.queue.leaving_by(&lane, until) {
-                self.shed_resting(attempt, until, now);
+                self.shed_backing_off(attempt, until, now);
             }
         }
     }
 
-    /// Sheds a request for which all endpoints rest; it may be retried once the first rest has
-    /// ended.
-    fn shed_resting(&mut self, attempt: attempt::Attempt, until: Duration, now: Duration) {
+    /// Sheds a request for which all endpoints have asked to back off; it may be retried once the
+    /// first backoff has ended.
+    fn shed_backing_off(&mut self, attempt: attempt::Attempt, until: Duration, now: Duration) {
         let Some(waiting) = self.queue.remove(attempt) else {
             return;
         };
         let retry = until.saturating_sub(now).min(MAX_RETRY);
-        self.refusals.note_refused(&waiting.ask, retry, now);
+        self.refusals.record_refused(&waiting.ask, retry, now);
         let shed = message::Order::Shed(attempt, message::Reason::Deadline, retry);
         self.outputs.push((waiting.origin, shed));
     }
@@ -179,13 +180,13 @@
     /// Returns why no endpoint can serve a request, if none can.
     fn unservable_reason(&self, attempt: attempt::Attempt) -> Option<message::Reason> {
         let allowed = &self.queue.get(attempt)?.ask.allowed;
-        if !self.endpoints.is_hopeless(allowed) {
+        if !self.endpoints.is_unservable(allowed) {
             return None;
         }
         let everywhere = residency::Allowed::default();
         if self.endpoints.has_cordoned(allowed) {
             Some(message::Reason::Cordoned)
-        } else if self.endpoints.is_hopeless(&everywhere) {
+        } else if self.endpoints.is_unservable(&everywhere) {
             Some(message::Reason::NoEndpoint)
         } else {
             Some(message::Reason::Residency)
@@ -205,8 +206,8 @@
         self.refusals.count_precedence(&waiting.ask, false, now);
         let wait = retry_delay(&waiting.ask).max(held.wait);
         let overload = endpoint::Overload {
-            first: wait,
-            over: wait,
+            first_token: wait,
+            excess: wait,
         };
         self.shed_overload(attempt, overload, held.cause, now);
     }
@@ -225,8 +226,8 @@
         };
         self.causes.record(attempt, cause);
         let reason = message::Reason::Overload;
-        let retry = overload.first.clamp(MIN_RETRY, MAX_RETRY);
-        self.refusals.note_refused(&waiting.ask, retry, now);
+        let retry = overload.first_token.clamp(MIN_RETRY, MAX_RETRY);
+        self.refusals.record_refused(&waiting.ask, retry, now);
         self.outputs
             .push((waiting.origin, message::Order::Shed(attempt, reason, retry)));
     }
@@ -240,7 +241,7 @@
             return false;
         }
         let (tier, lane) = (waiting.ask.tier, waiting.lane());
-        let seeker = endpoint::Seeker::from(&lane);
+        let seeker = endpoint::Constraints::from(&lane);
         if self.victim_for(tier, seeker, now).is_some() {
             // A run of a lower tier is preempted before this request is shed.
             return false;
@@ -290,7 +291,7 @@
             MIN_RETRY
         };
         if is_for_capacity {
-            self.refusals.note_refused(&waiting.ask, retry, now);
+            self.refusals.record_refused(&waiting.ask, retry, now);
         }
         self.outputs
             .push((waiting.origin, message::Order::Shed(attempt, reason, retry)));
--- a/src/scalewood/core/dispatch/shown.rs
+++ b/src/scalewood/core/dispatch/status.rs
@@ -39,8 +39,14 @@
 
     /// Returns how long an endpoint may be silent towards a request: `least` if nothing waits
     /// there.
-    pub fn patience(&self, endpoint: &name::Endpoint, least: Duration, now: Duration) -> Duration {
-        self.endpoints.patience(endpoint, least, &self.reading, now)
+    pub fn max_silence(
+        &self,
+        endpoint: &name::Endpoint,
+        least: Duration,
+        now: Duration,
+    ) -> Duration {
+        self.endpoints
+            .max_silence(endpoint, least, &self.prefill, now)
     }
 
     /// Returns the status of its endpoints.
@@ -87,14 +93,14 @@
 
     /// Returns the warming endpoints that this dispatcher would send to, each with the number
     /// of requests that were recently kept from it.
-    pub fn wants(&mut self, now: Duration) -> Vec<(u32, name::Endpoint)> {
-        self.endpoints.wants(now)
+    pub fn wanted_leases(&mut self, now: Duration) -> Vec<(u32, name::Endpoint)> {
+        self.endpoints.wanted_leases(now)
     }
 
     /// Returns the numbers of requests granted to warming endpoints, and of those kept from
     /// their home since it is warming, both since the last call.
-    pub fn take_warm_up(&mut self) -> (u32, u32) {
-        self.endpoints.take_warm_up()
+    pub fn take_warm_up_counts(&mut self) -> (u32, u32) {
+        self.endpoints.take_warm_up_counts()
     }
 
     /// Returns the permits that this dispatcher needs for rate-limited endpoints.
@@ -106,8 +112,8 @@
 
     /// Returns the number of requests kept from their home by its rate limit since the last
     /// call.
-    pub fn take_limited(&mut self) -> u32 {
-        self.endpoints.take_limited()
+    pub fn take_limit_diversions(&mut self) -> u32 {
+        self.endpoints.take_limit_diversions()
     }
 
     /// Returns the number of requests in the queue.
--- a/src/scalewood/core/dispatch/zone.rs
+++ b/src/scalewood/core/dispatch/zone.rs
@@ -34,7 +34,7 @@
 
 impl Zones {
     /// Records that an endpoint of a zone could not be reached.
-    pub(super) fn missed(&mut self, zone: &name::Zone, endpoint: usize, now: Duration) {
+    pub(super) fn record_failure(&mut self, zone: &name::Zone, endpoint: usize, now: Duration) {
         let zone = self.zones.entry(zone.clone()).or_default();
         if zone.failed.is_empty() || now > zone.first_failure + FAILURE_WINDOW {
             zone.failed.clear();
@@ -47,7 +47,7 @@
     }
 
     /// Records an answer from a zone.
-    pub(super) fn reached(&mut self, zone: &name::Zone) {
+    pub(super) fn record_answer(&mut self, zone: &name::Zone) {
         self.zones.remove(zone);
     }
 
--- a/src/scalewood/core/estimate.rs
+++ b/src/scalewood/core/estimate.rs
@@ -67,11 +67,11 @@
 
     /// Returns the mean.
     pub fn mean(&self) -> Duration {
-        self.mean_left(Duration::ZERO)
+        self.mean_remaining(Duration::ZERO)
     }
 
     /// Returns the mean remainder of a quantity that has already run for `elapsed`.
-    pub fn mean_left(&self, elapsed: Duration) -> Duration {
+    pub fn mean_remaining(&self, elapsed: Duration) -> Duration {
         let elapsed = elapsed.as_secs_f64();
         let first_bucket = if elapsed > 0.0 {
             bucket(elapsed) + 1
--- a/src/scalewood/core/tenure.rs
+++ b/src/scalewood/core/fencing.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::agree;
+use crate::core::raft;
 
 /// The time added to the quiet period, for clocks that run at different speeds and for calls in
 /// flight.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The voter that holds the tasks.
-    pub node: agree::Node,
+    pub node: raft::Node,
     /// Its fencing token.
     pub token: Token,
 }
@@ -42,7 +42,7 @@
 impl Holder {
     /// Returns the holder after a voter has taken over. The token rises unless the voter already
     /// was the holder.
-    pub fn next(before: Option<&Self>, node: agree::Node) -> Self {
+    pub fn next(before: Option<&Self>, node: raft::Node) -> Self {
         match before {
             Some(holder) if holder.node == node => holder.clone(),
             Some(Self { token, .. }) => Self {
@@ -63,7 +63,7 @@
     /// Nothing: this voter does not lead, or its quiet period is not over.
     Wait,
     /// Propose to the voters that it becomes the holder.
-    Take,
+    Acquire,
     /// Perform the tasks, under this token.
     Act(Token),
 }
@@ -96,7 +96,7 @@
     /// reflect all entries that were committed before this voter became the leader.
     pub fn step(
         &mut self,
-        own: &agree::Node,
+        own: &raft::Node,
         leads: bool,
         holder: Option<&Holder>,
         now: Duration,
@@ -105,7 +105,7 @@
             return Step::Wait;
         }
         let Some(token) = holder.filter(|h| h.node == *own).map(|h| h.token) else {
-            return Step::Take;
+            return Step::Acquire;
         };
         let may_act_from = match self.may_act_from {
             Some((known, may_act_from)) if known == token => may_act_from,
--- a/src/scalewood/core/fingerprint.rs
+++ b/src/scalewood/core/fingerprint.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns the range of all fingerprints of requests with this head.
-    pub fn all_of(head: HeadHash) -> RangeInclusive<Self> {
+    pub fn range_of(head: HeadHash) -> RangeInclusive<Self> {
         Self { head, body: 0 }..=Self {
             head,
             body: u64::MAX,
--- a/src/scalewood/core/follow.rs
+++ b/src/scalewood/core/follow.rs
@@ -11,10 +11,10 @@
 use crate::core::{name, rendezvous};
 
 /// The number of voters that a box tracks, if that many are in touch.
-pub const TRACKED: usize = 2;
+pub const TRACKED_VOTERS: usize = 2;
 /// The number of voters up to which a box tracks all of them, since each is the first to learn of
 /// some endpoints and of some changes.
-pub const ALL_TRACKED: usize = 9;
+pub const TRACK_ALL_UP_TO: usize = 9;
 /// How long a voter has to answer before another one is tracked in addition.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -57,10 +57,10 @@
 
 /// Returns how many of so many voters a box tracks.
 pub fn tracked(voters: usize) -> usize {
-    if voters <= ALL_TRACKED {
+    if voters <= TRACK_ALL_UP_TO {
         voters
     } else {
-        TRACKED
+        TRACKED_VOTERS
     }
 }
 
@@ -71,19 +71,19 @@
     voters: &BTreeMap<SocketAddr, Candidate>,
     now: Duration,
 ) -> Vec<SocketAddr> {
-    if voters.len() <= ALL_TRACKED {
+    if voters.len() <= TRACK_ALL_UP_TO {
         return order(own, zone, voters);
     }
     let mut reliable = 0;
     let mut cut_off: BTreeMap<&Option<name::Zone>, usize> = BTreeMap::new();
     let mut chosen = Vec::new();
     for voter in order(own, zone, voters) {
-        if reliable == TRACKED {
+        if reliable == TRACKED_VOTERS {
             break;
         }
         let candidate = &voters[&voter];
         let cut_off = cut_off.entry(&candidate.zone).or_default();
-        if *cut_off == TRACKED {
+        if *cut_off == TRACKED_VOTERS {
             // All voters of its zone are taken to be cut off.
             continue;
         }
--- a/src/scalewood/core/ledger.rs
+++ b/src/scalewood/core/ledger.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    agree, audit, change, config, cordon, name, route, scaling, tenure, unit, usage,
+    audit, change, config, cordon, fencing, name, raft, route, scaling, unit, usage,
 };
 
 /// The number of answers remembered for resends: 20 days at 500 changes a day.
@@ -38,7 +38,7 @@
     /// A new routing, under the operator's own version.
     Publish(Publication),
     /// A voter becomes the holder of the tasks that only one process may do at a time.
-    Hold(agree::Node),
+    Hold(raft::Node),
     /// The counts of a closed usage window.
     Usage(usage::Closed),
     /// An order that scales endpoints.
@@ -106,7 +106,7 @@
     records: VecDeque<Arc<audit::Record>>,
     /// The holder of the tasks that only one process may do at a time.
     #[serde(default)]
-    holder: Option<tenure::Holder>,
+    holder: Option<fencing::Holder>,
     /// The closed usage windows.
     #[serde(default)]
     usage: usage::Log,
@@ -115,7 +115,7 @@
     ordered: BTreeMap<String, u32>,
     /// The state of cordons that is kept outside the document.
     #[serde(default)]
-    cordons: cordon::Memory,
+    cordons: cordon::History,
 }
 
 impl Ledger {
@@ -131,7 +131,7 @@
 
     /// Returns the holder of the tasks that only one process may do at a time, if there has been
     /// any.
-    pub fn holder(&self) -> Option<&tenure::Holder> {
+    pub fn holder(&self) -> Option<&fencing::Holder> {
         self.holder.as_ref()
     }
 
@@ -147,7 +147,7 @@
 
     /// Returns the steps of all revisions after `from`, or `None` if not all of them can be given:
     /// they may be too old, and a published routing has no step.
-    pub fn since(&self, from: unit::Revision) -> Option<Vec<change::Step>> {
+    pub fn steps_since(&self, from: unit::Revision) -> Option<Vec<change::Step>> {
         let missing = usize::try_from(self.revision.0.checked_sub(from.0)?).ok()?;
         if missing > MAX_DIFFERENCES {
             return None;
@@ -159,7 +159,7 @@
             .filter_map(|decision| match decision.answer {
                 change::Answer::Accepted { revision } if revision > from => {
                     let edits = decision.change.edits.clone();
-                    Some(change::Step::of_edits(revision, edits))
+                    Some(change::Step::from_edits(revision, edits))
                 }
                 change::Answer::Accepted { .. } | change::Answer::NotApplied { .. } => None,
             });
@@ -171,7 +171,7 @@
 
     /// Returns the earlier answer to a change, if it is a resend. A known id with other contents or
     /// from another operator is refused.
-    pub fn answered(
+    pub fn previous_answer(
         &self,
         change: &change::Change,
         operator: &name::Operator,
@@ -278,7 +278,7 @@
     "scaling".parse().expect("the name is valid")
 }
 
-impl agree::State for Ledger {
+impl raft::State for Ledger {
     type Command = Command;
     type Answer = change::Answer;
 
@@ -287,7 +287,7 @@
             Command::Change(proposal) => self.change(proposal),
             Command::Publish(publication) => self.publish(publication),
             Command::Hold(node) => {
-                self.holder = Some(tenure::Holder::next(self.holder.as_ref(), node.clone()));
+                self.holder = Some(fencing::Holder::next(self.holder.as_ref(), node.clone()));
                 self.accepted()
             }
             Command::Scale(scale) => {
@@ -305,18 +305,18 @@
 
 impl Ledger {
     /// Returns the operator's text of the routing in force.
-    pub fn source(&self) -> Option<&Arc<str>> {
+    pub fn routing_source(&self) -> Option<&Arc<str>> {
         self.source.as_ref()
     }
 
     /// Returns the operator's version of the routing in force, or 0 if there is none.
-    pub fn version(&self) -> u64 {
+    pub fn routing_version(&self) -> u64 {
         self.document.routing.as_ref().map_or(0, |r| r.version)
     }
 
     fn publish(&mut self, publication: &Publication) -> change::Answer {
         let routing = &publication.routing;
-        if self.source.is_some() && routing.version <= self.version() {
+        if self.source.is_some() && routing.version <= self.routing_version() {
             return change::Answer::Accepted {
                 revision: self.revision,
             };
@@ -332,7 +332,7 @@
         self.push_record(audit::Record {
             revision: self.revision,
             base,
-            id: change::Id::of_version(routing.version),
+            id: change::Id::for_version(routing.version),
             operator: publication.operator.clone(),
             at_unix_ms: publication.at_unix_ms,
             why: format!("version {} was published", routing.version),
@@ -347,20 +347,20 @@
 
     /// Returns the earlier answer to an order to cordon or uncordon with the same id, if there is
     /// one.
-    pub fn cordon_answered(&self, order: &cordon::Order) -> Option<change::Answer> {
-        self.cordons.answered(order, self.revision)
+    pub fn previous_cordon_answer(&self, order: &cordon::Order) -> Option<change::Answer> {
+        self.cordons.first_answer(order, self.revision)
     }
 
     fn cordon(&mut self, order: &cordon::Order) -> change::Answer {
-        if let Some(answer) = self.cordon_answered(order) {
+        if let Some(answer) = self.previous_cordon_answer(order) {
             return answer;
         }
-        let answer = match cordon::weigh(&order.mark, &self.document.cordoned) {
+        let answer = match cordon::evaluate(&order.mark, &self.document.cordoned) {
             Ok(Some(cordoned)) => self.accept_cordon(order, cordoned),
             Ok(None) => self.accepted(),
             Err(why) => self.refuse(vec![why]),
         };
-        self.cordons.remember(order, &answer);
+        self.cordons.record_answer(order, &answer);
         answer
     }
 
@@ -375,7 +375,7 @@
         self.push_record(audit::Record {
             revision: self.revision,
             base,
-            id: id.unwrap_or_else(|| change::Id::of_cordon(self.revision)),
+            id: id.unwrap_or_else(|| change::Id::for_cordon(self.revision)),
             operator: order.operator.clone(),
             at_unix_ms: order.at_unix_ms,
             why: order.why.clone(),
@@ -384,7 +384,7 @@
         let mut document = config::Document::clone(&self.document);
         document.cordoned = cordoned;
         self.document = Arc::new(document);
-        self.cordons.note(self.revision, order.mark.clone());
+        self.cordons.record(self.revision, order.mark.clone());
         self.accepted()
     }
 
@@ -399,7 +399,7 @@
         self.push_record(audit::Record {
             revision: self.revision,
             base: self.revision,
-            id: change::Id::of_scaling(scale.at_unix_ms),
+            id: change::Id::for_scaling(scale.at_unix_ms),
             operator: scaling_operator(),
             at_unix_ms: scale.at_unix_ms,
             why: scale.why.clone(),
@@ -412,7 +412,7 @@
     }
 
     /// Returns the counts in the last scaling orders, by service, zone and kind.
-    pub fn ordered(&self) -> &BTreeMap<String, u32> {
+    pub fn last_scaling_counts(&self) -> &BTreeMap<String, u32> {
         &self.ordered
     }
 
@@ -431,7 +431,7 @@
     }
 
     fn change(&mut self, command: &Proposal) -> change::Answer {
-        if let Some(answer) = self.answered(&command.change, &command.operator) {
+        if let Some(answer) = self.previous_answer(&command.change, &command.operator) {
             return answer;
         }
         let is_base_ahead = command.change.base > self.revision;
--- a/src/scalewood/core/load/telling.rs
+++ b/src/scalewood/core/load/delta.rs
@@ -40,7 +40,7 @@
 /// Returns the loads to send to a receiver that knows `sent`, so that it knows `total` without
 /// its `own` part: changed loads first, then those that have dropped to zero.
 pub(super) fn significant_changes(sent: &Loads, total: &Loads, own: &Loads) -> Vec<Loaded> {
-    let mut news = Vec::new();
+    let mut updates = Vec::new();
     let mut ended = Vec::new();
     let mut sent = Cursor::new(sent);
     let mut own = Cursor::new(own);
@@ -52,22 +52,22 @@
         // load.
         while own.next_before(name).is_some() {}
         let others = total.minus(own.load_of(name));
-        add_if_significant(&mut news, name, others, sent.load_of(name));
+        add_if_significant(&mut updates, name, others, sent.load_of(name));
     }
     for (gone, known) in sent.0 {
         add_if_significant(&mut ended, gone, Load::default(), *known);
     }
-    news.append(&mut ended);
-    if news.len() > MAX_ROWS {
-        news.sort_unstable_by_key(|(change, _)| Reverse(*change));
-        news.truncate(MAX_ROWS);
+    updates.append(&mut ended);
+    if updates.len() > MAX_ROWS {
+        updates.sort_unstable_by_key(|(change, _)| Reverse(*change));
+        updates.truncate(MAX_ROWS);
     }
-    news.into_iter().map(|(_, loaded)| loaded).collect()
+    updates.into_iter().map(|(_, loaded)| loaded).collect()
 }
 
 /// Adds a load, with the size of its change, if the change is large enough to be sent.
 fn add_if_significant(
-    news: &mut Vec<(u64, Loaded)>,
+    updates: &mut Vec<(u64, Loaded)>,
     endpoint: &name::Endpoint,
     load: Load,
     sent: Load,
@@ -79,11 +79,11 @@
         endpoint: endpoint.clone(),
         load,
     };
-    news.push((change_tokens(load, sent), loaded));
+    updates.push((change_tokens(load, sent), loaded));
 }
 
 /// Returns the size of a load's change in tokens.
 fn change_tokens(load: Load, sent: Load) -> u64 {
     let running = u64::from(load.running.abs_diff(sent.running));
-    load.unread.abs_diff(sent.unread) + running * RUNNING_WEIGHT_TOKENS
+    load.pending_prefill.abs_diff(sent.pending_prefill) + running * RUNNING_WEIGHT_TOKENS
 }
--- a/src/scalewood/core/load/hub.rs
+++ b/src/scalewood/core/load/hub.rs
@@ -11,12 +11,12 @@
 };
 
 use super::{
+    delta::significant_changes,
     merge,
     refused::{Sums, Unsent},
     set_or_remove,
     sizes::Sizes,
-    telling::significant_changes,
-    Answer, Count, Load, Loaded, Loads, News, Outcome, Placement, Prompts, Risk,
+    Answer, Count, Load, Loaded, Loads, Outcome, Placement, Prompts, Risk, Update,
 };
 use crate::core::{
     crash,
@@ -54,7 +54,7 @@
     /// The serial number of the next placement to send to it.
     next: u64,
     /// How far it has been sent the requests during which endpoints crashed.
-    crashes: crash::Told,
+    crashes: crash::Cursor,
     /// Its recent requests by outcome, decaying with time.
     answered: f64,
     failed: f64,
@@ -69,7 +69,7 @@
             risks: BTreeMap::new(),
             sizes: BTreeMap::new(),
             next: 0,
-            crashes: crash::Told::default(),
+            crashes: crash::Cursor::default(),
             answered: 0.0,
             failed: 0.0,
         }
@@ -112,7 +112,7 @@
     /// Requests that arrived, started or were refused, and were not sent to it yet.
     refused: Unsent,
     /// How far it has been sent the requests during which endpoints crashed.
-    crashes: crash::Told,
+    crashes: crash::Cursor,
 }
 
 /// Where a shared prefix was placed, and who reported it.
@@ -160,7 +160,7 @@
         &mut self,
         from: &name::Box,
         full: bool,
-        report: News,
+        report: Update,
         now: Duration,
     ) -> Answer {
         self.forget_silent(now);
@@ -189,22 +189,22 @@
         }
         self.detect_stalled(now);
         self.take_crashes(report.crashes, true, now);
-        let news = News {
+        let update = Update {
             loads: self.loads_for(from),
             placements: self.placements_for(from),
             prompts: self.sizes_for(from),
             risks: self.risks_for(from, &failed_at, now),
             bounds: self.refused.bounds(now),
             crashes: self.crashes_for(from),
-            ..News::default()
+            ..Update::default()
         };
         let leased = self
             .leases
-            .give(from, &report.wanted, self.members.len(), now);
+            .grant(from, &report.wanted, self.members.len(), now);
         // A hub serves some hundred boxes, so the conversion doesn't saturate.
         let boxes = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         Answer {
-            news,
+            update,
             boxes,
             leased,
         }
@@ -241,7 +241,7 @@
 
     /// Applies another hub's report: what has changed at its boxes, or its `full` state. Returns
     /// false if that hub has to send its full state.
-    pub fn take(&mut self, from: &name::Box, full: bool, report: News, now: Duration) -> bool {
+    pub fn apply(&mut self, from: &name::Box, full: bool, report: Update, now: Duration) -> bool {
         self.forget_silent(now);
         if full {
             self.forget_peer(from);
@@ -266,7 +266,7 @@
 
     /// Returns the report for another hub: the `full` state of the boxes here, or what has
     /// changed since the last call.
-    pub fn news_for(&mut self, peer: &name::Box, full: bool, now: Duration) -> News {
+    pub fn update_for(&mut self, peer: &name::Box, full: bool, now: Duration) -> Update {
         self.forget_silent(now);
         if full {
             let next = self.dropped + self.placements.len() as u64;
@@ -277,7 +277,7 @@
             self.links.insert(peer.clone(), link);
         }
         let Some(link) = self.links.get_mut(peer) else {
-            return News::default();
+            return Update::default();
         };
         let loads = significant_changes(&link.loads, &self.local, &Loads::new());
         merge(&mut link.loads, loads.clone());
@@ -286,16 +286,16 @@
         let placements = own.filter_map(|placed| placed.placement.clone()).collect();
         let outcomes = std::mem::take(&mut link.outcomes);
         let outcome = |(endpoint, count)| Outcome { endpoint, count };
-        let mut news = News {
+        let mut update = Update {
             loads,
             placements,
             outcomes: outcomes.into_iter().map(outcome).collect(),
             prompts: link.prompts.take(),
-            crashes: self.crashes.news(&mut link.crashes, crash::Part::Own),
-            ..News::default()
+            crashes: self.crashes.updates(&mut link.crashes, crash::Scope::Local),
+            ..Update::default()
         };
-        link.refused.take(&mut news);
-        news
+        link.refused.take(&mut update);
+        update
     }
 
     /// Returns the requests during which endpoints crashed.
@@ -324,11 +324,12 @@
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
-        self.crashes.news(&mut member.crashes, crash::Part::Wide)
+        self.crashes
+            .updates(&mut member.crashes, crash::Scope::Global)
     }
 
     /// Forgets what was sent to another hub, since that hub can't be reached.
-    pub fn unlink(&mut self, peer: &name::Box) {
+    pub fn forget_sent(&mut self, peer: &name::Box) {
         self.links.remove(peer);
     }
 
@@ -349,9 +350,9 @@
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
-        let news = significant_changes(&member.sent, &self.total, &member.own);
-        merge(&mut member.sent, news.clone());
-        news
+        let updates = significant_changes(&member.sent, &self.total, &member.own);
+        merge(&mut member.sent, updates.clone());
+        updates
     }
 
     fn take_placements(&mut self, from: &name::Box, own: bool, placements: Vec<Placement>) {
@@ -380,7 +381,7 @@
 
     fn sizes_for(&mut self, name: &name::Box) -> Vec<Prompts> {
         let member = self.members.get_mut(name);
-        member.map_or_else(Vec::new, |member| self.sizes.news(&mut member.sizes))
+        member.map_or_else(Vec::new, |member| self.sizes.updates(&mut member.sizes))
     }
 
     /// Queues a box's outcomes for the other hubs.
@@ -409,13 +410,13 @@
             }
             let risk = self.risks.entry(endpoint.clone()).or_default();
             for _ in 0..count.failed.min(MAX_OUTCOMES_COUNTED) {
-                risk.raise(weight, now);
+                risk.record_failure(weight, now);
             }
             for _ in 0..count.answered.min(MAX_OUTCOMES_COUNTED) {
-                risk.lower(now);
+                risk.record_answer(now);
             }
         }
-        self.risks.retain(|_, risk| !risk.has_faded(now));
+        self.risks.retain(|_, risk| !risk.is_negligible(now));
     }
 
     /// Raises the risk of endpoints that leave the requests of all boxes without a first token. A
@@ -426,19 +427,23 @@
         }
         self.stalls_checked_at = now;
         let total = &self.total;
-        let waits = |name: &name::Endpoint| total.get(name).is_some_and(|load| load.unread > 0);
+        let waits =
+            |name: &name::Endpoint| total.get(name).is_some_and(|load| load.pending_prefill > 0);
         self.waiting_since.retain(|name, _| waits(name));
         for (name, load) in &self.total {
-            if load.unread == 0 {
+            if load.pending_prefill == 0 {
                 continue;
             }
             let since = *self.waiting_since.entry(name.clone()).or_insert(now);
             let is_known = self
                 .risks
                 .get(name)
-                .is_some_and(|risk| !risk.has_faded(now));
+                .is_some_and(|risk| !risk.is_negligible(now));
             if now >= since + STALL_TIMEOUT && !is_known {
-                self.risks.entry(name.clone()).or_default().raise(1.0, now);
+                self.risks
+                    .entry(name.clone())
+                    .or_default()
+                    .record_failure(1.0, now);
             }
         }
     }
@@ -454,7 +459,7 @@
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         let known: Vec<_> = member.risks.keys().cloned().collect();
         let risky = self.risks.keys().cloned();
         let mut names: Vec<_> = risky
@@ -467,7 +472,7 @@
             let risk = self.risks.get(&endpoint);
             let chance = risk.map_or(Chance::default(), |risk| risk.chance(now));
             let sent = member.risks.get(&endpoint).copied().unwrap_or_default();
-            if !chance.is_news(sent) && !failed_at.contains(&endpoint) {
+            if !chance.differs_enough(sent) && !failed_at.contains(&endpoint) {
                 continue;
             }
             if chance == Chance::default() {
@@ -475,9 +480,9 @@
             } else {
                 member.risks.insert(endpoint.clone(), chance);
             }
-            news.push(Risk { endpoint, chance });
+            updates.push(Risk { endpoint, chance });
         }
-        news
+        updates
     }
 
     fn forget_silent(&mut self, now: Duration) {
--- a/src/scalewood/core/load/later.rs
+++ b/src/scalewood/core/load/less_urgent.rs
@@ -14,9 +14,9 @@
 /// zeros.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<u64>", into = "Vec<u64>")]
-pub struct Later([u64; TIERS]);
+pub struct LessUrgent([u64; TIERS]);
 
-impl Later {
+impl LessUrgent {
     /// Returns the tokens of requests that are less urgent than `tier`.
     pub fn than(&self, tier: unit::Tier) -> u64 {
         self.0.get(usize::from(tier.0)).copied().unwrap_or(0)
@@ -62,7 +62,7 @@
     }
 }
 
-impl From<Vec<u64>> for Later {
+impl From<Vec<u64>> for LessUrgent {
     fn from(counts: Vec<u64>) -> Self {
         let mut later = Self::default();
         for (own, count) in later.0.iter_mut().zip(counts) {
@@ -72,8 +72,8 @@
     }
 }
 
-impl From<Later> for Vec<u64> {
-    fn from(later: Later) -> Self {
+impl From<LessUrgent> for Vec<u64> {
+    fn from(later: LessUrgent) -> Self {
         let used = later.0.iter().rposition(|count| *count > 0);
         later.0[..used.map_or(0, |last| last + 1)].to_vec()
     }
--- a/src/scalewood/core/load/losses.rs
+++ b/src/scalewood/core/load/losses.rs
@@ -44,9 +44,9 @@
     /// The least urgent tier among them: teams differ within a class.
     pub tier: unit::Tier,
     /// Requests that arrived.
-    pub asked: u32,
+    pub arrived: u32,
     /// Requests that are retries after a refusal.
-    pub returned: u32,
+    pub client_retries: u32,
     /// Requests that were refused and may be retried.
     pub deferred: u32,
     /// Prompt tokens of the deferred requests.
@@ -56,22 +56,22 @@
     /// Prompt tokens of the lost requests.
     pub lost_tokens: u64,
     /// Requests that started.
-    pub begun: u32,
+    pub started: u32,
     /// Prompt tokens of the started requests.
-    pub begun_tokens: u64,
+    pub started_tokens: u64,
 }
 
 impl AddAssign for Counts {
     fn add_assign(&mut self, other: Self) {
         self.tier = self.tier.max(other.tier);
-        self.asked = self.asked.saturating_add(other.asked);
-        self.returned = self.returned.saturating_add(other.returned);
+        self.arrived = self.arrived.saturating_add(other.arrived);
+        self.client_retries = self.client_retries.saturating_add(other.client_retries);
         self.deferred = self.deferred.saturating_add(other.deferred);
         self.deferred_tokens = self.deferred_tokens.saturating_add(other.deferred_tokens);
         self.lost = self.lost.saturating_add(other.lost);
         self.lost_tokens = self.lost_tokens.saturating_add(other.lost_tokens);
-        self.begun = self.begun.saturating_add(other.begun);
-        self.begun_tokens = self.begun_tokens.saturating_add(other.begun_tokens);
+        self.started = self.started.saturating_add(other.started);
+        self.started_tokens = self.started_tokens.saturating_add(other.started_tokens);
     }
 }
 
@@ -86,7 +86,7 @@
 
     /// Returns the share of arrivals that were refused for good or have not been retried yet.
     fn refused_share(&self) -> f64 {
-        let away = self.deferred.saturating_sub(self.returned);
+        let away = self.deferred.saturating_sub(self.client_retries);
         self.share(self.lost.saturating_add(away))
     }
 
@@ -100,14 +100,14 @@
         if some < MIN_REFUSALS {
             return 0.0;
         }
-        // A refusal may be reported before the arrival of its request, so `asked` can be too low.
-        f64::from(some) / f64::from(self.asked.max(some))
+        // A refusal may be reported before the arrival of its request, so `arrived` can be too low.
+        f64::from(some) / f64::from(self.arrived.max(some))
     }
 
     /// Returns whether so few requests start, as a share of the arrivals, that they take no
     /// capacity from others.
     fn is_stopped(&self) -> bool {
-        f64::from(self.begun) <= f64::from(self.asked) * LOW_SHARE
+        f64::from(self.started) <= f64::from(self.arrived) * LOW_SHARE
     }
 }
 
@@ -194,7 +194,7 @@
     /// Returns whether this class starts requests that are larger, on average, than those that
     /// `losing` has refused.
     fn starts_larger_than(&self, losing: &Self) -> bool {
-        let size = mean(self.counts.begun_tokens, self.counts.begun);
+        let size = mean(self.counts.started_tokens, self.counts.started);
         !self.counts.is_stopped() && size > losing.counts.refused_size()
     }
 }
--- a/src/scalewood/core/load/mod.rs
+++ b/src/scalewood/core/load/mod.rs
@@ -14,16 +14,16 @@
 
 use crate::core::{crash, name, prompt::Prefix, registry, risk, throttle};
 
+mod delta;
 mod hub;
-mod later;
+mod less_urgent;
 mod losses;
 mod refused;
 mod sizes;
-mod telling;
 mod window;
 
 pub use hub::Hub;
-pub use later::Later;
+pub use less_urgent::LessUrgent;
 pub use losses::{Counts, Limit, Losses};
 pub use refused::{Bound, Refused, Tally, Traffic};
 
@@ -36,11 +36,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Prompt tokens that wait for prefill or are in it.
-    pub unread: u64,
-    /// The part of `unread` that belongs to requests less urgent than each tier.
-    pub later: Later,
+    pub pending_prefill: u64,
+    /// The part of `pending_prefill` that belongs to requests less urgent than each tier.
+    pub less_urgent: LessUrgent,
     /// Prompt tokens held in the endpoint's KV cache, shared prefixes counted once.
-    pub held: u64,
+    pub cached: u64,
     /// Requests that hold a slot.
     pub running: u32,
 }
@@ -50,18 +50,20 @@
     /// that drops to zero always is, so no difference stays unsent for ever.
     fn differs_enough(self, sent: Self) -> bool {
         self == Self::default()
-            || self.unread.abs_diff(sent.unread) >= MIN_UNREAD_CHANGE_TOKENS
-            || self.later.differs_by(sent.later, MIN_UNREAD_CHANGE_TOKENS)
-            || self.held.abs_diff(sent.held) >= MIN_HELD_CHANGE_TOKENS
+            || self.pending_prefill.abs_diff(sent.pending_prefill) >= MIN_UNREAD_CHANGE_TOKENS
+            || self
+                .less_urgent
+                .differs_by(sent.less_urgent, MIN_UNREAD_CHANGE_TOKENS)
+            || self.cached.abs_diff(sent.cached) >= MIN_HELD_CHANGE_TOKENS
             || self.running.abs_diff(sent.running) >= MIN_RUNNING_CHANGE
     }
 
     /// Returns the sum of both loads.
     pub fn plus(self, other: Self) -> Self {
         Self {
-            unread: self.unread + other.unread,
-            later: self.later.plus(other.later),
-            held: self.held + other.held,
+            pending_prefill: self.pending_prefill + other.pending_prefill,
+            less_urgent: self.less_urgent.plus(other.less_urgent),
+            cached: self.cached + other.cached,
             running: self.running + other.running,
         }
     }
@@ -69,9 +71,9 @@
     /// Returns the load without `part`.
     pub fn minus(self, part: Self) -> Self {
         Self {
-            unread: self.unread.saturating_sub(part.unread),
-            later: self.later.minus(part.later),
-            held: self.held.saturating_sub(part.held),
+            pending_prefill: self.pending_prefill.saturating_sub(part.pending_prefill),
+            less_urgent: self.less_urgent.minus(part.less_urgent),
+            cached: self.cached.saturating_sub(part.cached),
             running: self.running.saturating_sub(part.running),
         }
     }
@@ -88,14 +90,14 @@
 }
 
 /// Endpoint, unread, held, running, and the unread tokens of less urgent requests by tier.
-type LoadedRow = (name::Endpoint, u64, u64, u32, Later);
+type LoadedRow = (name::Endpoint, u64, u64, u32, LessUrgent);
 
 impl From<LoadedRow> for Loaded {
     fn from((endpoint, unread, held, running, later): LoadedRow) -> Self {
         let load = Load {
-            unread,
-            later,
-            held,
+            pending_prefill: unread,
+            less_urgent: later,
+            cached: held,
             running,
         };
         Self { endpoint, load }
@@ -104,7 +106,13 @@
 
 impl From<Loaded> for LoadedRow {
     fn from(Loaded { endpoint, load }: Loaded) -> Self {
-        (endpoint, load.unread, load.held, load.running, load.later)
+        (
+            endpoint,
+            load.pending_prefill,
+            load.cached,
+            load.running,
+            load.less_urgent,
+        )
     }
 }
 
@@ -226,7 +234,7 @@
 
 /// One message of an exchange between a box and a hub, or between hubs: what has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Loads that have changed.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<Loaded>,
@@ -266,14 +274,14 @@
     #[serde(
         rename = "q",
         default,
-        skip_serializing_if = "throttle::News::is_empty"
+        skip_serializing_if = "throttle::Message::is_empty"
     )]
-    pub throttle: throttle::News,
+    pub throttle: throttle::Message,
 }
 
-impl News {
+impl Update {
     /// Adds the counts of a class's requests.
-    pub fn count(&mut self, service: &name::Service, class: &name::Class, counts: Counts) {
+    pub fn add_counts(&mut self, service: &name::Service, class: &name::Class, counts: Counts) {
         self.refused.extend(Refused::of(service, class, counts));
         self.traffic.extend(Traffic::of(service, class, &counts));
     }
@@ -288,7 +296,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// What has changed at the other boxes.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub update: Update,
     /// The number of boxes that this hub serves.
     pub boxes: u32,
     /// Endpoints that warm up and to which the box may send. The lease runs from the time of the
--- a/src/scalewood/core/load/refused.rs
+++ b/src/scalewood/core/load/refused.rs
@@ -11,7 +11,7 @@
 
 use super::{
     losses::{Counts, Losses},
-    News,
+    Update,
 };
 use crate::core::{name, unit};
 
@@ -46,7 +46,7 @@
     /// The least urgent tier among them: teams differ within a class.
     pub tier: unit::Tier,
     /// Requests that arrived.
-    pub asked: u32,
+    pub arrived: u32,
     /// Requests that were refused for good, for lack of capacity.
     pub refused: u32,
     /// Prompt tokens of the refused requests.
@@ -56,7 +56,7 @@
 impl Tally {
     /// Returns whether it counts no request.
     fn is_empty(&self) -> bool {
-        self.asked == 0 && self.refused == 0
+        self.arrived == 0 && self.refused == 0
     }
 }
 
@@ -64,7 +64,7 @@
     fn from(counts: Counts) -> Self {
         Self {
             tier: counts.tier,
-            asked: counts.asked,
+            arrived: counts.arrived,
             refused: counts.lost,
             tokens: counts.lost_tokens,
         }
@@ -75,7 +75,7 @@
     fn from(tally: Tally) -> Self {
         Self {
             tier: tally.tier,
-            asked: tally.asked,
+            arrived: tally.arrived,
             lost: tally.refused,
             lost_tokens: tally.tokens,
             ..Self::default()
@@ -90,7 +90,7 @@
     fn from((service, class, tier, asked, refused, tokens): RefusedRow) -> Self {
         let tally = Tally {
             tier,
-            asked,
+            arrived: asked,
             refused,
             tokens,
         };
@@ -106,7 +106,7 @@
     fn from(row: Refused) -> Self {
         let Tally {
             tier,
-            asked,
+            arrived: asked,
             refused,
             tokens,
         } = row.tally;
@@ -129,15 +129,15 @@
     /// The least urgent tier among them.
     pub tier: unit::Tier,
     /// Requests that are retries after a refusal.
-    pub returned: u32,
+    pub client_retries: u32,
     /// Requests that were refused and may be retried.
     pub deferred: u32,
     /// Prompt tokens of the deferred requests.
     pub deferred_tokens: u64,
     /// Requests that started.
-    pub begun: u32,
+    pub started: u32,
     /// Prompt tokens of the started requests.
-    pub begun_tokens: u64,
+    pub started_tokens: u64,
 }
 
 /// Service, class, tier, returned, deferred, deferred tokens, begun, begun tokens.
@@ -155,27 +155,27 @@
 impl Traffic {
     /// Returns the counts that [`Tally`] leaves out, if any is above zero.
     pub fn of(service: &name::Service, class: &name::Class, counts: &Counts) -> Option<Self> {
-        let tells = counts.returned > 0 || counts.deferred > 0 || counts.begun > 0;
+        let tells = counts.client_retries > 0 || counts.deferred > 0 || counts.started > 0;
         tells.then(|| Self {
             service: service.clone(),
             class: class.clone(),
             tier: counts.tier,
-            returned: counts.returned,
+            client_retries: counts.client_retries,
             deferred: counts.deferred,
             deferred_tokens: counts.deferred_tokens,
-            begun: counts.begun,
-            begun_tokens: counts.begun_tokens,
+            started: counts.started,
+            started_tokens: counts.started_tokens,
         })
     }
 
     fn counts(&self) -> Counts {
         Counts {
             tier: self.tier,
-            returned: self.returned,
+            client_retries: self.client_retries,
             deferred: self.deferred,
             deferred_tokens: self.deferred_tokens,
-            begun: self.begun,
-            begun_tokens: self.begun_tokens,
+            started: self.started,
+            started_tokens: self.started_tokens,
             ..Counts::default()
         }
     }
@@ -188,11 +188,11 @@
             service,
             class,
             tier,
-            returned,
+            client_retries: returned,
             deferred,
             deferred_tokens,
-            begun,
-            begun_tokens,
+            started: begun,
+            started_tokens: begun_tokens,
         }
     }
 }
@@ -203,11 +203,11 @@
             row.service,
             row.class,
             row.tier,
-            row.returned,
+            row.client_retries,
             row.deferred,
             row.deferred_tokens,
-            row.begun,
-            row.begun_tokens,
+            row.started,
+            row.started_tokens,
         )
     }
 }
@@ -302,9 +302,9 @@
     }
 
     /// Moves all counts into a message.
-    pub(super) fn take(&mut self, news: &mut News) {
+    pub(super) fn take(&mut self, update: &mut Update) {
         for ((service, class), counts) in std::mem::take(&mut self.0) {
-            news.count(&service, &class, counts);
+            update.add_counts(&service, &class, counts);
         }
     }
 }
--- a/src/scalewood/core/load/sizes.rs
+++ b/src/scalewood/core/load/sizes.rs
@@ -66,16 +66,16 @@
 
     /// Returns the classes whose mean differs enough from the one last sent, and records it in
     /// `sent`.
-    pub(super) fn news(&self, sent: &mut BTreeMap<name::Class, u64>) -> Vec<Prompts> {
-        let mut news = Vec::new();
+    pub(super) fn updates(&self, sent: &mut BTreeMap<name::Class, u64>) -> Vec<Prompts> {
+        let mut updates = Vec::new();
         for (class, sum) in &self.0 {
             let mean = sum.mean();
             let known = sent.get(class).copied().unwrap_or_default();
             if mean.abs_diff(known) * 100 > known * MIN_MEAN_CHANGE_PERCENT {
                 sent.insert(class.clone(), mean);
-                news.push(sum.of(class));
+                updates.push(sum.of(class));
             }
         }
-        news
+        updates
     }
 }
--- a/src/scalewood/core/member.rs
+++ b/src/scalewood/core/member.rs
@@ -1,8 +1,8 @@
 //! Membership: which boxes of the availability zone are alive (a SWIM-style protocol).
 //!
 //! Each period a box probes a few peers, in shuffled rounds in which each peer is probed once,
-//! and exchanges news (membership updates) with them. A peer that does not answer is suspected.
-//! The suspicion spreads as news, and a peer that does not refute it in time, by raising its
+//! and exchanges membership updates with them. A peer that does not answer is suspected.
+//! The suspicion spreads as an update, and a peer that does not refute it in time, by raising its
 //! incarnation, counts as dead. Both the number of times that an item is sent and the number of
 //! items in a message are bounded, so a box's cost does not grow with the number of boxes.
 //!
@@ -25,8 +25,8 @@
     pub probes: usize,
     /// How long a suspected peer has to refute the suspicion.
     pub suspicion: Duration,
-    /// The most items of news in one message.
-    pub news: usize,
+    /// The most updates in one message.
+    pub max_updates: usize,
     /// How many times a box sends one item.
     pub repeats: u32,
 }
@@ -37,7 +37,7 @@
             period: Duration::from_millis(300),
             probes: 1,
             suspicion: Duration::from_millis(1200),
-            news: 8,
+            max_updates: 8,
             repeats: 6,
         }
     }
@@ -57,7 +57,7 @@
 
 /// A membership update about a box, or about the sender itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The box that it is about.
     pub about: name::Box,
     /// The incarnation of that box.
@@ -73,8 +73,9 @@
     pub from: name::Box,
     /// The sender's incarnation.
     pub incarnation: unit::Incarnation,
-    /// News, the least often sent first.
-    pub news: Vec<News>,
+    /// Updates, the least often sent first.
+    #[serde(rename = "news")]
+    pub updates: Vec<Update>,
 }
 
 #[derive(Clone, Debug)]
@@ -82,7 +83,7 @@
     incarnation: unit::Incarnation,
     status: Status,
     since: Duration,
-    /// How many more times the news of its status is to be sent.
+    /// How many more times an update with its status is to be sent.
     repeats: u32,
     /// Whether it was ever heard of, rather than only configured.
     known: bool,
@@ -230,10 +231,10 @@
 
     /// Returns the message for a probe or for the answer to one.
     pub fn message(&mut self) -> Message {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         if self.leaving && self.own_repeats > 0 {
             self.own_repeats -= 1;
-            news.push(self.own_news());
+            updates.push(self.own_update());
         }
         let mut unsent: Vec<_> = self
             .peers
@@ -241,9 +242,9 @@
             .filter(|(_, p)| p.repeats > 0)
             .collect();
         unsent.sort_by_key(|(_, peer)| std::cmp::Reverse(peer.repeats));
-        for (name, peer) in unsent.into_iter().take(self.settings.news) {
+        for (name, peer) in unsent.into_iter().take(self.settings.max_updates) {
             peer.repeats -= 1;
-            news.push(News {
+            updates.push(Update {
                 about: name.clone(),
                 incarnation: peer.incarnation,
                 status: peer.status,
@@ -252,17 +253,17 @@
         Message {
             from: self.own.clone(),
             incarnation: self.incarnation,
-            news,
+            updates,
         }
     }
 
-    fn own_news(&self) -> News {
+    fn own_update(&self) -> Update {
         let status = if self.leaving {
             Status::Dead
         } else {
             Status::Alive
         };
-        News {
+        Update {
             about: self.own.clone(),
             incarnation: self.incarnation,
             status,
@@ -270,14 +271,14 @@
     }
 
     /// Applies a probe, or the answer to one.
-    pub fn hear(&mut self, message: Message, now: Duration) {
+    pub fn receive(&mut self, message: Message, now: Duration) {
         let Message {
             from,
             incarnation,
-            news,
+            updates,
         } = message;
         self.apply(
-            News {
+            Update {
                 about: from,
                 incarnation,
                 status: Status::Alive,
@@ -285,13 +286,13 @@
             true,
             now,
         );
-        for item in news {
+        for item in updates {
             self.apply(item, false, now);
         }
     }
 
     /// Records that a peer did not answer a probe.
-    pub fn miss(&mut self, who: &name::Box, now: Duration) {
+    pub fn record_unanswered(&mut self, who: &name::Box, now: Duration) {
         let Some(peer) = self.peers.get_mut(who) else {
             return;
         };
@@ -302,48 +303,49 @@
         }
     }
 
-    fn apply(&mut self, news: News, direct: bool, now: Duration) {
-        if news.about == self.own {
-            self.refute(&news);
+    fn apply(&mut self, update: Update, direct: bool, now: Duration) {
+        if update.about == self.own {
+            self.refute(&update);
             return;
         }
         let repeats = self.settings.repeats;
-        let Some(peer) = self.peers.get_mut(&news.about) else {
+        let Some(peer) = self.peers.get_mut(&update.about) else {
             return;
         };
         // A message from the peer itself refutes a suspicion of the same incarnation, but not the
         // peer's own announcement that it leaves.
         let revived = direct
-            && news.incarnation == peer.incarnation
+            && update.incarnation == peer.incarnation
             && (peer.status == Status::Suspect || !peer.known);
-        let newer = (news.incarnation, news.status) > (peer.incarnation, peer.status);
+        let newer = (update.incarnation, update.status) > (peer.incarnation, peer.status);
         if direct && !newer && peer.status == Status::Dead {
             // The peer doesn't know that it counts as dead. It refutes that once it receives this
-            // news.
+            // update.
             peer.repeats = repeats;
         }
         if !newer && !revived && (peer.known || !direct) {
             return;
         }
-        if (peer.incarnation, peer.status, peer.known) != (news.incarnation, news.status, true) {
+        if (peer.incarnation, peer.status, peer.known) != (update.incarnation, update.status, true)
+        {
             peer.since = now;
             peer.repeats = repeats;
         }
-        peer.incarnation = news.incarnation;
-        peer.status = news.status;
+        peer.incarnation = update.incarnation;
+        peer.status = update.status;
         peer.known = true;
     }
 
     /// Raises this box's incarnation above that of a claim that it is not alive, or above a
     /// higher one that peers know.
-    fn refute(&mut self, news: &News) {
-        let wrong = news.status != Status::Alive && !self.leaving;
-        if wrong && news.incarnation >= self.incarnation {
-            self.incarnation = unit::Incarnation(news.incarnation.0 + 1);
+    fn refute(&mut self, update: &Update) {
+        let wrong = update.status != Status::Alive && !self.leaving;
+        if wrong && update.incarnation >= self.incarnation {
+            self.incarnation = unit::Incarnation(update.incarnation.0 + 1);
             self.own_repeats = self.settings.repeats;
         }
-        if news.incarnation > self.incarnation {
-            self.incarnation = unit::Incarnation(news.incarnation.0 + 1);
+        if update.incarnation > self.incarnation {
+            self.incarnation = unit::Incarnation(update.incarnation.0 + 1);
         }
     }
 }
--- a/src/scalewood/core/mod.rs
+++ b/src/scalewood/core/mod.rs
@@ -4,9 +4,9 @@
 //! time, and returns outputs; the daemons, the randomised runs and the benchmarks all run the same
 //! code.
 
-pub mod agree;
 pub mod attempt;
 pub mod audit;
+pub mod backoff;
 pub mod catchup;
 pub mod change;
 pub mod claim;
@@ -16,6 +16,7 @@
 pub mod difference;
 pub mod dispatch;
 pub mod estimate;
+pub mod fencing;
 pub mod fingerprint;
 pub mod follow;
 pub mod invariant;
@@ -27,20 +28,19 @@
 pub mod pace;
 pub mod policy;
 pub mod prompt;
+pub mod raft;
 pub mod region;
 pub mod registry;
 pub mod rendezvous;
 pub mod residency;
-pub mod rest;
 pub mod retry;
 pub mod risk;
 pub mod route;
 pub mod scaling;
 pub mod secret;
-pub mod tenure;
 pub mod throttle;
 pub mod unit;
 pub mod usage;
 pub mod verdict;
-pub mod wall;
+pub mod wall_clock;
 pub mod warm_up;
--- a/src/scalewood/core/pace.rs
+++ b/src/scalewood/core/pace.rs
@@ -42,7 +42,7 @@
 
 impl Pace {
     /// Returns whether the pace differs enough from the last reported one to be reported again.
-    pub fn is_news(self, last: Option<Self>) -> bool {
+    pub fn differs_enough(self, last: Option<Self>) -> bool {
         last.is_none_or(|last| self.0.abs_diff(last.0) * 100 > last.0 * MIN_REPORTED_CHANGE_PERCENT)
     }
 }
@@ -64,15 +64,15 @@
 
 /// Measures the pace of one stream.
 #[derive(Clone, Debug, Default)]
-pub struct Stream {
+pub struct Sampler {
     /// The events since the sample began at `since`, including the one that began it.
     events: u32,
     since: Duration,
 }
 
-impl Stream {
+impl Sampler {
     /// Records an event; returns the pace each time a sample is complete.
-    pub fn event(&mut self, now: Duration) -> Option<Pace> {
+    pub fn record_event(&mut self, now: Duration) -> Option<Pace> {
         if self.events == 0 {
             self.since = now;
         }
@@ -182,7 +182,7 @@
         };
         let before = meter.reported;
         let is_measured = !meter.estimates.is_empty() && meter.is_measured_here;
-        if !is_measured || !pace.is_news(before.map(|(pace, _)| pace)) {
+        if !is_measured || !pace.differs_enough(before.map(|(pace, _)| pace)) {
             return;
         }
         if let Some((_, stamp)) = before {
@@ -250,7 +250,7 @@
 impl Reports {
     /// Records a box's measurement and returns the median over all boxes; of an even number, the
     /// lower one.
-    pub fn take(&mut self, from: name::Box, pace: Pace) -> Pace {
+    pub fn record(&mut self, from: name::Box, pace: Pace) -> Pace {
         self.0.insert(from, pace);
         let mut paces: Vec<_> = self.0.values().copied().collect();
         paces.sort_unstable();
@@ -260,10 +260,10 @@
 
 /// Classifies the endpoints of a service as slow or fast. `graded` holds, for each, its pace if
 /// known and whether it is slow; the flag is updated in place.
-pub fn grade(graded: &mut [(Option<Pace>, bool)]) {
+pub fn classify(graded: &mut [(Option<Pace>, bool)]) {
     let mut known: Vec<_> = graded.iter().filter_map(|(pace, _)| *pace).collect();
     known.sort_unstable();
-    let Some(rank) = fast_place(known.len()) else {
+    let Some(rank) = reference_index(known.len()) else {
         return;
     };
     for (pace, slow) in graded {
@@ -275,7 +275,7 @@
 
 /// Returns the index, among the sorted paces of a service, of the fast endpoint that all are
 /// compared with, or `None` where too few paces are known.
-pub fn fast_place(known: usize) -> Option<usize> {
+pub fn reference_index(known: usize) -> Option<usize> {
     (known >= MIN_KNOWN_PACES).then(|| (known - 1) / 3)
 }
 
@@ -288,7 +288,7 @@
 
 /// Returns the range of paces whose classification may differ now that the fast endpoint's pace has
 /// changed from `before` to `fast`.
-pub fn sides_between(before: Option<Pace>, fast: Pace) -> (Pace, Pace) {
+pub fn affected_range(before: Option<Pace>, fast: Pace) -> (Pace, Pace) {
     let Some(before) = before else {
         return (Pace(0), Pace(u32::MAX));
     };
--- a/src/scalewood/core/policy.rs
+++ b/src/scalewood/core/policy.rs
@@ -20,7 +20,7 @@
 pub const MAX_OPERATIONS: u64 = 10_000;
 
 /// The maximum length of a program, in bytes.
-pub const MAX_PROGRAM: usize = 16 * 1024;
+pub const MAX_PROGRAM_BYTES: usize = 16 * 1024;
 
 /// The inputs of a program for one request.
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
 
 impl Decision {
     /// Returns the class with the decided values in place of its own.
-    pub fn over(self, class: config::Class) -> config::Class {
+    pub fn override_class(self, class: config::Class) -> config::Class {
         let target = self.target.unwrap_or(class.target);
         config::Class {
             target,
@@ -105,9 +105,9 @@
 impl Program {
     /// Compiles a program from its source text.
     pub fn compile(text: &str) -> Result<Self, Error> {
-        if text.len() > MAX_PROGRAM {
+        if text.len() > MAX_PROGRAM_BYTES {
             return Err(Error(format!(
-                "the program is longer than {MAX_PROGRAM} bytes; shorten it"
+                "the program is longer than {MAX_PROGRAM_BYTES} bytes; shorten it"
             )));
         }
         let engine = engine();
@@ -124,7 +124,7 @@
 
     /// Compiles a program, and runs it for each class of its service with sample inputs to find
     /// errors.
-    pub fn trial(
+    pub fn compile_checked(
         text: &str,
         classes: &[(&config::ClassKey, &config::Class)],
     ) -> Result<Self, Error> {
--- a/src/scalewood/core/agree/elect.rs
+++ b/src/scalewood/core/raft/elect.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use crate::core::{
-    agree::{
+    invariant,
+    raft::{
         message::{Message, Vote, VoteRequest},
         Node, Outcome, Role, State, Term, Voter, Write,
     },
-    invariant,
 };
 
 impl<S: State> Voter<S> {
@@ -41,8 +41,8 @@
         };
         for peer in self.log.members().voters_except(&self.own) {
             self.output
-                .sends
-                .push((peer, Message::Ask(request.clone())));
+                .messages
+                .push((peer, Message::RequestVote(request.clone())));
         }
         self.count_votes(now);
     }
@@ -83,13 +83,13 @@
             term,
             granted,
         };
-        self.output.sends.push((from, Message::Vote(vote)));
+        self.output.messages.push((from, Message::Vote(vote)));
     }
 
     /// Returns whether a leader's lease may still be valid: this node leads, or it has heard from
     /// a leader within the shortest election timeout.
     fn has_live_leader(&self, now: Duration) -> bool {
-        self.is_leader() || now < self.leader_heard_at + self.settings.election
+        self.is_leader() || now < self.leader_heard_at + self.settings.election_timeout_min
     }
 
     /// Handles the answer to a vote request.
@@ -194,8 +194,8 @@
             voters.max_by_key(|(_, progress)| (progress.acked_send_time, progress.matched));
         if let Some((node, _)) = successor {
             self.output
-                .sends
-                .push((node.clone(), Message::Stand(self.term)));
+                .messages
+                .push((node.clone(), Message::TimeoutNow(self.term)));
         }
         self.become_follower(self.term, None, now);
     }
--- a/src/scalewood/core/agree/log.rs
+++ b/src/scalewood/core/raft/log.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    agree::{Members, Node, State},
     invariant,
+    raft::{Members, Node, State},
 };
 
 /// A position in the log; the first entry has index 1.
@@ -106,7 +106,7 @@
 
 /// The durable state that a voter restarts from.
 #[derive(Clone, Debug)]
-pub struct Kept<S: State> {
+pub struct Persisted<S: State> {
     /// The latest term.
     pub term: Term,
     /// The node that it voted for in that term.
@@ -117,7 +117,7 @@
     pub entries: Vec<Entry<S::Command>>,
 }
 
-impl<S: State> Default for Kept<S> {
+impl<S: State> Default for Persisted<S> {
     fn default() -> Self {
         Self {
             term: Term(0),
@@ -133,17 +133,17 @@
     }
 }
 
-impl<S: State> Kept<S> {
+impl<S: State> Persisted<S> {
     /// Returns the initial state of the first voter of a new cluster.
-    pub fn first(node: Node, address: std::net::SocketAddr) -> Self {
+    pub fn bootstrap(node: Node, address: std::net::SocketAddr) -> Self {
         let mut kept = Self::default();
-        kept.snapshot.members = Members::of_one(node, address);
+        kept.snapshot.members = Members::single_voter(node, address);
         kept
     }
 
     /// Returns the initial state of each voter of a new cluster whose voters are all known in
     /// advance.
-    pub fn formed(members: Members) -> Self {
+    pub fn bootstrap_with(members: Members) -> Self {
         let mut kept = Self::default();
         kept.snapshot.members = members;
         kept
--- a/src/scalewood/core/agree/members.rs
+++ b/src/scalewood/core/raft/members.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::agree::{Index, Node, Outcome, Payload, Role, State, Ticket, Voter};
+use crate::core::raft::{Index, Node, Outcome, Payload, Role, State, Ticket, Voter};
 
 /// The voters and learners of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 
 impl Members {
     /// Returns the membership of a new cluster with a single voter.
-    pub fn of_one(node: Node, address: SocketAddr) -> Self {
+    pub fn single_voter(node: Node, address: SocketAddr) -> Self {
         Self {
             voters: BTreeMap::from([(node, address)]),
             learners: BTreeMap::new(),
@@ -47,7 +47,7 @@
     }
 
     /// Returns the membership of a new cluster whose voters are all known in advance.
-    pub fn of_all(voters: impl IntoIterator<Item = (Node, SocketAddr)>) -> Self {
+    pub fn with_voters(voters: impl IntoIterator<Item = (Node, SocketAddr)>) -> Self {
         Self {
             voters: voters.into_iter().collect(),
             learners: BTreeMap::new(),
@@ -204,7 +204,7 @@
 
     use serde::{Deserialize as _, Deserializer, Serialize as _, Serializer};
 
-    use crate::core::agree::Node;
+    use crate::core::raft::Node;
 
     type Map = BTreeMap<Node, SocketAddr>;
 
--- a/src/scalewood/core/agree/message.rs
+++ b/src/scalewood/core/raft/message.rs
@@ -4,14 +4,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::agree::{Entry, Index, State, Term};
+use crate::core::raft::{Entry, Index, State, Term};
 
 /// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", bound = "S: State")]
 pub enum Message<S: State> {
     /// A candidate's request for a vote (Raft's RequestVote).
-    Ask(VoteRequest),
+    #[serde(rename = "ask")]
+    RequestVote(VoteRequest),
     /// The answer to a request for a vote.
     Vote(Vote),
     /// A leader's entries, or none for a heartbeat (Raft's AppendEntries).
@@ -21,7 +22,8 @@
     /// A part of a leader's snapshot (Raft's InstallSnapshot).
     Piece(Piece),
     /// A leader that stops tells a follower to start an election at once (Raft's TimeoutNow).
-    Stand(Term),
+    #[serde(rename = "stand")]
+    TimeoutNow(Term),
 }
 
 /// A candidate's request for a vote.
