--- a/src/scalewood/core/agree/mod.rs
+++ b/src/scalewood/core/raft/mod.rs
@@ -41,7 +41,7 @@
 mod replicate;
 mod snapshot;
 
-pub use log::{Entry, Index, Kept, Payload, Snapshot, Term, Write};
+pub use log::{Entry, Index, Payload, Persisted, Snapshot, Term, Write};
 pub use members::{Members, Request as MembersRequest};
 pub use message::{Message, Piece};
 
@@ -96,17 +96,17 @@
 pub struct Settings {
     /// The shortest election timeout, after which a voter that hears from no leader starts an
     /// election. The timeout is drawn at random between this and twice this.
-    pub election: Duration,
+    pub election_timeout_min: Duration,
     /// The time between two heartbeats of a leader.
     pub heartbeat: Duration,
     /// The time by which a lease ends early, since clocks may run at different speeds.
-    pub margin: Duration,
+    pub lease_margin: Duration,
     /// The most entries in one message.
-    pub batch: usize,
+    pub max_entries: usize,
     /// The most bytes of a snapshot in one message; exceeded only to end on a whole character.
-    pub piece: usize,
+    pub max_piece_bytes: usize,
     /// The number of entries applied since the last snapshot after which the log is compacted.
-    pub compact: u64,
+    pub compact_after: u64,
     /// How the leader repairs the membership without an operator; absent if it does not.
     pub repair: Option<Repair>,
 }
@@ -115,16 +115,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Repair {
     /// How long a member may go without answering before it is removed.
-    pub silence: Duration,
+    pub max_silence: Duration,
     /// The number of other voters that must respond for a silent voter to be removed.
-    pub remaining: usize,
+    pub min_responsive: usize,
 }
 
 impl Default for Repair {
     fn default() -> Self {
         Self {
-            silence: Duration::from_millis(1500),
-            remaining: 3,
+            max_silence: Duration::from_millis(1500),
+            min_responsive: 3,
         }
     }
 }
@@ -132,12 +132,12 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            election: Duration::from_millis(1000),
+            election_timeout_min: Duration::from_millis(1000),
             heartbeat: Duration::from_millis(200),
-            margin: Duration::from_millis(200),
-            batch: 64,
-            piece: 64 * 1024,
-            compact: 256,
+            lease_margin: Duration::from_millis(200),
+            max_entries: 64,
+            max_piece_bytes: 64 * 1024,
+            compact_after: 256,
             repair: None,
         }
     }
@@ -172,7 +172,7 @@
     /// A node that is not a member asks to become one.
     Join(Node, SocketAddr),
     /// The process is about to stop: a leader transfers its leadership.
-    Leave,
+    Stop,
     /// Time has passed.
     Tick,
 }
@@ -183,7 +183,7 @@
     /// Records to be made durable before anything else.
     pub writes: Vec<Write<S>>,
     /// Messages to be sent once the writes are durable.
-    pub sends: Vec<(Node, Message<S>)>,
+    pub messages: Vec<(Node, Message<S>)>,
     /// Answers to proposals, to be delivered once the writes are durable.
     pub answers: Vec<(Ticket, Outcome<S::Answer>)>,
 }
@@ -192,7 +192,7 @@
     fn default() -> Self {
         Self {
             writes: Vec::new(),
-            sends: Vec::new(),
+            messages: Vec::new(),
             answers: Vec::new(),
         }
     }
@@ -202,7 +202,7 @@
     /// Appends the effects of a later step.
     pub fn merge(&mut self, later: Self) {
         self.writes.extend(later.writes);
-        self.sends.extend(later.sends);
+        self.messages.extend(later.messages);
         self.answers.extend(later.answers);
     }
 }
@@ -290,7 +290,13 @@
 
 impl<S: State> Voter<S> {
     /// Creates a voter from its durable state.
-    pub fn new(settings: Settings, own: Node, kept: Kept<S>, seed: u64, now: Duration) -> Self {
+    pub fn new(
+        settings: Settings,
+        own: Node,
+        kept: Persisted<S>,
+        seed: u64,
+        now: Duration,
+    ) -> Self {
         let state = kept.snapshot.state.clone();
         let start = kept.snapshot.index;
         let mut voter = Self {
@@ -318,7 +324,7 @@
     /// Applies the entries that are known to have been committed before the start. Committed
     /// entries are never removed, so the resulting state was once in force. It may not be the
     /// newest, so this does not make the voter caught up.
-    pub fn recall(&mut self, committed: Index) {
+    pub fn apply_known_committed(&mut self, committed: Index) {
         self.committed = self.committed.max(committed.min(self.log.last_index()));
         self.apply_committed();
     }
@@ -330,7 +336,7 @@
             Input::Propose(ticket, command) => self.propose(ticket, command, now),
             Input::Members(ticket, request) => self.change_members(ticket, request, now),
             Input::Join(node, address) => self.admit(node, address, now),
-            Input::Leave => self.transfer_leadership(now),
+            Input::Stop => self.transfer_leadership(now),
             Input::Tick => self.tick(now),
         }
         self.apply_committed();
@@ -340,12 +346,12 @@
 
     fn handle_message(&mut self, from: Node, message: Message<S>, now: Duration) {
         match message {
-            Message::Ask(request) => self.handle_vote_request(from, request, now),
+            Message::RequestVote(request) => self.handle_vote_request(from, request, now),
             Message::Vote(vote) => self.handle_vote(from, vote, now),
             Message::Append(append) => self.handle_append(from, append, now),
             Message::Stored(stored) => self.handle_stored(from, stored, now),
             Message::Piece(piece) => self.handle_piece(from, piece, now),
-            Message::Stand(term) => self.handle_timeout_now(term, now),
+            Message::TimeoutNow(term) => self.handle_timeout_now(term, now),
         }
     }
 
@@ -368,7 +374,7 @@
     /// Restarts the election timeout, with a random length.
     fn reset_election(&mut self, now: Duration) {
         let timeout_factor = self.random.random_range(1.0..2.0);
-        self.election_at = now + self.settings.election.mul_f64(timeout_factor);
+        self.election_at = now + self.settings.election_timeout_min.mul_f64(timeout_factor);
     }
 
     /// Applies committed entries, and answers the proposals that they came from.
@@ -491,6 +497,12 @@
             return None;
         }
         let answered_at = self.majority_answered_at(peers)?;
-        Some(answered_at + self.settings.election.saturating_sub(self.settings.margin))
+        Some(
+            answered_at
+                + self
+                    .settings
+                    .election_timeout_min
+                    .saturating_sub(self.settings.lease_margin),
+        )
     }
 }
--- a/src/scalewood/core/agree/repair.rs
+++ b/src/scalewood/core/raft/repair.rs
@@ -10,7 +10,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use crate::core::agree::{Members, MembersRequest, Node, Repair, Role, State, Voter};
+use crate::core::raft::{Members, MembersRequest, Node, Repair, Role, State, Voter};
 
 impl<S: State> Voter<S> {
     /// Adds a node that asks to join as a learner.
@@ -57,16 +57,16 @@
         old.filter(|node| *node != self.own)
     }
 
-    /// Returns a member that has not answered within `settings.silence`: a learner, or a voter if
-    /// at least `settings.remaining` voters respond.
+    /// Returns a member that has not answered within `settings.max_silence`: a learner, or a voter
+    /// if at least `settings.min_responsive` voters respond.
     fn silent_member(&self, settings: Repair, now: Duration) -> Option<Node> {
         let members: &Members = self.log.members();
-        let is_responsive = |node: &&Node| self.is_responsive(node, settings.silence, now);
+        let is_responsive = |node: &&Node| self.is_responsive(node, settings.max_silence, now);
         if let Some(learner) = members.learners().find(|node| !is_responsive(node)) {
             return Some(learner.clone());
         }
         // Learners do not count towards a majority, so only voters count as remaining.
-        if members.voters().filter(is_responsive).count() < settings.remaining {
+        if members.voters().filter(is_responsive).count() < settings.min_responsive {
             return None;
         }
         members.voters().find(|node| !is_responsive(node)).cloned()
--- a/src/scalewood/core/agree/replicate.rs
+++ b/src/scalewood/core/raft/replicate.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use crate::core::agree::{
+use crate::core::raft::{
     message::{Append, Message, Stored},
     Entry, Index, Node, Outcome, Payload, Progress, Role, State, Ticket, Voter, Write,
 };
@@ -91,7 +91,7 @@
             .majority_answered_at(peers)
             .unwrap_or(now)
             .max(self.leader_heard_at);
-        if now.saturating_sub(answered_at) > self.settings.election * 2 {
+        if now.saturating_sub(answered_at) > self.settings.election_timeout_min * 2 {
             self.become_follower(self.term, None, now);
             return;
         }
@@ -156,7 +156,9 @@
             self.send_piece(node, now);
             return;
         };
-        let entries = self.log.entries_from(progress.next, self.settings.batch);
+        let entries = self
+            .log
+            .entries_from(progress.next, self.settings.max_entries);
         // Assumes that the entries arrive; an answer that rejects them moves `next` back.
         if let Some(last) = entries.last() {
             progress.next = last.index.next();
@@ -170,7 +172,7 @@
             sent: now,
         };
         self.output
-            .sends
+            .messages
             .push((node.clone(), Message::Append(append)));
     }
 
@@ -258,7 +260,7 @@
             piece,
             sent,
         };
-        self.output.sends.push((to, Message::Stored(stored)));
+        self.output.messages.push((to, Message::Stored(stored)));
     }
 
     /// Raises the commit index, never lowers it.
--- a/src/scalewood/core/agree/snapshot.rs
+++ b/src/scalewood/core/raft/snapshot.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::core::agree::{
+use crate::core::raft::{
     message::{Message, Piece},
     Index, Node, Role, Snapshot, State, Voter, Write,
 };
@@ -23,10 +23,10 @@
 }
 
 impl<S: State> Voter<S> {
-    /// Compacts the log once `settings.compact` entries have been applied since the snapshot.
+    /// Compacts the log once `settings.compact_after` entries have been applied since the snapshot.
     pub(super) fn compact(&mut self) {
         let snapshot_index = self.log.snapshot().index;
-        if self.applied.0 - snapshot_index.0 < self.settings.compact {
+        if self.applied.0 - snapshot_index.0 < self.settings.compact_after {
             return;
         }
         let Some(term) = self.log.term_at(self.applied) else {
@@ -71,7 +71,10 @@
         } else {
             0
         };
-        let end = outgoing.text.len().min(offset + self.settings.piece);
+        let end = outgoing
+            .text
+            .len()
+            .min(offset + self.settings.max_piece_bytes);
         let end = (end..=outgoing.text.len()).find(|i| outgoing.text.is_char_boundary(*i));
         let text = outgoing.text[offset..end.unwrap_or(outgoing.text.len())].to_owned();
         let piece = Piece {
@@ -83,7 +86,7 @@
             sent: now,
         };
         self.output
-            .sends
+            .messages
             .push((node.clone(), Message::Piece(piece)));
     }
 
--- a/src/scalewood/core/registry.rs
+++ b/src/scalewood/core/registry.rs
@@ -51,7 +51,7 @@
 
 impl Merged {
     /// Returns whether other processes have to know.
-    pub fn is_news(self) -> bool {
+    pub fn must_propagate(self) -> bool {
         matches!(self, Self::Changed | Self::Restarted)
     }
 }
@@ -77,13 +77,13 @@
     /// it is leaving.
     leaving_stamp: Option<u64>,
     /// Its warm-up. The record itself holds none, since the time that is left falls continuously.
-    warm_up: warm_up::Belief,
+    warm_up: warm_up::State,
 }
 
 impl Entry {
     fn new(
         record: Record,
-        warm_up: warm_up::Belief,
+        warm_up: warm_up::State,
         started_ms: i64,
         stamp: u64,
         now: Duration,
@@ -182,11 +182,11 @@
     /// endpoints served before it.
     fn insert(&mut self, mut record: Record, late: bool, now: Duration) {
         self.advance_layout();
-        let mut belief = warm_up::Belief::new(late, now);
-        belief.hear(record.warm_up.take(), now);
+        let mut state = warm_up::State::new(late, now);
+        state.observe(record.warm_up.take(), now);
         let (name, service) = (record.name.clone(), record.service.clone());
         let started_ms = self.timing.start_time_ms(record.sequence, now);
-        let entry = Entry::new(record, belief, started_ms, self.stamp, now);
+        let entry = Entry::new(record, state, started_ms, self.stamp, now);
         self.remove_entry(&name);
         self.clear_silent(&name);
         self.changes.note(None, self.stamp, &name);
@@ -218,13 +218,13 @@
         };
         // Other processes may have forgotten it after so long a silence, so they have to be told.
         let last = entry.heard.max(self.vouched.latest(entry.vouchers));
-        let was_silent = now >= last + self.timing.silence();
+        let was_silent = now >= last + self.timing.max_silence();
         entry.heard = now;
         entry.restored = false;
         entry.started_ms = entry
             .started_ms
             .min(self.timing.start_time_ms(record.sequence, now));
-        let warms = entry.warm_up.hear(record.warm_up.take(), now);
+        let warms = entry.warm_up.observe(record.warm_up.take(), now);
         if entry.leaving_stamp.is_some() {
             // The heartbeat may have been sent before that response.
             record.state = record.state.max(State::Leaving);
@@ -258,7 +258,7 @@
 
     /// Records that a start of an endpoint announced in a response that it is leaving. No
     /// heartbeat of this start reverts that.
-    pub fn note_leaving(&mut self, name: &name::Endpoint, start: Start) -> Merged {
+    pub fn record_leaving(&mut self, name: &name::Endpoint, start: Start) -> Merged {
         let Some(entry) = self.entries.get_mut(name) else {
             return Merged::Nothing;
         };
@@ -308,8 +308,8 @@
         let known = known.map(|entry| entry.record.incarnation);
         let start = known.unwrap_or_else(|| self.ended.forgotten(name));
         let merged = self.end(name, start);
-        if merged.is_news() && known.is_none() && start.is_none() {
-            self.ended.note_without_start(name, self.stamp);
+        if merged.must_propagate() && known.is_none() && start.is_none() {
+            self.ended.record_without_start(name, self.stamp);
         }
         merged
     }
@@ -332,26 +332,26 @@
     /// Applies another process's list of endpoints that have `gone`, the starts that have `ended`
     /// of those that report incarnations, and the endpoints that `left` while no start of them
     /// was known there. Returns the endpoints for which this is new.
-    pub fn take_ends(
+    pub fn apply_ends(
         &mut self,
         gone: &[name::Endpoint],
         ended: &[Ended],
         left: &[name::Endpoint],
     ) -> Vec<name::Endpoint> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for ended in ended {
             let merged = self.end(&ended.name, Some(ended.incarnation));
-            news.extend(merged.is_news().then(|| ended.name.clone()));
+            updates.extend(merged.must_propagate().then(|| ended.name.clone()));
         }
         // `left` goes before `gone`: once `gone` has raised the mark, the same leave would not be
         // new.
         for name in left {
-            news.extend(self.leave(name).is_news().then(|| name.clone()));
+            updates.extend(self.leave(name).must_propagate().then(|| name.clone()));
         }
         for name in gone {
-            news.extend(self.end(name, None).is_news().then(|| name.clone()));
+            updates.extend(self.end(name, None).must_propagate().then(|| name.clone()));
         }
-        news
+        updates
     }
 
     /// Forgets an endpoint that has been silent for too long.
@@ -360,13 +360,13 @@
             return;
         };
         self.advance_layout();
-        self.note_silent(name);
+        self.record_silent(name);
         if let Some(start) = entry.record.incarnation {
             self.ended.forget(name, start);
         }
     }
 
-    fn note_silent(&mut self, name: &name::Endpoint) {
+    fn record_silent(&mut self, name: &name::Endpoint) {
         let before = self.silent_at.insert(name.clone(), self.stamp);
         self.silent.note(before, self.stamp, name);
         if self.silent_at.len() > MAX_SILENT {
@@ -390,7 +390,7 @@
     }
 
     /// Records that an endpoint was heard.
-    pub fn hear(&mut self, name: &name::Endpoint, now: Duration) {
+    pub fn record_heard(&mut self, name: &name::Endpoint, now: Duration) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.heard = now;
             entry.restored = false;
@@ -399,7 +399,7 @@
 
     /// Returns a process as one that vouches for endpoints, or `None` if there are too many. What
     /// it vouched for before is cleared, since it now reports everything again.
-    pub fn voucher(&mut self, name: &name::Box) -> Option<Voucher> {
+    pub fn register_voucher(&mut self, name: &name::Box) -> Option<Voucher> {
         let voucher = self.vouched.voucher(name)?;
         let last = self.vouched.of(voucher);
         for entry in self.entries.values_mut() {
@@ -419,12 +419,12 @@
     }
 
     /// Records that another process says that all endpoints are alive that it vouches for.
-    pub fn vouched(&mut self, by: Voucher, now: Duration) {
+    pub fn record_vouch(&mut self, by: Voucher, now: Duration) {
         self.vouched.note(by, now);
     }
 
     /// Records that another process no longer vouches for an endpoint, which is silent there.
-    pub fn withdraw(&mut self, name: &name::Endpoint, by: Voucher) {
+    pub fn withdraw_vouch(&mut self, name: &name::Endpoint, by: Voucher) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.vouchers.remove(by);
         }
@@ -486,7 +486,7 @@
     pub fn set_pace(&mut self, name: &name::Endpoint, pace: pace::Pace) -> bool {
         let known = self.paces.get(name);
         let has_gone = self.ended.is_announced(name) && !self.entries.contains_key(name);
-        if !pace.is_news(known) || has_gone {
+        if !pace.differs_enough(known) || has_gone {
             return false;
         }
         self.stamp += 1;
@@ -549,7 +549,7 @@
 
     /// Returns the endpoints that changed, went or fell silent after a stamp, and those that
     /// share an address with one of them.
-    pub fn touched_since(&self, stamp: u64) -> BTreeSet<name::Endpoint> {
+    pub fn affected_since(&self, stamp: u64) -> BTreeSet<name::Endpoint> {
         let changed = self.changes.since(stamp.into()).cloned();
         let mut touched: BTreeSet<_> = changed.collect();
         touched.extend(self.gone_since(stamp));
@@ -583,7 +583,7 @@
     /// Returns the stamp of the last change that dispatchers have to know. Changes of paces alone
     /// don't count: with some thousand endpoints a pace changes many times a second, and to
     /// update a dispatcher with as many records takes 4 ms.
-    pub fn layout(&self) -> u64 {
+    pub fn dispatch_stamp(&self) -> u64 {
         self.layout
     }
 
@@ -604,17 +604,17 @@
     }
 
     /// Returns the same for another process: with the remaining warm-up times.
-    pub fn told_since(&self, span: impl Into<Span>, now: Duration) -> Vec<Record> {
+    pub fn records_since(&self, span: impl Into<Span>, now: Duration) -> Vec<Record> {
         let mut told = self.changed_since(span);
         for record in &mut told {
-            let belief = self.warm_up(&record.name);
-            record.warm_up = belief.and_then(|belief| belief.left(now));
+            let state = self.warm_up(&record.name);
+            record.warm_up = state.and_then(|state| state.remaining(now));
         }
         told
     }
 
     /// Returns the warm-up state of an endpoint, as far as it is known here.
-    pub fn warm_up(&self, name: &name::Endpoint) -> Option<&warm_up::Belief> {
+    pub fn warm_up(&self, name: &name::Endpoint) -> Option<&warm_up::State> {
         self.entries.get(name).map(|entry| &entry.warm_up)
     }
 
@@ -631,7 +631,7 @@
 
     /// Returns the endpoints that left within a range of stamps while no start of them was known
     /// here.
-    pub fn left_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
+    pub fn left_without_start_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
         self.ended.without_start_since(span.into())
     }
 
@@ -645,7 +645,7 @@
     /// Forgets the endpoints that were restored after a power loss and whose heartbeat is
     /// overdue; returns them.
     pub fn expire_restored(&mut self, now: Duration) -> Vec<Record> {
-        let restored = self.timing.restored();
+        let restored = self.timing.restored_timeout();
         let is_over = |entry: &Entry| entry.restored && entry.heard + restored <= now;
         self.forget_those(is_over)
     }
@@ -661,7 +661,7 @@
 
     /// Forgets the endpoints that have been silent for too long; returns them.
     pub fn expire_silent(&mut self, now: Duration) -> Vec<Record> {
-        self.expire(now.saturating_sub(self.timing.silence()))
+        self.expire(now.saturating_sub(self.timing.max_silence()))
     }
 
     fn forget_those(&mut self, is_over: impl Fn(&Entry) -> bool) -> Vec<Record> {
--- a/src/scalewood/core/registry/ended.rs
+++ b/src/scalewood/core/registry/ended.rs
@@ -105,7 +105,7 @@
     /// Records that an endpoint was forgotten for its silence. Its start may reappear, but no
     /// earlier one may: a delayed voter may still send those long after.
     pub(super) fn forget(&mut self, name: &name::Endpoint, start: unit::Incarnation) {
-        if let Some(before) = start.before() {
+        if let Some(before) = start.previous() {
             self.raise(name, Some(before), 0);
         }
         if let Some(mark) = self.marks.get_mut(name) {
@@ -119,7 +119,7 @@
     }
 
     /// Records that an endpoint left while no start of it was known.
-    pub(super) fn note_without_start(&mut self, name: &name::Endpoint, stamp: u64) {
+    pub(super) fn record_without_start(&mut self, name: &name::Endpoint, stamp: u64) {
         if let Some(mark) = self.marks.get_mut(name) {
             self.without_start
                 .note(Some(mark.without_start), stamp, name);
--- a/src/scalewood/core/registry/ranks.rs
+++ b/src/scalewood/core/registry/ranks.rs
@@ -46,7 +46,7 @@
         &mut self,
         was_slow: impl Fn(&name::Endpoint) -> bool,
     ) -> Vec<(name::Endpoint, bool)> {
-        let Some(place) = pace::fast_place(self.in_order.len()) else {
+        let Some(place) = pace::reference_index(self.in_order.len()) else {
             return Vec::new();
         };
         let Some((fast, _)) = self.in_order.iter().nth(place) else {
@@ -56,7 +56,7 @@
         let mut looked_at = std::mem::take(&mut self.touched);
         let before = self.fast.replace(fast);
         if before != Some(fast) {
-            let span = pace::sides_between(before, fast);
+            let span = pace::affected_range(before, fast);
             let near = self.in_order.iter();
             let near = near.skip_while(|(pace, _)| *pace < span.0);
             let near = near.take_while(|(pace, _)| *pace <= span.1);
--- a/src/scalewood/core/registry/record.rs
+++ b/src/scalewood/core/registry/record.rs
@@ -59,7 +59,7 @@
     pub incarnation: Option<unit::Incarnation>,
     /// How much longer it warms up, if it reports that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub warm_up: Option<warm_up::Left>,
+    pub warm_up: Option<warm_up::Remaining>,
 }
 
 /// The most slots that an endpoint may have: some hundred times as many as model servers run at
--- a/src/scalewood/core/registry/refusal.rs
+++ b/src/scalewood/core/registry/refusal.rs
@@ -39,19 +39,22 @@
     /// What is wrong.
     pub reason: Reason,
     /// The details.
-    pub why: String,
+    pub detail: String,
 }
 
 impl Refusal {
     /// Creates a refusal.
     pub fn new(reason: Reason, why: impl Into<String>) -> Self {
         let why = why.into();
-        Self { reason, why }
+        Self {
+            reason,
+            detail: why,
+        }
     }
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.reason.as_str(), self.why)
+        write!(f, "{}: {}", self.reason.as_str(), self.detail)
     }
 }
--- a/src/scalewood/core/registry/timing.rs
+++ b/src/scalewood/core/registry/timing.rs
@@ -27,13 +27,13 @@
 impl Timing {
     /// Returns how long an endpoint may be silent before it is forgotten: one heartbeat is lost,
     /// and the next one is late.
-    pub fn silence(&self) -> Duration {
+    pub fn max_silence(&self) -> Duration {
         2 * self.heartbeat + MAX_HEARTBEAT_DELAY
     }
 
     /// Returns how long an endpoint that served before a power loss is used without a new
     /// heartbeat: two intervals, and the delay of the first one.
-    pub fn restored(&self) -> Duration {
+    pub fn restored_timeout(&self) -> Duration {
         2 * self.heartbeat + MAX_DELAY_AFTER_POWER_LOSS
     }
 
--- a/src/scalewood/core/residency.rs
+++ b/src/scalewood/core/residency.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns whether regions are listed, but no known availability zone is in one of them.
-    pub fn is_unknown(&self, regions: &region::Map) -> bool {
+    pub fn has_only_unknown_regions(&self, regions: &region::Map) -> bool {
         let known = regions.regions();
         self.0
             .as_deref()
@@ -79,7 +79,7 @@
 
 /// The error for an item of a configuration that allows no region. Taken as "everywhere", it would
 /// widen what was meant as a restriction; taken as "nowhere", it could serve nobody.
-pub(crate) const NOWHERE: &str =
+pub(crate) const EMPTY_REGIONS_ERROR: &str =
     "its list of regions is empty; name one, or leave the list out to allow all";
 
 /// The items of a configuration that decide where a request may be served.
@@ -131,7 +131,11 @@
 
 /// Returns the routes, classes and teams of a configuration that list only unknown regions, as
 /// `kind name`; at most the first `most` of them.
-pub fn unknown(document: &config::Document, regions: &region::Map, most: usize) -> Vec<String> {
+pub fn items_with_unknown_regions(
+    document: &config::Document,
+    regions: &region::Map,
+    most: usize,
+) -> Vec<String> {
     let routing = document.routing.as_deref();
     let routes = routing.into_iter().flat_map(|routing| &routing.routes);
     let routes = routes.map(|(name, route)| (format!("route {name}"), &route.allowed));
@@ -144,6 +148,6 @@
     let classes = document.classes.iter();
     let classes = classes.map(|(key, class)| (format!("class {key}"), &class.allowed));
     let all = routes.chain(teams).chain(classes);
-    let unknown = all.filter(|(_, allowed)| allowed.is_unknown(regions));
+    let unknown = all.filter(|(_, allowed)| allowed.has_only_unknown_regions(regions));
     unknown.map(|(item, _)| item).take(most).collect()
 }
--- a/src/scalewood/core/retry.rs
+++ b/src/scalewood/core/retry.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The retries that a first attempt adds to the budget.
-    pub earned: f64,
+    pub earned_per_request: f64,
     /// The most retries that the budget holds.
-    pub most: f64,
+    pub capacity: f64,
     /// The longest wait before the first retry; it doubles with each further one.
     pub base: Duration,
     /// The upper limit of the longest wait.
@@ -25,8 +25,8 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            earned: 0.2,
-            most: 20.0,
+            earned_per_request: 0.2,
+            capacity: 20.0,
             base: Duration::from_millis(20),
             cap: Duration::from_millis(500),
             attempts: 4,
@@ -59,7 +59,7 @@
     /// Returns one box's share, if so many boxes use the service: the retries earned per request,
     /// and the most that its budget holds. A tenth of the ratio and a fifth of the slack are left
     /// out, as a reserve for boxes that have started and are not known here yet.
-    pub fn part(&self, boxes: u32) -> (f64, f64) {
+    pub fn share(&self, boxes: u32) -> (f64, f64) {
         const EARNED_SHARE: f64 = 0.9;
         const SLACK_SHARE: f64 = 0.8;
         let most = self.slack * SLACK_SHARE / f64::from(boxes.max(1));
@@ -79,15 +79,15 @@
     /// Creates a full budget.
     pub fn new(settings: Settings) -> Self {
         Self {
-            saved: settings.most,
+            saved: settings.capacity,
             settings,
         }
     }
 
     /// Sets how much a first attempt adds, and the most that the budget holds.
     pub fn set(&mut self, (earned, most): (f64, f64)) {
-        self.settings.earned = earned;
-        self.settings.most = most;
+        self.settings.earned_per_request = earned;
+        self.settings.capacity = most;
         self.saved = self.saved.min(most);
     }
 
@@ -98,7 +98,7 @@
 
     /// Records a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + self.settings.earned).min(self.settings.most);
+        self.saved = (self.saved + self.settings.earned_per_request).min(self.settings.capacity);
     }
 
     /// Takes a retry from the budget after `attempts` attempts; `random` lies between 0 and 1.
--- a/src/scalewood/core/risk.rs
+++ b/src/scalewood/core/risk.rs
@@ -31,7 +31,7 @@
 impl Chance {
     /// Returns whether the probability differs enough from the last reported one to be reported
     /// again. A change to or from zero always does.
-    pub fn is_news(self, last: Self) -> bool {
+    pub fn differs_enough(self, last: Self) -> bool {
         self.0.abs_diff(last.0) >= MIN_REPORTED_CHANGE || (self.0 == 0) != (last.0 == 0)
     }
 }
@@ -45,7 +45,7 @@
 
 impl Risk {
     /// Creates a risk from a probability that another process reported.
-    pub fn told(chance: Chance, now: Duration) -> Self {
+    pub fn from_report(chance: Chance, now: Duration) -> Self {
         Self {
             value: f64::from(chance.0) / 1000.0,
             at: now,
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether the risk has decayed so far that it is reported as zero.
-    pub fn has_faded(self, now: Duration) -> bool {
+    pub fn is_negligible(self, now: Duration) -> bool {
         self.get(now) == 0.0
     }
 
@@ -79,14 +79,14 @@
     }
 
     /// Records a failed request; `weight`, from 0 to 1, scales its effect.
-    pub fn raise(&mut self, weight: f64, now: Duration) {
+    pub fn record_failure(&mut self, weight: f64, now: Duration) {
         let risk = self.get(now);
         self.value = risk + (1.0 - risk) * FAILURE_STEP * weight;
         self.at = now;
     }
 
     /// Records a request that got its first token.
-    pub fn lower(&mut self, now: Duration) {
+    pub fn record_answer(&mut self, now: Duration) {
         self.value = self.get(now) * ANSWER_FACTOR;
         self.at = now;
     }
--- a/src/scalewood/core/route.rs
+++ b/src/scalewood/core/route.rs
@@ -107,7 +107,7 @@
 
     /// Returns a service for a request, chosen by weight. `drawn` is a uniformly distributed random
     /// number in `0.0..1.0`.
-    pub fn pick(&self, drawn: f64) -> Option<&name::Service> {
+    pub fn pick_service(&self, drawn: f64) -> Option<&name::Service> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
         // The weights are far below 2^52, so the casts lose no precision that matters.
         let mut point = (drawn * total as f64) as u64;
@@ -246,7 +246,7 @@
                 problem("its weights sum to 0; give one service a weight".into());
             }
             if route.allowed.is_nowhere() {
-                problem(residency::NOWHERE.into());
+                problem(residency::EMPTY_REGIONS_ERROR.into());
             }
             if route.timeout_ms == 0 {
                 problem("its timeout is 0; give it one".into());
@@ -271,7 +271,7 @@
             if team.allowed.is_nowhere() {
                 problems.push(config::Problem {
                     item: format!("team {name}"),
-                    why: residency::NOWHERE.into(),
+                    why: residency::EMPTY_REGIONS_ERROR.into(),
                 });
             }
             for key in &team.keys {
@@ -378,7 +378,7 @@
 
     /// Returns the lowest priority that a request of a route's tier can have: that of the teams of
     /// the lowest tier.
-    pub fn least_rank(&self, route: unit::Tier) -> unit::Tier {
+    pub fn lowest_rank(&self, route: unit::Tier) -> unit::Tier {
         let end = self.ranks.partition_point(|(of, _)| *of <= route);
         to_rank(end.saturating_sub(1))
     }
--- a/src/scalewood/core/scaling.rs
+++ b/src/scalewood/core/scaling.rs
@@ -104,7 +104,7 @@
     pub utilisation: f64,
     /// The fraction of the slots that may be in use while interruptible endpoints are missing.
     /// Above it ordinary ones, which cost several times as much, are ordered in their place.
-    pub strained: f64,
+    pub strained_utilisation: f64,
     /// The look-back window for the peak of demand.
     pub look_back: Duration,
     /// The number of zones that may lose their interruptible endpoints without a shortage. A second
@@ -120,7 +120,7 @@
     fn default() -> Self {
         Self {
             utilisation: 0.15,
-            strained: 0.5,
+            strained_utilisation: 0.5,
             look_back: Duration::from_secs(15),
             spare_zones: 2,
             interruptible: true,
@@ -136,7 +136,7 @@
     /// Interruptible ones that are not about to be taken away.
     pub interruptible: u32,
     /// Interruptible ones that are about to be taken away.
-    pub going: u32,
+    pub leaving: u32,
     /// Interruptible ones that warm up. They count as present, so they are not ordered again, but
     /// can't yet replace ordinary ones.
     pub warming: u32,
@@ -153,7 +153,7 @@
 
 /// The observed state of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct Observed {
     /// The slots in use, including those of requests that wait inside endpoints.
     pub in_use: u32,
     /// The number of slots per endpoint.
@@ -164,7 +164,7 @@
     pub cordoned: BTreeSet<name::Zone>,
 }
 
-impl Seen {
+impl Observed {
     /// Returns the state without the cordoned zones.
     fn open(&self) -> Self {
         let mut open = self.clone();
@@ -192,7 +192,7 @@
     /// No endpoints are available there now.
     NoneLeft,
     /// The answer is unknown or was not received.
-    Unclear,
+    Unknown,
 }
 
 /// The figures that the orders are based on, for the log.
@@ -255,8 +255,8 @@
     }
 
     /// Returns the orders that are due.
-    pub fn step(&mut self, offer: &Offer, seen: &Seen, now: Duration) -> Vec<Order> {
-        self.note_cordons(&seen.cordoned, now);
+    pub fn step(&mut self, offer: &Offer, seen: &Observed, now: Duration) -> Vec<Order> {
+        self.record_cordons(&seen.cordoned, now);
         // Orders for a cordoned zone stay unchanged: its endpoints finish their requests and are
         // there when the zone is uncordoned.
         let zones = offer.zone_prices.len();
@@ -264,15 +264,15 @@
         let cordoned_count = zones - offer.zone_prices.len();
         self.cordoned_count = u32::try_from(cordoned_count).unwrap_or(u32::MAX);
         let seen = &seen.open();
-        self.note_peak(seen.in_use, now);
-        self.note_scarcity(seen, now);
+        self.record_peak(seen.in_use, now);
+        self.record_scarcity(seen, now);
         let observing = self.is_observing(seen, now);
         if seen.slots == 0 || !offer.is_usable() {
             return Vec::new();
         }
         let needed = Needed {
             at_target: self.needed(self.settings.utilisation, offer, seen, now),
-            strained: self.needed(self.settings.strained, offer, seen, now),
+            strained: self.needed(self.settings.strained_utilisation, offer, seen, now),
         };
         let serving = |kind| seen.zones.values().map(|zone| zone.count(kind)).sum();
         self.basis = Basis {
@@ -304,7 +304,7 @@
     }
 
     /// Records the provider's answer to an order.
-    pub fn answered(&mut self, order: &Order, answer: Answer, now: Duration) {
+    pub fn record_answer(&mut self, order: &Order, answer: Answer, now: Duration) {
         match answer {
             Answer::Taken => {
                 let key = (order.zone.clone(), order.kind);
@@ -314,13 +314,13 @@
                 self.scarce_until
                     .insert(order.zone.clone(), now + SCARCITY_PAUSE);
             }
-            Answer::Unclear => {}
+            Answer::Unknown => {}
         }
     }
 
     /// Records what serves until no more endpoints have appeared for a while. Returns whether this
     /// phase still lasts.
-    fn is_observing(&mut self, seen: &Seen, now: Duration) -> bool {
+    fn is_observing(&mut self, seen: &Observed, now: Duration) -> bool {
         if now >= self.since + SETTLE_TIME {
             return false;
         }
@@ -334,7 +334,7 @@
 
     /// Returns the number of endpoints that serve, without the interruptible ones that are spare or
     /// were ordered by this scaler: these replace others that still serve.
-    fn count_initial(&self, seen: &Seen) -> u32 {
+    fn count_initial(&self, seen: &Observed) -> u32 {
         let ordinary: u32 = seen.zones.values().map(|zone| zone.ordinary).sum();
         let is_own = |zone: &name::Zone| {
             let key = (zone.clone(), Kind::Interruptible);
@@ -348,7 +348,7 @@
         ordinary + interruptible * used / zones
     }
 
-    fn note_peak(&mut self, in_use: u32, now: Duration) {
+    fn record_peak(&mut self, in_use: u32, now: Duration) {
         if in_use > 0 {
             self.demand_since.get_or_insert(now);
         }
@@ -365,7 +365,7 @@
     }
 
     /// Prevents endpoints from being given up for a while after a zone was uncordoned.
-    fn note_cordons(&mut self, cordoned: &BTreeSet<name::Zone>, now: Duration) {
+    fn record_cordons(&mut self, cordoned: &BTreeSet<name::Zone>, now: Duration) {
         if self.cordoned.difference(cordoned).next().is_some() {
             self.hold_until = now + self.settings.look_back;
         }
@@ -373,10 +373,10 @@
     }
 
     /// Stops orders for a while in zones whose interruptible endpoints are about to be taken away.
-    fn note_scarcity(&mut self, seen: &Seen, now: Duration) {
+    fn record_scarcity(&mut self, seen: &Observed, now: Duration) {
         self.scarce_until.retain(|_, until| *until > now);
         for (zone, serving) in &seen.zones {
-            if serving.going > 0 && serving.interruptible == 0 {
+            if serving.leaving > 0 && serving.interruptible == 0 {
                 self.scarce_until.insert(zone.clone(), now + SCARCITY_PAUSE);
                 self.accepted.remove(&(zone.clone(), Kind::Interruptible));
             }
@@ -385,7 +385,7 @@
 
     /// Returns the endpoints needed for the recent peak at this utilisation, up to the provider's
     /// maximum.
-    fn needed(&self, utilisation: f64, offer: &Offer, seen: &Seen, now: Duration) -> u32 {
+    fn needed(&self, utilisation: f64, offer: &Offer, seen: &Observed, now: Duration) -> u32 {
         let slots = f64::from(self.peak()) / utilisation.max(MIN_UTILISATION);
         // Casts from floating point saturate.
         let asked = (slots / f64::from(seen.slots)).ceil() as u32;
@@ -400,7 +400,12 @@
     }
 
     /// Returns how many endpoints of each kind each zone is to have.
-    fn wanted(&self, offer: &Offer, seen: &Seen, needed: Needed) -> Vec<(name::Zone, Kind, u32)> {
+    fn wanted(
+        &self,
+        offer: &Offer,
+        seen: &Observed,
+        needed: Needed,
+    ) -> Vec<(name::Zone, Kind, u32)> {
         let zones: Vec<_> = offer.zone_prices.keys().cloned().collect();
         let cheap = self.settings.interruptible && offer.has_cheaper_interruptible();
         let interruptible = if cheap {
@@ -475,7 +480,7 @@
     fn uncovered(
         &self,
         offer: &Offer,
-        seen: &Seen,
+        seen: &Observed,
         interruptible: &BTreeMap<name::Zone, u32>,
         needed: u32,
     ) -> BTreeMap<name::Zone, u32> {
@@ -494,7 +499,7 @@
 
     /// Returns the ordinary endpoints of each zone that serve or were ordered. Those that were
     /// ordered are not given up before others serve in their place.
-    fn kept(&self, offer: &Offer, seen: &Seen) -> BTreeMap<name::Zone, u32> {
+    fn kept(&self, offer: &Offer, seen: &Observed) -> BTreeMap<name::Zone, u32> {
         let kept = |zone: &name::Zone| {
             let serves = seen.zones.get(zone).map_or(0, |zone| zone.ordinary);
             let ordered = self.accepted.get(&(zone.clone(), Kind::Ordinary));
@@ -505,7 +510,7 @@
     }
 
     /// Returns the wanted count, or the current one if the wanted one is only slightly lower.
-    fn damped(&self, zone: &name::Zone, kind: Kind, wanted: u32, seen: &Seen) -> u32 {
+    fn damped(&self, zone: &name::Zone, kind: Kind, wanted: u32, seen: &Observed) -> u32 {
         let before = self.count_of(zone, kind, seen);
         let is_slight = f64::from(wanted) > f64::from(before) * MAX_LOWERING_RATIO;
         if wanted < before && wanted > 0 && is_slight {
@@ -517,7 +522,7 @@
 
     /// Returns how many endpoints a zone was ordered to have, or how many serve if no order is
     /// known.
-    fn count_of(&self, zone: &name::Zone, kind: Kind, seen: &Seen) -> u32 {
+    fn count_of(&self, zone: &name::Zone, kind: Kind, seen: &Observed) -> u32 {
         let accepted = self
             .accepted
             .get(&(zone.clone(), kind))
@@ -526,7 +531,7 @@
         accepted.unwrap_or(serves)
     }
 
-    fn is_due(&self, order: &Order, offer: &Offer, seen: &Seen, now: Duration) -> bool {
+    fn is_due(&self, order: &Order, offer: &Offer, seen: &Observed, now: Duration) -> bool {
         let Order { zone, kind, count } = order;
         let serves = seen.zones.get(zone).map_or(0, |zone| zone.count(*kind));
         match self.accepted.get(&(zone.clone(), *kind)) {
--- a/src/scalewood/core/throttle/book.rs
+++ b/src/scalewood/core/throttle/book.rs
@@ -21,11 +21,11 @@
 
 /// How an answer changed the known limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Change {
     /// No change.
-    Nothing,
+    Unchanged,
     /// The limit is new or has another value than before.
-    Named(Limit),
+    Set(Limit),
     /// The limit has ended.
     Ended,
 }
@@ -96,39 +96,39 @@
 impl Book {
     /// Records the limit in an answer to a request that was sent at `sent_at`; `reported` is `None` if
     /// the answer has no limit.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         endpoint: &name::Endpoint,
         start: registry::Start,
         reported: Option<Limit>,
         sent_at: Duration,
         now: Duration,
-    ) -> Heard {
+    ) -> Change {
         let known = self
             .reports
             .get(endpoint)
             .filter(|report| report.start >= start);
         if known.is_some_and(|report| report.start > start) {
-            return Heard::Nothing;
+            return Change::Unchanged;
         }
         let known = known.copied();
         let limit = known.and_then(|report| report.limit);
         let may_be_outdated = known.is_some_and(|report| sent_at < report.heard);
         match (limit, reported) {
-            (None, None) => return Heard::Nothing,
+            (None, None) => return Change::Unchanged,
             // The request was sent before the last report arrived, so the answer may be older: it
             // must not remove or raise the limit.
-            (Some(_), None) if may_be_outdated => return Heard::Nothing,
+            (Some(_), None) if may_be_outdated => return Change::Unchanged,
             (Some(limit), Some(reported)) if may_be_outdated && reported > limit => {
-                return Heard::Nothing
+                return Change::Unchanged
             }
             _ => {}
         }
         self.set(endpoint, start, reported, now, now);
         match reported {
-            Some(reported) if limit != Some(reported) => Heard::Named(reported),
-            Some(_) => Heard::Nothing,
-            None => Heard::Ended,
+            Some(reported) if limit != Some(reported) => Change::Set(reported),
+            Some(_) => Change::Unchanged,
+            None => Change::Ended,
         }
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Returns the reports queued after the stamp `sent`, and advances `sent` to the current stamp.
-    pub fn news(&self, sent: &mut u64, now: Duration) -> Vec<Row> {
+    pub fn updates(&self, sent: &mut u64, now: Duration) -> Vec<Row> {
         let after = std::mem::replace(sent, self.stamp);
         if after == self.stamp {
             return Vec::new();
--- a/src/scalewood/core/throttle/issuer.rs
+++ b/src/scalewood/core/throttle/issuer.rs
@@ -15,7 +15,7 @@
 
 use super::{
     ballot::Ballot,
-    permit::{Issued, Stock, Wanted, LIFE},
+    permit::{Issued, Stock, Wanted, PERMIT_LIFETIME},
     Book, Row,
 };
 use crate::core::name;
@@ -33,7 +33,7 @@
 
 /// A message to a voter that issues permits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Message {
     /// Limits that are new, changed or ended.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<Row>,
@@ -42,7 +42,7 @@
     pub wanted: Vec<Wanted>,
 }
 
-impl News {
+impl Message {
     /// Returns whether the message has no content.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -185,7 +185,7 @@
         let own = share - taken;
         if own > 0 {
             self.level -= f64::from(own);
-            issued.push((now + LIFE, own));
+            issued.push((now + PERMIT_LIFETIME, own));
         }
         issued
     }
@@ -221,14 +221,20 @@
 
     /// Handles a message from a box. `anew` means that the box has just started: it is sent all
     /// limits.
-    pub fn ask(&mut self, from: &name::Box, anew: bool, news: News, now: Duration) -> Answer {
+    pub fn handle_box(
+        &mut self,
+        from: &name::Box,
+        anew: bool,
+        message: Message,
+        now: Duration,
+    ) -> Answer {
         let client = Client::Box(from.clone());
-        self.record_message(&client, news, now);
+        self.record_message(&client, message, now);
         let state = self.clients.entry(client.clone()).or_default();
         if anew {
             state.sent_stamp = 0;
         }
-        let limits = self.book.news(&mut state.sent_stamp, now);
+        let limits = self.book.updates(&mut state.sent_stamp, now);
         Answer {
             limits,
             issued: self.issue(&client, now),
@@ -237,9 +243,9 @@
     }
 
     /// Handles a message from another voter, which asks on behalf of its boxes.
-    pub fn ask_for(&mut self, from: &name::Box, news: News, now: Duration) -> Answer {
+    pub fn handle_voter(&mut self, from: &name::Box, message: Message, now: Duration) -> Answer {
         let client = Client::Voter(from.clone());
-        self.record_message(&client, news, now);
+        self.record_message(&client, message, now);
         let is_limited = self.book.all().next().is_some();
         let voters = is_limited.then(|| self.ballot.grant_vote(from, now));
         Answer {
@@ -250,21 +256,21 @@
     }
 
     /// Returns the message to another voter; `anew` if it is to have all limits.
-    pub fn news_for(&mut self, peer: &name::Box, anew: bool, now: Duration) -> News {
+    pub fn message_for(&mut self, peer: &name::Box, anew: bool, now: Duration) -> Message {
         self.ballot.update_candidates(now);
         let wanted = self.wanted_from(peer, now);
         let stamp = self.peer_stamps.entry(peer.clone()).or_default();
         if anew {
             *stamp = 0;
         }
-        News {
-            limits: self.book.news(stamp, now),
+        Message {
+            limits: self.book.updates(stamp, now),
             wanted,
         }
     }
 
     /// Handles another voter's answer to such a message, or `None` if that voter issues no permits.
-    pub fn take(
+    pub fn handle_answer(
         &mut self,
         from: &name::Box,
         answer: Option<Answer>,
@@ -275,7 +281,7 @@
         self.ballot.record_votes(from, answer.voters, asked, now);
         for issued in answer.issued {
             let account = self.accounts.entry(issued.endpoint).or_default();
-            account.stock.add(issued.count, asked + issued.left);
+            account.stock.add(issued.count, asked + issued.remaining);
         }
     }
 
@@ -284,13 +290,13 @@
         &self.book
     }
 
-    fn record_message(&mut self, client: &Client, news: News, now: Duration) {
+    fn record_message(&mut self, client: &Client, message: Message, now: Duration) {
         self.ballot.update_candidates(now);
         self.remove_silent(now);
-        for row in &news.limits {
+        for row in &message.limits {
             self.book.merge(row, now);
         }
-        let wants = news.wanted.iter().map(|wanted| wanted.endpoint.clone());
+        let wants = message.wanted.iter().map(|wanted| wanted.endpoint.clone());
         let state = self.clients.entry(client.clone()).or_default();
         state.last_heard = now;
         let before = std::mem::replace(&mut state.wants, wants.collect());
@@ -299,7 +305,7 @@
                 account.set_want(client, 0);
             }
         }
-        for wanted in news.wanted {
+        for wanted in message.wanted {
             let account = self.accounts.entry(wanted.endpoint).or_default();
             account.set_want(client, wanted.count.min(MAX_WANTED));
         }
@@ -321,7 +327,7 @@
             all.extend(issued.map(|(until, count)| Issued {
                 endpoint: endpoint.clone(),
                 count,
-                left: until.saturating_sub(now),
+                remaining: until.saturating_sub(now),
             }));
         }
         all
--- a/src/scalewood/core/throttle/mod.rs
+++ b/src/scalewood/core/throttle/mod.rs
@@ -16,10 +16,10 @@
 mod meter;
 mod permit;
 
-pub use book::{Book, Heard, Row};
-pub use issuer::{Answer, Issuer, News};
+pub use book::{Book, Change, Row};
+pub use issuer::{Answer, Issuer, Message};
 pub use meter::Meter;
-pub use permit::{Alone, Issued, Permits, Stock, Wanted, LIFE};
+pub use permit::{Fallback, Issued, Permits, Stock, Wanted, PERMIT_LIFETIME};
 
 /// The requests per second that an endpoint accepts from all boxes together, in thousandths.
 #[derive(
@@ -30,17 +30,17 @@
 
 /// The error for a text that is not a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotALimit;
+pub struct Error;
 
-impl fmt::Display for NotALimit {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a limit is a number of requests a second, 0 or more, like `2.5`")
     }
 }
 
-impl std::error::Error for NotALimit {}
+impl std::error::Error for Error {}
 
-impl From<ParseFloatError> for NotALimit {
+impl From<ParseFloatError> for Error {
     fn from(_: ParseFloatError) -> Self {
         Self
     }
@@ -69,12 +69,12 @@
 }
 
 impl FromStr for Limit {
-    type Err = NotALimit;
+    type Err = Error;
 
-    fn from_str(text: &str) -> Result<Self, NotALimit> {
+    fn from_str(text: &str) -> Result<Self, Error> {
         let number: f64 = text.trim().parse()?;
         if !number.is_finite() || number.is_sign_negative() {
-            return Err(NotALimit);
+            return Err(Error);
         }
         Ok(Self(
             (number.min(MAX_PER_SECOND) * UNITS_PER_REQUEST) as u64,
@@ -84,25 +84,25 @@
 
 /// What an answer's headers say about a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum Parsed {
     /// There is no limit.
-    Nothing,
+    Absent,
     /// The endpoint accepts requests up to this limit.
     Limit(Limit),
     /// The value is not a limit.
-    Unreadable,
+    Invalid,
 }
 
 /// Parses the values of the limit header, each a number or a comma-separated list of numbers.
 /// Returns the lowest limit if there are several.
-pub fn read<'a>(values: impl Iterator<Item = &'a str>) -> Said {
-    let mut said = Said::Nothing;
+pub fn parse<'a>(values: impl Iterator<Item = &'a str>) -> Parsed {
+    let mut said = Parsed::Absent;
     for part in values.flat_map(|value| value.split(',')) {
         said = match (said, part.parse()) {
-            (Said::Limit(known), Ok(limit)) => Said::Limit(known.min(limit)),
-            (_, Ok(limit)) => Said::Limit(limit),
-            (Said::Limit(known), Err(NotALimit)) => Said::Limit(known),
-            (_, Err(NotALimit)) => Said::Unreadable,
+            (Parsed::Limit(known), Ok(limit)) => Parsed::Limit(known.min(limit)),
+            (_, Ok(limit)) => Parsed::Limit(limit),
+            (Parsed::Limit(known), Err(Error)) => Parsed::Limit(known),
+            (_, Err(Error)) => Parsed::Invalid,
         };
     }
     said
--- a/src/scalewood/core/throttle/permit.rs
+++ b/src/scalewood/core/throttle/permit.rs
@@ -1,9 +1,9 @@
 //! A box's permits for requests to one endpoint with a rate limit.
 //!
 //! A permit is for one request and expires by itself. In any time `t`, voters issue at most
-//! `limit * t + 2 + limit / 4` permits, and a request is sent at most [`LIFE`] plus a quarter of a
-//! second for connection set-up after its permit was issued. So an endpoint gets at most
-//! `6 * limit + 2` requests in any four seconds.
+//! `limit * t + 2 + limit / 4` permits, and a request is sent at most [`PERMIT_LIFETIME`] plus a
+//! quarter of a second for connection set-up after its permit was issued. So an endpoint gets at
+//! most `6 * limit + 2` requests in any four seconds.
 //!
 //! While no voter issues permits, each box has an equal share of the limit: it creates a permit of
 //! its own at regular intervals, which expires like the others. The intervals of the boxes are out
@@ -19,7 +19,7 @@
 /// How long a permit is valid after it was issued. This covers several exchanges with a voter, so
 /// that few permits expire unused, and is short enough that an endpoint does not get late requests
 /// from a longer time.
-pub const LIFE: Duration = Duration::from_millis(1500);
+pub const PERMIT_LIFETIME: Duration = Duration::from_millis(1500);
 
 /// Permits issued for an endpoint; serialised as a tuple.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     /// The number of permits.
     pub count: u32,
     /// How much longer they are valid, counted from when the client asked for them.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// Endpoint, count, and remaining validity in milliseconds.
@@ -41,14 +41,14 @@
         Self {
             endpoint,
             count,
-            left: Duration::from_millis(left_ms),
+            remaining: Duration::from_millis(left_ms),
         }
     }
 }
 
 impl From<Issued> for IssuedRow {
     fn from(issued: Issued) -> Self {
-        let left_ms = u64::try_from(issued.left.as_millis()).unwrap_or(u64::MAX);
+        let left_ms = u64::try_from(issued.remaining.as_millis()).unwrap_or(u64::MAX);
         (issued.endpoint, issued.count, left_ms)
     }
 }
@@ -119,7 +119,7 @@
 
 /// The state of a box that is issued no permits and uses an equal share of each limit instead.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Alone {
+pub struct Fallback {
     /// When this state began.
     pub since: Duration,
     /// The number of boxes that share the limit, this one included.
@@ -133,7 +133,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
     stock: Stock,
-    alone: Option<Alone>,
+    fallback: Option<Fallback>,
     /// The number of the last permit of its own that was used.
     last_used: u64,
 }
@@ -145,11 +145,11 @@
     }
 
     /// Sets whether this box uses its own share of the limit.
-    pub fn set_alone(&mut self, alone: Option<Alone>) {
-        if self.alone.map(|alone| alone.since) != alone.map(|alone| alone.since) {
+    pub fn set_fallback(&mut self, fallback: Option<Fallback>) {
+        if self.fallback.map(|fallback| fallback.since) != fallback.map(|fallback| fallback.since) {
             self.last_used = 0;
         }
-        self.alone = alone;
+        self.fallback = fallback;
     }
 
     /// Returns the number of issued permits at hand.
@@ -158,7 +158,7 @@
     }
 
     /// Returns whether a request may be sent now.
-    pub fn permits(&self, limit: Limit, now: Duration) -> bool {
+    pub fn may_send(&self, limit: Limit, now: Duration) -> bool {
         self.stock.count(now) > 0 || self.own_permit(limit, now).is_some()
     }
 
@@ -171,14 +171,14 @@
 
     /// Returns the number of the box's own permit that is valid now, unless it was used.
     fn own_permit(&self, limit: Limit, now: Duration) -> Option<u64> {
-        let alone = self.alone?;
-        let interval = f64::from(alone.boxes.max(1)) / limit.per_second();
-        let elapsed = now.saturating_sub(alone.since).as_secs_f64();
-        let permits = elapsed / interval + alone.phase;
+        let fallback = self.fallback?;
+        let interval = f64::from(fallback.boxes.max(1)) / limit.per_second();
+        let elapsed = now.saturating_sub(fallback.since).as_secs_f64();
+        let permits = elapsed / interval + fallback.phase;
         // No process runs long enough for the cast to be inexact.
         let number = permits as u64;
         let age = permits.fract() * interval;
-        let is_valid = number > 0 && age < LIFE.as_secs_f64();
+        let is_valid = number > 0 && age < PERMIT_LIFETIME.as_secs_f64();
         (is_valid && number != self.last_used).then_some(number)
     }
 }
--- a/src/scalewood/core/unit.rs
+++ b/src/scalewood/core/unit.rs
@@ -45,7 +45,7 @@
 
 impl Incarnation {
     /// Returns the latest earlier incarnation, if there can be one.
-    pub fn before(self) -> Option<Self> {
+    pub fn previous(self) -> Option<Self> {
         self.0.checked_sub(1).map(Self)
     }
 }
--- a/src/scalewood/core/usage/book.rs
+++ b/src/scalewood/core/usage/book.rs
@@ -67,7 +67,7 @@
 
 impl Book {
     /// Records the totals of one start of a box, reported by the box or forwarded by another voter.
-    pub fn take(&mut self, page: Page) {
+    pub fn merge(&mut self, page: Page) {
         self.stamp += 1;
         let stamp = self.stamp;
         let entry = self.sources.entry(page.source).or_default();
@@ -133,7 +133,7 @@
     /// Returns the starts that last reported at or after `running_ms` but before `end_ms`, with the
     /// time of that report: they may have counted more since. Only the latest start of each box is
     /// included, as earlier ones no longer count requests.
-    pub fn behind(&self, running_ms: u64, end_ms: u64) -> Vec<(Source, u64)> {
+    pub fn lagging(&self, running_ms: u64, end_ms: u64) -> Vec<(Source, u64)> {
         let mut latest: BTreeMap<&name::Box, u64> = BTreeMap::new();
         for (source, entry) in &self.sources {
             let heard = latest.entry(&source.name).or_default();
--- a/src/scalewood/core/usage/mod.rs
+++ b/src/scalewood/core/usage/mod.rs
@@ -80,7 +80,7 @@
 
 /// A usage report of one start of a box.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Report {
     /// A random number drawn at each start of the box.
     #[serde(rename = "s")]
     pub start: u64,
--- a/src/scalewood/core/usage/voters.rs
+++ b/src/scalewood/core/usage/voters.rs
@@ -27,7 +27,11 @@
 
 impl Voters {
     /// Records a round of requests: the members, and whether each has answered.
-    pub fn note<'a>(&mut self, round: impl Iterator<Item = (&'a name::Box, bool)>, now: Duration) {
+    pub fn record_round<'a>(
+        &mut self,
+        round: impl Iterator<Item = (&'a name::Box, bool)>,
+        now: Duration,
+    ) {
         self.asked = true;
         for (name, has_answered) in round {
             let voter = self.known.entry(name.clone()).or_default();
@@ -44,7 +48,7 @@
     /// may not be known here: a voter that was partitioned off brings it along when it comes back,
     /// while the boxes of one that died report to another. Returns `None` before the first round,
     /// when no voter can have answered yet.
-    pub fn unheard_since(&self, time: Duration) -> Option<Vec<name::Box>> {
+    pub fn unanswered_since(&self, time: Duration) -> Option<Vec<name::Box>> {
         let is_unheard = |voter: &Voter| voter.last_answered_at.is_none_or(|at| at < time);
         let unheard = self.known.iter().filter(|(_, voter)| is_unheard(voter));
         let unheard = unheard.map(|(name, _)| name.clone()).collect();
--- a/src/scalewood/core/wall.rs
+++ b/src/scalewood/core/wall_clock.rs
@@ -55,7 +55,7 @@
     /// Records another voter's time of day from its answer to a request. Answers with a long round
     /// trip are ignored: a process that was frozen finds answers as old as the freeze, and if it
     /// used them from all other voters, its median would be off by that time.
-    pub fn note(&mut self, from: &name::Box, unix_ms: u64, asked: Duration, answered: Duration) {
+    pub fn record(&mut self, from: &name::Box, unix_ms: u64, asked: Duration, answered: Duration) {
         let round_trip = answered.saturating_sub(asked);
         if round_trip <= MAX_ROUND_TRIP {
             let reading = (Offset::of(unix_ms, asked + round_trip / 2), answered);
@@ -98,7 +98,7 @@
 
 impl Follower {
     /// Records the agreed time of day from a voter's answer to a request.
-    pub fn note(&mut self, unix_ms: u64, asked: Duration, answered: Duration) {
+    pub fn record(&mut self, unix_ms: u64, asked: Duration, answered: Duration) {
         let round_trip = answered.saturating_sub(asked);
         if round_trip > MAX_ROUND_TRIP {
             return;
--- a/src/scalewood/core/warm_up/lease.rs
+++ b/src/scalewood/core/warm_up/lease.rs
@@ -12,7 +12,7 @@
 /// How long a lease is valid, counted by the box from when it asked. It spans several exchanges, so
 /// that the loss of one costs nothing, and is short enough that another box soon gets the endpoints
 /// of a lost one.
-pub const LEASE: Duration = Duration::from_secs(1);
+pub const LEASE_DURATION: Duration = Duration::from_secs(1);
 /// How much longer the hub counts a lease as valid, since clocks run at different rates: a hundred
 /// times what two clocks differ by within a lease.
 const CLOCK_MARGIN: Duration = Duration::from_millis(20);
@@ -36,7 +36,7 @@
     /// Grants a box leases of the endpoints that it wants, listed with the most wanted first: at
     /// most an equal share among `boxes`, those that it holds already before free ones. Returns all
     /// that it holds from now on.
-    pub fn give(
+    pub fn grant(
         &mut self,
         to: &name::Box,
         wanted: &[name::Endpoint],
@@ -45,7 +45,7 @@
     ) -> Vec<name::Endpoint> {
         let since = *self.since.get_or_insert(now);
         self.leases.retain(|_, lease| now < lease.until);
-        if now < since + LEASE + CLOCK_MARGIN {
+        if now < since + LEASE_DURATION + CLOCK_MARGIN {
             return Vec::new();
         }
         let share = wanted.len().div_ceil(boxes.max(1));
@@ -58,7 +58,7 @@
         for endpoint in &granted {
             let lease = Lease {
                 to: to.clone(),
-                until: now + LEASE + CLOCK_MARGIN,
+                until: now + LEASE_DURATION + CLOCK_MARGIN,
             };
             self.leases.insert(endpoint.clone(), lease);
         }
--- a/src/scalewood/core/warm_up/mod.rs
+++ b/src/scalewood/core/warm_up/mod.rs
@@ -1,7 +1,7 @@
 //! Warm-up: an endpoint that has just started can handle only a few requests per second.
 //!
 //! The limit is on the requests that all boxes together send to one endpoint in any one second, so
-//! no box can decide alone. What is known about an endpoint's warm-up is a [`Belief`]. While it
+//! no box can decide alone. What is known about an endpoint's warm-up is a [`State`]. While it
 //! lasts, a box sends to the endpoint only with a [`Pass`], which it gets from a hub's [`Leases`]
 //! and which expires by itself.
 
@@ -9,14 +9,14 @@
 
 use serde::{Deserialize, Serialize};
 
-mod belief;
 mod lease;
 mod pass;
+mod state;
 mod uncordoned;
 
-pub use belief::{Belief, Source};
-pub use lease::{Leases, LEASE};
+pub use lease::{Leases, LEASE_DURATION};
 pub use pass::Pass;
+pub use state::{Source, State};
 pub use uncordoned::Uncordoned;
 
 /// How the endpoints of a service warm up after a start.
@@ -32,7 +32,7 @@
 
 impl Rate {
     /// Returns the duration of the warm-up.
-    pub fn takes(&self) -> Duration {
+    pub fn duration(&self) -> Duration {
         Duration::from_millis(self.takes_ms)
     }
 
@@ -46,9 +46,9 @@
 /// process that forwards it subtracts the time since it received it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Left(pub u64);
+pub struct Remaining(pub u64);
 
-impl Left {
+impl Remaining {
     /// Returns what remains after some time.
     #[must_use]
     pub fn after(self, elapsed: Duration) -> Self {
@@ -83,7 +83,7 @@
 impl Leeway {
     /// Returns the most requests that one endpoint may get in any one second, from all boxes
     /// together.
-    pub fn most(&self, rate: &Rate) -> f64 {
+    pub fn max_in_one_second(&self, rate: &Rate) -> f64 {
         rate.per_second * self.factor + self.slack
     }
 }
@@ -94,7 +94,7 @@
     /// The end of the warm-up, by the clock of this process.
     pub until: Duration,
     /// The most requests in any one second, from all boxes together.
-    pub most: f64,
+    pub max_in_one_second: f64,
     /// The requests per second that the endpoint can sustain.
     pub per_second: f64,
 }
@@ -104,13 +104,13 @@
     pub fn new(until: Duration, rate: &Rate, leeway: &Leeway) -> Self {
         Self {
             until,
-            most: leeway.most(rate),
+            max_in_one_second: leeway.max_in_one_second(rate),
             per_second: rate.per_second,
         }
     }
 
     /// Returns whether the endpoint is still warming up.
-    pub fn lasts(&self, now: Duration) -> bool {
+    pub fn is_active(&self, now: Duration) -> bool {
         now < self.until
     }
 }
--- a/src/scalewood/core/warm_up/pass.rs
+++ b/src/scalewood/core/warm_up/pass.rs
@@ -26,7 +26,7 @@
 /// Returns the requests per second that the holders of one hub's leases may send, when `hubs` hubs
 /// lease the endpoint.
 fn rate(warming: &Warming, hubs: u32) -> f64 {
-    let share = warming.most / f64::from(hubs.max(MIN_HUBS));
+    let share = warming.max_in_one_second / f64::from(hubs.max(MIN_HUBS));
     let rate = (share - BUCKET_CAPACITY).max(0.0) / (1.0 + MAX_SEND_DELAY.as_secs_f64());
     rate.min(warming.per_second)
 }
@@ -56,13 +56,13 @@
     }
 
     /// Returns whether the lease is valid.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_valid(&self, now: Duration) -> bool {
         now < self.until
     }
 
     /// Returns whether a request may be sent now.
-    pub fn permits(&self, warming: &Warming, now: Duration) -> bool {
-        self.holds(now) && self.level(warming, now) + ROUNDING_TOLERANCE >= 1.0
+    pub fn may_send(&self, warming: &Warming, now: Duration) -> bool {
+        self.is_valid(now) && self.level(warming, now) + ROUNDING_TOLERANCE >= 1.0
     }
 
     /// Removes a request that is sent now from the bucket.
--- a/src/scalewood/core/warm_up/belief.rs
+++ b/src/scalewood/core/warm_up/state.rs
@@ -6,7 +6,7 @@
 
 use std::{fmt, time::Duration};
 
-use super::{Left, Rate};
+use super::{Rate, Remaining};
 
 /// The smallest change of the end time that is passed on to other processes. The delay of
 /// heartbeats varies by some tens of milliseconds, and each update goes to every box.
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The endpoint reported it.
-    Said,
+    Reported,
     /// The endpoint started while others were serving, and has reported nothing.
-    Begun,
+    Started,
     /// Its zone was uncordoned, and it has reported nothing since.
     Uncordoned,
 }
@@ -26,8 +26,8 @@
 impl fmt::Display for Source {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Source::Said => "said",
-            Source::Begun => "begun",
+            Source::Reported => "said",
+            Source::Started => "begun",
             Source::Uncordoned => "uncordoned",
         })
     }
@@ -35,14 +35,14 @@
 
 /// What a process knows about one endpoint's warm-up. Times are by its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Belief {
+pub struct State {
     /// The end of the warm-up as reported by the endpoint, and when that report arrived.
     reported: Option<(Duration, Duration)>,
     /// When its start was noticed, if others were serving before.
     started: Option<Duration>,
 }
 
-impl Belief {
+impl State {
     /// Returns the state of an endpoint that is seen for the first time; `late` if others were
     /// serving before.
     pub fn new(late: bool, now: Duration) -> Self {
@@ -54,8 +54,8 @@
 
     /// Records a report of the endpoint, which must be later than all before. Returns whether the
     /// change is to be passed on.
-    pub fn hear(&mut self, left: Option<Left>, now: Duration) -> bool {
-        let Some(Left(left)) = left else {
+    pub fn observe(&mut self, left: Option<Remaining>, now: Duration) -> bool {
+        let Some(Remaining(left)) = left else {
             return false;
         };
         let before = self.reported.map_or(Duration::ZERO, |(until, _)| until);
@@ -66,33 +66,33 @@
     }
 
     /// Returns the remaining time by the endpoint's own report, for passing it on.
-    pub fn left(&self, now: Duration) -> Option<Left> {
+    pub fn remaining(&self, now: Duration) -> Option<Remaining> {
         let (until, _) = self.reported?;
         let left = until.saturating_sub(now).as_millis();
-        Some(Left(u64::try_from(left).unwrap_or(u64::MAX)))
+        Some(Remaining(u64::try_from(left).unwrap_or(u64::MAX)))
     }
 
     /// Returns the end of the warm-up and why it is assumed, or `None` if the endpoint is warm.
     /// `uncordoned` is when its zone was uncordoned, if it was.
-    pub fn until(
+    pub fn ends_at(
         &self,
         rate: &Rate,
         uncordoned: Option<Duration>,
         now: Duration,
     ) -> Option<(Duration, Source)> {
-        let reported = self.reported.map(|(until, _)| (until, Source::Said));
+        let reported = self.reported.map(|(until, _)| (until, Source::Reported));
         let started = self.started.filter(|_| self.reported.is_none());
-        let started = started.map(|at| (at + rate.takes(), Source::Begun));
+        let started = started.map(|at| (at + rate.duration(), Source::Started));
         let reported_since = |at: &Duration| self.reported.is_some_and(|(_, heard)| heard > *at);
         let uncordoned = uncordoned.filter(|at| !reported_since(at));
-        let uncordoned = uncordoned.map(|at| (at + rate.takes(), Source::Uncordoned));
+        let uncordoned = uncordoned.map(|at| (at + rate.duration(), Source::Uncordoned));
         let latest = [reported, started, uncordoned].into_iter().flatten();
         let latest = latest.max_by_key(|(until, _)| *until);
         latest.filter(|(until, _)| now < *until)
     }
 
     /// Returns the age of the endpoint's last report.
-    pub fn age(&self, now: Duration) -> Option<Duration> {
+    pub fn report_age(&self, now: Duration) -> Option<Duration> {
         self.reported.map(|(_, heard)| now.saturating_sub(heard))
     }
 }
--- a/src/scalewood/core/warm_up/uncordoned.rs
+++ b/src/scalewood/core/warm_up/uncordoned.rs
@@ -16,7 +16,7 @@
 
 impl Uncordoned {
     /// Records the zones that are cordoned now. Returns those that no longer are.
-    pub fn note(&mut self, cordoned: &BTreeSet<name::Zone>, now: Duration) -> Vec<name::Zone> {
+    pub fn update(&mut self, cordoned: &BTreeSet<name::Zone>, now: Duration) -> Vec<name::Zone> {
         let uncordoned: Vec<_> = self.cordoned.difference(cordoned).cloned().collect();
         for zone in &uncordoned {
             self.uncordoned_at.insert(zone.clone(), now);
@@ -26,7 +26,7 @@
     }
 
     /// Returns when a zone was last uncordoned, if it was.
-    pub fn at(&self, zone: &name::Zone) -> Option<Duration> {
+    pub fn uncordoned_at(&self, zone: &name::Zone) -> Option<Duration> {
         self.uncordoned_at.get(zone).copied()
     }
 }
--- a/src/scalewood/ops/control/admin.rs
+++ b/src/scalewood/ops/control/admin.rs
@@ -9,7 +9,7 @@
 use warp::{http::StatusCode, Filter, Rejection, Reply};
 
 use crate::{
-    core::{agree, change, config, name, region, secret, verdict},
+    core::{change, config, name, raft, region, secret, verdict},
     event,
     ops::control::{metric, registry, server, Error, Handle},
     util::clock,
@@ -238,7 +238,7 @@
         warp::reply::json(&Provider {
             holder: ledger.holder().cloned(),
             usage: ledger.usage().windows().clone(),
-            ordered: ledger.ordered().clone(),
+            ordered: ledger.last_scaling_counts().clone(),
         })
         .into_response()
     }
@@ -267,7 +267,7 @@
     }
 
     async fn voters(&self, operator: name::Operator, bytes: bytes::Bytes) -> warp::reply::Response {
-        let request: agree::MembersRequest = match serde_json::from_slice(&bytes) {
+        let request: raft::MembersRequest = match serde_json::from_slice(&bytes) {
             Ok(request) => request,
             Err(error) => return malformed(&error),
         };
--- a/src/scalewood/ops/control/collect.rs
+++ b/src/scalewood/ops/control/collect.rs
@@ -11,7 +11,7 @@
 use jsonrpsee::ws_client::WsClient;
 
 use crate::{
-    core::{agree, name, registry, usage},
+    core::{name, raft, registry, usage},
     ops::{
         control::{provider, registry::Endpoints, Handle},
         rpc,
@@ -50,7 +50,7 @@
         complete.filter(|at| *at + 4 * PERIOD >= now)?;
         let registry = lock(&self.registry);
         let displaced = registry.displaced();
-        let mut records = registry.told_since(0, now);
+        let mut records = registry.records_since(0, now);
         records.retain(|record| !displaced.contains(&record.name));
         Some(records)
     }
@@ -103,25 +103,25 @@
         let round = answers
             .iter()
             .map(|(name, gathered)| (name, gathered.is_some()));
-        lock(&self.voters).note(round.clone(), now);
+        lock(&self.voters).record_round(round.clone(), now);
         round.filter(|(_, has_answered)| *has_answered).count()
     }
 
     fn take(&self, gathered: Gathered, endpoints: &Endpoints, now: Duration, own: bool) {
         if !own {
             let mut book = lock(endpoints.book());
-            gathered.usage.into_iter().for_each(|page| book.take(page));
+            gathered.usage.into_iter().for_each(|page| book.merge(page));
         }
         let mut registry = lock(&self.registry);
         for record in gathered.changed {
             registry.merge(record, now);
         }
         for told in &gathered.leaving {
-            registry.note_leaving(&told.name, told.start);
+            registry.record_leaving(&told.name, told.start);
         }
-        registry.take_ends(&gathered.gone, &gathered.ended, &gathered.left);
+        registry.apply_ends(&gathered.gone, &gathered.ended, &gathered.left);
         for name in gathered.heard {
-            registry.hear(&name, now);
+            registry.record_heard(&name, now);
         }
     }
 }
@@ -132,7 +132,7 @@
 /// The other voters, with the stamps of what each has told.
 #[derive(Default)]
 struct Others {
-    known: BTreeMap<agree::Node, Other>,
+    known: BTreeMap<raft::Node, Other>,
 }
 
 struct Other {
--- a/src/scalewood/ops/control/cordon.rs
+++ b/src/scalewood/ops/control/cordon.rs
@@ -25,7 +25,7 @@
     /// Agrees on an order to cordon or uncordon a zone if this voter leads.
     pub async fn cordon_here(&self, order: cordon::Order) -> Passed<change::Answer> {
         // What was answered is committed, so any voter that knows it may say it again.
-        if let Some(answer) = self.published().ledger.cordon_answered(&order) {
+        if let Some(answer) = self.published().ledger.previous_cordon_answer(&order) {
             return Passed::Answer(answer);
         }
         self.propose(ledger::Command::Cordon(order)).await
--- a/src/scalewood/ops/control/guarded.rs
+++ b/src/scalewood/ops/control/guarded.rs
@@ -15,7 +15,7 @@
 use socket2::SockRef;
 use tokio::{net::TcpStream, task::JoinHandle};
 
-use crate::{core::rest, ops};
+use crate::{core::backoff, ops};
 
 /// How long a connection may take.
 const CONNECT: Duration = Duration::from_millis(500);
@@ -57,7 +57,7 @@
     /// Its status.
     pub(super) status: StatusCode,
     /// For how long the receiver wants no more, if it turned the call away.
-    pub(super) rest: rest::Asked,
+    pub(super) rest: backoff::Parsed,
 }
 
 /// A connection over which only the holder of a lease writes. Dropping it resets it.
@@ -119,7 +119,7 @@
             let rest = if ops::rest::is_meant(status, true) {
                 ops::rest::asked(response.headers(), unix_ms)
             } else {
-                rest::Asked::Nothing
+                backoff::Parsed::Absent
             };
             // Read to its end, the connection can be used again; else it is closed.
             let _ = Limited::new(response.into_body(), MAX_ANSWER)
--- a/src/scalewood/ops/control/link.rs
+++ b/src/scalewood/ops/control/link.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    core::{agree, change, cordon, ledger, name},
+    core::{change, cordon, ledger, name, raft},
     event,
     ops::rpc,
     util::lock::lock,
@@ -30,7 +30,7 @@
 /// for a new connection after that.
 const CALL: Duration = Duration::from_millis(700);
 
-type Message = agree::Message<ledger::Ledger>;
+type Message = raft::Message<ledger::Ledger>;
 
 #[derive(Debug)]
 struct Link {
@@ -47,8 +47,8 @@
     own: SocketAddr,
     runtime: tokio::runtime::Handle,
     log: slog::Logger,
-    addresses: Arc<Mutex<HashMap<agree::Node, SocketAddr>>>,
-    links: Arc<Mutex<HashMap<agree::Node, Link>>>,
+    addresses: Arc<Mutex<HashMap<raft::Node, SocketAddr>>>,
+    links: Arc<Mutex<HashMap<raft::Node, Link>>>,
     leader: Arc<Mutex<Option<Kept>>>,
 }
 
@@ -67,12 +67,12 @@
 
     /// Notes where a node said that it takes answers. The members' list goes first;
     /// a learner does not have it yet.
-    pub(super) fn learn(&self, node: &agree::Node, address: SocketAddr) {
+    pub(super) fn learn(&self, node: &raft::Node, address: SocketAddr) {
         lock(&self.addresses).insert(node.clone(), address);
     }
 
     /// Sends messages, or drops those that can't go out.
-    pub(super) fn send(&self, status: &agree::Status, sends: Vec<(agree::Node, Message)>) {
+    pub(super) fn send(&self, status: &raft::Status, sends: Vec<(raft::Node, Message)>) {
         if sends.is_empty() {
             return;
         }
@@ -94,7 +94,7 @@
         }
     }
 
-    fn link(&self, to: &agree::Node, address: SocketAddr) -> mpsc::Sender<Envelope> {
+    fn link(&self, to: &raft::Node, address: SocketAddr) -> mpsc::Sender<Envelope> {
         let mut links = lock(&self.links);
         if let Some(link) = links.get(to).filter(|link| link.address == address) {
             return link.sender.clone();
@@ -113,7 +113,7 @@
     }
 
     /// A connection to the leader, kept between calls.
-    async fn leader(&self, leader: Option<agree::Node>) -> Option<Arc<WsClient>> {
+    async fn leader(&self, leader: Option<raft::Node>) -> Option<Arc<WsClient>> {
         let address = lock(&self.addresses).get(&leader?).copied()?;
         let kept = lock(&self.leader)
             .clone()
@@ -129,7 +129,7 @@
     /// Calls the leader; what takes too long is given up, and its connection too.
     async fn call<T, F>(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         call: impl FnOnce(Arc<WsClient>) -> F,
     ) -> Passed<T>
     where
@@ -153,7 +153,7 @@
     /// Passes a routing on to the leader.
     pub(super) async fn pass_publication(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         publication: ledger::Publication,
     ) -> Passed<change::Answer> {
         let call = |client: Arc<WsClient>| async move { client.publish(publication).await };
@@ -161,7 +161,7 @@
     }
 
     /// Reads the routing from the leader.
-    pub(super) async fn pass_read(&self, leader: Option<agree::Node>) -> Passed<Option<Arc<str>>> {
+    pub(super) async fn pass_read(&self, leader: Option<raft::Node>) -> Passed<Option<Arc<str>>> {
         let call = |client: Arc<WsClient>| async move { client.read().await };
         self.call(leader, call).await
     }
@@ -169,7 +169,7 @@
     /// Passes a change on to the leader.
     pub(super) async fn pass_change(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         change: change::Change,
         operator: name::Operator,
     ) -> Passed<change::Answer> {
@@ -180,7 +180,7 @@
     /// Passes an order to cordon or uncordon a zone on to the leader.
     pub(super) async fn pass_cordon(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         order: cordon::Order,
     ) -> Passed<change::Answer> {
         let call = |client: Arc<WsClient>| async move { client.cordon(order).await };
@@ -190,8 +190,8 @@
     /// Passes a change of the voters on to the leader.
     pub(super) async fn pass_members(
         &self,
-        leader: Option<agree::Node>,
-        request: agree::MembersRequest,
+        leader: Option<raft::Node>,
+        request: raft::MembersRequest,
     ) -> Passed<()> {
         let call = |client: Arc<WsClient>| async move { client.members(request).await };
         self.call(leader, call).await
@@ -200,7 +200,7 @@
 
 /// Carries messages to one node for as long as they come.
 async fn carry(
-    to: agree::Node,
+    to: raft::Node,
     address: SocketAddr,
     mut receiver: mpsc::Receiver<Envelope>,
     log: slog::Logger,
--- a/src/scalewood/ops/control/membership.rs
+++ b/src/scalewood/ops/control/membership.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    core::{agree, name},
+    core::{name, raft},
     event,
     ops::{control::Handle, rpc},
     util::clock::{self, Clock as _},
@@ -20,19 +20,19 @@
 
 /// The identity of the voters that form a new system: they are known to each other
 /// before any of them has a folder. Every later folder gets a random one.
-pub(super) const FOUNDER: agree::Identity = agree::Identity(1);
+pub(super) const FOUNDER: raft::Identity = raft::Identity(1);
 
 /// The members of a new system whose voters are reached at these addresses. A box is
 /// named after its IP address there, since nothing else is known of it.
-pub(super) fn founders(addresses: &[SocketAddr]) -> agree::Members {
+pub(super) fn founders(addresses: &[SocketAddr]) -> raft::Members {
     let founders = addresses.iter().map(|address| {
-        let node = agree::Node {
+        let node = raft::Node {
             name: box_at(*address),
             identity: FOUNDER,
         };
         (node, *address)
     });
-    agree::Members::of_all(founders)
+    raft::Members::with_voters(founders)
 }
 
 /// The name of the box at an address.
@@ -54,7 +54,7 @@
 }
 
 impl Standing {
-    fn has_to_ask(&mut self, status: &agree::Status, now: Duration) -> bool {
+    fn has_to_ask(&mut self, status: &raft::Status, now: Duration) -> bool {
         if status.leader.is_some() {
             self.alone_since = None;
         } else {
@@ -104,7 +104,7 @@
 }
 
 /// Asks one voter; it names the leader if that is another.
-async fn ask(to: SocketAddr, node: agree::Node, own: SocketAddr) -> Option<SocketAddr> {
+async fn ask(to: SocketAddr, node: raft::Node, own: SocketAddr) -> Option<SocketAddr> {
     let asked = async {
         let client: Arc<WsClient> = rpc::connect(to).await.ok()?;
         client.join(node, own).await.ok()?
--- a/src/scalewood/ops/control/metric.rs
+++ b/src/scalewood/ops/control/metric.rs
@@ -134,7 +134,7 @@
             .set(i64::from(status.members.is_voter(&status.node)));
         self.term.set(number(status.term.0));
         self.revision.set(number(published.ledger.revision().0));
-        self.version.set(number(published.ledger.version()));
+        self.version.set(number(published.ledger.routing_version()));
         let cordoned = published.ledger.document().cordoned.len();
         self.cordoned
             .set(i64::try_from(cordoned).unwrap_or(i64::MAX));
--- a/src/scalewood/ops/control/mod.rs
+++ b/src/scalewood/ops/control/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     board::feed,
-    core::{agree, ledger, name, region, registry as core_registry, secret, unit},
+    core::{ledger, name, raft, region, registry as core_registry, secret, unit},
     event,
     ops::{breach, reload, rpc, source},
     store::{folder, hints, identity, journal},
@@ -74,7 +74,7 @@
     /// What is done for a provider.
     pub provider: provider::Settings,
     /// Settings of the agreement.
-    pub agree: agree::Settings,
+    pub agree: raft::Settings,
 }
 
 impl Default for Settings {
@@ -94,7 +94,7 @@
             operators: BTreeMap::new(),
             orders: unit::Rate::try_from(DEFAULT_ORDERS).expect("the default rate is valid"),
             provider: provider::Settings::default(),
-            agree: agree::Settings::default(),
+            agree: raft::Settings::default(),
         }
     }
 }
@@ -119,12 +119,12 @@
         let voters = voters.into_iter().filter_map(|v| v.0).collect();
         let timing = settings::timing(reader);
         let operators = reader.list::<Operator>("operators");
-        let agree = agree::Settings {
-            election: reader.duration("election", default.agree.election),
+        let agree = raft::Settings {
+            election_timeout_min: reader.duration("election", default.agree.election_timeout_min),
             heartbeat: reader.duration("heartbeat", default.agree.heartbeat),
-            margin: reader.duration("lease_margin", default.agree.margin),
-            compact: reader.number("compact_after", default.agree.compact),
-            repair: unattended.then(agree::Repair::default),
+            lease_margin: reader.duration("lease_margin", default.agree.lease_margin),
+            compact_after: reader.number("compact_after", default.agree.compact_after),
+            repair: unattended.then(raft::Repair::default),
             ..default.agree
         };
         if listen == admin {
@@ -134,14 +134,14 @@
                 "another port",
             );
         }
-        if agree.heartbeat * 2 > agree.election {
+        if agree.heartbeat * 2 > agree.election_timeout_min {
             reader.problem(
                 "heartbeat",
                 "it is over half of `election`",
                 "a shorter one",
             );
         }
-        if agree.margin >= agree.election {
+        if agree.lease_margin >= agree.election_timeout_min {
             reader.problem(
                 "lease_margin",
                 "it is no less than `election`",
@@ -217,10 +217,10 @@
 /// # Errors
 ///
 /// Fails if the folder was initialised before or can't be written.
-pub fn init(settings: &Settings) -> Result<agree::Node, Report<Error>> {
+pub fn init(settings: &Settings) -> Result<raft::Node, Report<Error>> {
     let address = settings.listen;
-    initialise(settings, agree::Identity(rand::random()), |node| {
-        agree::Kept::first(node, address)
+    initialise(settings, raft::Identity(rand::random()), |node| {
+        raft::Persisted::bootstrap(node, address)
     })
 }
 
@@ -229,20 +229,20 @@
 /// # Errors
 ///
 /// Fails if the folder was initialised before or can't be written.
-pub fn join(settings: &Settings) -> Result<agree::Node, Report<Error>> {
-    initialise(settings, agree::Identity(rand::random()), |_| {
-        agree::Kept::default()
+pub fn join(settings: &Settings) -> Result<raft::Node, Report<Error>> {
+    initialise(settings, raft::Identity(rand::random()), |_| {
+        raft::Persisted::default()
     })
 }
 
 fn initialise(
     settings: &Settings,
-    identity: agree::Identity,
-    kept: impl FnOnce(agree::Node) -> agree::Kept<ledger::Ledger>,
-) -> Result<agree::Node, Report<Error>> {
+    identity: raft::Identity,
+    kept: impl FnOnce(raft::Node) -> raft::Persisted<ledger::Ledger>,
+) -> Result<raft::Node, Report<Error>> {
     let folder = open_folder(settings)?;
     identity::check_unused(&folder).change_context(Error)?;
-    let node = agree::Node {
+    let node = raft::Node {
         name: settings.name.clone(),
         identity,
     };
@@ -281,7 +281,7 @@
     }
     let members = membership::founders(&settings.voters);
     initialise(settings, membership::FOUNDER, |_| {
-        agree::Kept::formed(members)
+        raft::Persisted::bootstrap_with(members)
     })?;
     event!(log, VoterFormed, "voters" => settings.voters.len());
     Ok(())
--- a/src/scalewood/ops/control/order.rs
+++ b/src/scalewood/ops/control/order.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 
 use crate::{
-    core::{invariant, limit, name, rest, unit},
+    core::{backoff, invariant, limit, name, unit},
     event,
     ops::control::{guarded, Handle, Published},
     util::clock::Clock,
@@ -72,7 +72,7 @@
         let mut done = Done::default();
         let mut bucket = limit::Bucket::full(self.rate, self.clock.now());
         let own = self.handle.published().status.node.name;
-        let mut rests = rest::Book::new(own);
+        let mut rests = backoff::Book::new(own);
         loop {
             tokio::time::sleep(PERIOD).await;
             let published = self.handle.published();
@@ -87,7 +87,7 @@
             }
             for (endpoint, address, load) in due(&published, &done) {
                 // Orders are requests too.
-                if rests.left(&endpoint, None, self.clock.now()).is_some() {
+                if rests.remaining(&endpoint, None, self.clock.now()).is_some() {
                     continue;
                 }
                 if bucket.take(1.0, self.rate, self.clock.now()).is_err() {
@@ -105,7 +105,7 @@
                         let configured = published.ledger.document().endpoints.get(&endpoint);
                         if let Some(configured) = configured {
                             let now = self.clock.now();
-                            rests.note(&endpoint, &configured.service, None, length, now);
+                            rests.record(&endpoint, &configured.service, None, length, now);
                         }
                     }
                     Given::Failed => {}
@@ -149,8 +149,8 @@
             }
             Ok(answer) => {
                 let rest = match answer.rest {
-                    rest::Asked::For(length) => Some(length),
-                    rest::Asked::Nothing | rest::Asked::Unreadable => None,
+                    backoff::Parsed::For(length) => Some(length),
+                    backoff::Parsed::Absent | backoff::Parsed::Invalid => None,
                 };
                 event!(self.log, OrderFailed, "endpoint" => %endpoint, "why" => %answer.status,
                     "rest_ms" => rest.map(|rest| rest.as_millis()));
--- a/src/scalewood/ops/control/provider/client.rs
+++ b/src/scalewood/ops/control/provider/client.rs
@@ -9,7 +9,7 @@
 
 use super::{Authority, Hold, Said, Settings};
 use crate::{
-    core::{limit, rest, unit},
+    core::{backoff, limit, unit},
     event,
     ops::control::guarded,
     util::clock::{self, Clock as _},
@@ -110,8 +110,8 @@
     }
 
     /// Notes for how long the provider wants no calls.
-    fn hear(&mut self, asked: rest::Asked) {
-        if let rest::Asked::For(length) = asked {
+    fn hear(&mut self, asked: backoff::Parsed) {
+        if let backoff::Parsed::For(length) = asked {
             self.rests_until = self.clock.now() + length.min(LONGEST_REST);
         }
     }
--- a/src/scalewood/ops/control/provider/hold.rs
+++ b/src/scalewood/ops/control/provider/hold.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    core::{ledger, tenure},
+    core::{fencing, ledger},
     event,
     ops::control::Handle,
     util::{
@@ -24,7 +24,7 @@
 pub(in crate::ops::control) struct Hold {
     handle: Handle,
     pub(super) clock: clock::System,
-    tenure: Arc<Mutex<tenure::Tenure>>,
+    tenure: Arc<Mutex<fencing::Tenure>>,
     pub(super) log: slog::Logger,
 }
 
@@ -38,7 +38,7 @@
         Self {
             handle,
             clock,
-            tenure: Arc::new(Mutex::new(tenure::Tenure::new(rest, clock.now()))),
+            tenure: Arc::new(Mutex::new(fencing::Tenure::new(rest, clock.now()))),
             log,
         }
     }
@@ -50,15 +50,15 @@
             tokio::time::sleep(PERIOD).await;
             let step = self.step();
             let token = match step {
-                tenure::Step::Act(token) => Some(token),
-                tenure::Step::Wait | tenure::Step::Take => None,
+                fencing::Step::Act(token) => Some(token),
+                fencing::Step::Wait | fencing::Step::Acquire => None,
             };
             if acts != token {
                 event!(self.log, HolderChanged, "acts" => token.is_some(),
                     "token" => token.map(|token| token.0));
                 acts = token;
             }
-            if step == tenure::Step::Take {
+            if step == fencing::Step::Acquire {
                 let node = self.handle.published().status.node;
                 let taken = self.handle.propose(ledger::Command::Hold(node)).await;
                 event!(self.log, HolderTakes, "agreed" => matches!(taken, Passed::Answer(_)));
@@ -66,7 +66,7 @@
         }
     }
 
-    fn step(&self) -> tenure::Step {
+    fn step(&self) -> fencing::Step {
         let published = self.handle.published();
         let now = self.clock.now();
         let leads = published.lease.is_some_and(|until| until > now);
@@ -81,15 +81,15 @@
     }
 
     /// The token under which this voter may act now.
-    pub(in crate::ops::control) fn token(&self) -> Option<tenure::Token> {
+    pub(in crate::ops::control) fn token(&self) -> Option<fencing::Token> {
         match self.step() {
-            tenure::Step::Act(token) => Some(token),
-            tenure::Step::Wait | tenure::Step::Take => None,
+            fencing::Step::Act(token) => Some(token),
+            fencing::Step::Wait | fencing::Step::Acquire => None,
         }
     }
 
     /// Whether it may act under a token for some time to come.
-    pub(super) fn lasts(&self, token: tenure::Token, long: Duration) -> bool {
+    pub(super) fn lasts(&self, token: fencing::Token, long: Duration) -> bool {
         let published = self.handle.published();
         let until = self.clock.now() + long;
         published.lease.is_some_and(|lease| lease > until) && self.token() == Some(token)
--- a/src/scalewood/ops/control/provider/mod.rs
+++ b/src/scalewood/ops/control/provider/mod.rs
@@ -1,7 +1,7 @@
 //! The provider: who runs the machines, takes reports of usage and adds endpoints on demand.
 //!
 //! Which paths, headers and bodies it speaks is a [`Dialect`]. Its calls belong to one holder
-//! at a time (`core::tenure`), and go out over one connection that is kept.
+//! at a time (`core::fencing`), and go out over one connection that is kept.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr};
 
@@ -10,7 +10,7 @@
 use hyper::{header, Request, StatusCode};
 
 use crate::{
-    core::{name, scaling, tenure, usage},
+    core::{fencing, name, scaling, usage},
     event,
 };
 
@@ -28,7 +28,7 @@
     /// The process that holds.
     pub caller: String,
     /// Its token.
-    pub token: tenure::Token,
+    pub token: fencing::Token,
 }
 
 /// What the provider said to a call.
--- a/src/scalewood/ops/control/provider/settings.rs
+++ b/src/scalewood/ops/control/provider/settings.rs
@@ -100,14 +100,14 @@
         let default = Self::default();
         let settings = Self {
             utilisation: reader.number("utilisation", default.utilisation),
-            strained: reader.number("strained", default.strained),
+            strained_utilisation: reader.number("strained", default.strained_utilisation),
             look_back: reader.duration("look_back", default.look_back),
             spare_zones: reader.number("spare_zones", default.spare_zones),
             interruptible: reader.flag("interruptible", default.interruptible),
         };
         let parts = [
             ("utilisation", settings.utilisation),
-            ("strained", settings.strained),
+            ("strained", settings.strained_utilisation),
         ];
         for (key, part) in parts {
             if !(0.01..=1.0).contains(&part) {
--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -75,8 +75,8 @@
     /// What a call to a zone's path asks for: POST cordons it, DELETE takes that back.
     pub fn of_zone(method: &Method, zone: &str) -> Self {
         let act = match *method {
-            Method::POST => cordon::Act::Cordon,
-            Method::DELETE => cordon::Act::Uncordon,
+            Method::POST => cordon::Action::Cordon,
+            Method::DELETE => cordon::Action::Uncordon,
             _ => return Asked::WrongMethod,
         };
         match zone.parse::<name::Zone>() {
@@ -273,7 +273,7 @@
         let told = lock(&self.refusals).note(refusal.reason, self.clock.now());
         if let Some(untold) = told {
             event!(self.log, BadAnnouncement, "endpoint" => %name,
-                "reason" => refusal.reason.as_str(), "why" => &refusal.why, "untold" => untold);
+                "reason" => refusal.reason.as_str(), "why" => &refusal.detail, "untold" => untold);
         }
         let status = match refusal.reason {
             registry::Reason::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    core::{agree, load, name, pace, registry, throttle, unit, usage, wall},
+    core::{load, name, pace, raft, registry, throttle, unit, usage, wall_clock},
     event,
     ops::control::Handle,
     store::hints,
@@ -71,7 +71,7 @@
     /// The windows of usage that this voter has reported.
     reported: Arc<Mutex<BTreeSet<usage::Window>>>,
     /// The times of day that voters tell.
-    readings: Arc<Mutex<wall::Readings>>,
+    readings: Arc<Mutex<wall_clock::Readings>>,
     changed: watch::Sender<u64>,
     /// How many subscriptions there were; each has a number of its own.
     subscriptions: Arc<AtomicU64>,
@@ -131,7 +131,7 @@
         let service = record.service.clone();
         let incarnation = record.incarnation;
         let now = self.clock.now();
-        let is_new_here = lock(&self.own).merge(record.clone(), now).is_news();
+        let is_new_here = lock(&self.own).merge(record.clone(), now).must_propagate();
         let merged = lock(&self.registry).merge(record, now);
         if merged == registry::Merged::Restarted {
             // What boxes measured was of an earlier start.
@@ -140,11 +140,11 @@
             event!(self.log, EndpointRestarted, "endpoint" => %name,
                 "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
         }
-        if merged.is_news() {
+        if merged.must_propagate() {
             event!(self.log, EndpointAnnounced, "endpoint" => %name, "service" => %service,
                 "state" => ?state, "sequence" => sequence);
         }
-        if is_new_here || merged.is_news() {
+        if is_new_here || merged.must_propagate() {
             self.tell();
         }
     }
@@ -161,10 +161,10 @@
             Some(start) => lock(&self.own).end(name, start),
             None => lock(&self.own).leave(name),
         };
-        if merged.is_news() {
+        if merged.must_propagate() {
             event!(self.log, EndpointGone, "endpoint" => %name);
         }
-        if merged.is_news() || told.is_news() {
+        if merged.must_propagate() || told.must_propagate() {
             self.tell();
         }
     }
@@ -172,8 +172,8 @@
     /// Takes what a box heard in answers of endpoints that leave.
     fn take_leaving(&self, from: &name::Box, leaving: &[registry::Leaving]) {
         for told in leaving {
-            let noted = lock(&self.registry).note_leaving(&told.name, told.start);
-            if noted.is_news() {
+            let noted = lock(&self.registry).record_leaving(&told.name, told.start);
+            if noted.must_propagate() {
                 self.pass_on_leaving(told);
                 event!(self.log, EndpointLeaving, "endpoint" => %told.name, "by" => %from,
                     "incarnation" => told.start.map(|start| start.0));
@@ -189,7 +189,7 @@
         if let Some(record) = known.filter(|_| own.get(&told.name).is_none()) {
             own.merge(record, self.clock.now());
         }
-        own.note_leaving(&told.name, told.start);
+        own.record_leaving(&told.name, told.start);
     }
 
     /// Takes what a box measured. Followers hear of it with the next news, and at once if
@@ -205,7 +205,7 @@
             }
             for paced in paces {
                 let reports = measured.entry(paced.endpoint.clone()).or_default();
-                let median = reports.take(from.clone(), paced.pace);
+                let median = reports.record(from.clone(), paced.pace);
                 news |= registry.set_pace(&paced.endpoint, median);
                 medians.push((paced.endpoint, median));
             }
@@ -264,7 +264,7 @@
         }
     }
 
-    fn hints(&self, committed: agree::Index) -> hints::Hints {
+    fn hints(&self, committed: raft::Index) -> hints::Hints {
         let held_back = lock(&self.hub).crashes().held_back_rows();
         let registry = lock(&self.registry);
         let since = self
@@ -296,7 +296,7 @@
             registry.set_pace(&paced.endpoint, paced.pace);
         }
         registry.regrade();
-        let until = self.clock.now() + registry.timing().restored();
+        let until = self.clock.now() + registry.timing().restored_timeout();
         *lock(&self.restored) = registry::Remembered::new(hints.endpoints.clone(), until);
     }
 
@@ -326,7 +326,7 @@
                 registry: registry.stamp(),
             },
             usage: usage.pages,
-            changed: registry.told_since(after.registry, self.clock.now()),
+            changed: registry.records_since(after.registry, self.clock.now()),
             gone: registry.gone_since(after.registry),
             ended: registry.ended_since(after.registry),
             left: just_left(&registry, after.registry.into()),
@@ -382,7 +382,7 @@
     /// Notes another voter's time of day, as it told it in answer to a question.
     pub(super) fn note_time(&self, from: &name::Box, unix_ms: u64, asked: Duration) {
         let answered = self.clock.now();
-        lock(&self.readings).note(from, unix_ms, asked, answered);
+        lock(&self.readings).record(from, unix_ms, asked, answered);
     }
 
     /// The time of day that so many voters agree on, in milliseconds since the Unix epoch.
@@ -404,5 +404,5 @@
     if span.after == 0 {
         return Vec::new();
     }
-    registry.left_since(span)
+    registry.left_without_start_since(span)
 }
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -55,18 +55,18 @@
             }
         }
         for told in news.leaving {
-            registry.note_leaving(&told.name, told.start);
+            registry.record_leaving(&told.name, told.start);
         }
-        registry.take_ends(&news.gone, &news.ended, &news.left);
+        registry.apply_ends(&news.gone, &news.ended, &news.left);
         for name in &news.heard {
-            registry.hear(name, now);
+            registry.record_heard(name, now);
         }
         if let Some(voucher) = voucher {
             for name in &news.silent {
-                registry.withdraw(name, voucher);
+                registry.withdraw_vouch(name, voucher);
             }
             if news.vouches {
-                registry.vouched(voucher, now);
+                registry.record_vouch(voucher, now);
             }
         }
         self.take_others_paces(&mut registry, from, news.paces);
@@ -88,7 +88,7 @@
         let mut measured = lock(&self.measured);
         for paced in paces {
             let reports = measured.entry(paced.endpoint.clone()).or_default();
-            let median = reports.take(from.clone(), paced.pace);
+            let median = reports.record(from.clone(), paced.pace);
             registry.set_pace(&paced.endpoint, median);
         }
     }
@@ -106,7 +106,7 @@
 
     /// The process of another voter, as one that vouches for endpoints from now on.
     pub(in crate::ops::control) fn voucher(&self, voter: &name::Box) -> Option<registry::Voucher> {
-        lock(&self.registry).voucher(voter)
+        lock(&self.registry).register_voucher(voter)
     }
 
     /// Notes that another voter can't be heard.
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -118,8 +118,8 @@
         &self,
         who: name::Box,
         anew: bool,
-        told: load::News,
-        usage: usage::Told,
+        told: load::Update,
+        usage: usage::Report,
     ) -> RpcResult<Option<Exchanged>> {
         let now = self.endpoints.clock.now();
         let mut told = told;
@@ -133,9 +133,9 @@
         let Some(load) = load else {
             return Ok(None);
         };
-        let throttle = self.issuer().ask(&who, anew, throttled, now);
+        let throttle = self.issuer().handle_box(&who, anew, throttled, now);
         let unix_ms = self.unix_ms();
-        lock(&self.endpoints.book).take(usage::Page {
+        lock(&self.endpoints.book).merge(usage::Page {
             source: usage::Source {
                 name: who,
                 start: usage.start,
@@ -150,14 +150,14 @@
         }))
     }
 
-    async fn share(&self, who: name::Box, anew: bool, told: load::News) -> RpcResult<Shared> {
+    async fn share(&self, who: name::Box, anew: bool, told: load::Update) -> RpcResult<Shared> {
         let now = self.endpoints.clock.now();
         let mut told = told;
         let throttled = std::mem::take(&mut told.throttle);
         Ok(Shared {
-            known: lock(&self.endpoints.hub).take(&who, anew, told, now),
+            known: lock(&self.endpoints.hub).apply(&who, anew, told, now),
             unix_ms: self.endpoints.clock.unix_ms(),
-            throttle: Some(self.issuer().ask_for(&who, throttled, now)),
+            throttle: Some(self.issuer().handle_voter(&who, throttled, now)),
         })
     }
 
@@ -301,7 +301,7 @@
 
 /// Adds what a follower at a stamp has to be told of endpoints.
 fn fill(news: &mut News, registry: &registry::Registry, span: registry::Span, now: Duration) {
-    news.changed = registry.told_since(span, now);
+    news.changed = registry.records_since(span, now);
     news.gone = registry.gone_since(span);
     news.ended = registry.ended_since(span);
     news.left = just_left(registry, span);
--- a/src/scalewood/ops/control/replica.rs
+++ b/src/scalewood/ops/control/replica.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     board::feed,
-    core::{agree, change, ledger, name},
+    core::{change, ledger, name, raft},
     event,
     ops::control::{self, link},
     store::{folder, journal},
@@ -40,11 +40,11 @@
 
 type Ledger = ledger::Ledger;
 type Keeper = journal::Keeper<folder::Folder, Ledger>;
-type Outcome = agree::Outcome<change::Answer>;
+type Outcome = raft::Outcome<change::Answer>;
 
 /// What a voter's thread is told.
 enum Command {
-    Input(agree::Input<Ledger>),
+    Input(raft::Input<Ledger>),
     Stop(oneshot::Sender<()>),
 }
 
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub struct Published {
     /// How the voter stands.
-    pub status: agree::Status,
+    pub status: raft::Status,
     /// The ledger.
     pub ledger: Arc<Ledger>,
     /// Until when it holds the control lease, by its clock.
@@ -61,7 +61,7 @@
     pub current: bool,
 }
 
-type Waiters = Arc<Mutex<HashMap<agree::Ticket, oneshot::Sender<Outcome>>>>;
+type Waiters = Arc<Mutex<HashMap<raft::Ticket, oneshot::Sender<Outcome>>>>;
 
 /// Speaks to a voter's thread.
 #[derive(Clone, Debug)]
@@ -103,7 +103,7 @@
         }
         self.links.learn(&envelope.from, envelope.address);
         // A full queue loses the message, as a network would.
-        let input = agree::Input::Message(envelope.from, envelope.message);
+        let input = raft::Input::Message(envelope.from, envelope.message);
         let _ = self.commands.try_send(Command::Input(input));
     }
 
@@ -130,7 +130,7 @@
         operator: name::Operator,
     ) -> Passed<change::Answer> {
         let published = self.published();
-        if let Some(answer) = published.ledger.answered(&change, &operator) {
+        if let Some(answer) = published.ledger.previous_answer(&change, &operator) {
             return Passed::Answer(answer);
         }
         let command = ledger::Command::Change(ledger::Proposal {
@@ -144,13 +144,13 @@
     /// Agrees on a command if this voter leads.
     pub(super) async fn propose(&self, command: ledger::Command) -> Passed<change::Answer> {
         match self
-            .ask(|ticket| agree::Input::Propose(ticket, command))
+            .ask(|ticket| raft::Input::Propose(ticket, command))
             .await
         {
-            agree::Outcome::Applied(answer) => Passed::Answer(answer),
-            agree::Outcome::NotLeader(_) => Passed::NotLeader,
-            agree::Outcome::Unknown => Passed::Unknown,
-            agree::Outcome::Refused(why) => Passed::Refused(why),
+            raft::Outcome::Applied(answer) => Passed::Answer(answer),
+            raft::Outcome::NotLeader(_) => Passed::NotLeader,
+            raft::Outcome::Unknown => Passed::Unknown,
+            raft::Outcome::Refused(why) => Passed::Refused(why),
         }
     }
 
@@ -187,17 +187,17 @@
         {
             return Passed::NotLeader;
         }
-        Passed::Answer(published.ledger.source().cloned())
+        Passed::Answer(published.ledger.routing_source().cloned())
     }
 
     /// Has a node made a member if this voter leads; else tells who does.
-    pub fn join(&self, node: agree::Node, address: SocketAddr) -> Option<SocketAddr> {
+    pub fn join(&self, node: raft::Node, address: SocketAddr) -> Option<SocketAddr> {
         let status = self.published.borrow().status.clone();
         if status.leader.as_ref() == Some(&status.node) {
             self.links.learn(&node, address);
             let _ = self
                 .commands
-                .try_send(Command::Input(agree::Input::Join(node, address)));
+                .try_send(Command::Input(raft::Input::Join(node, address)));
             return None;
         }
         let leader = status.leader?;
@@ -206,7 +206,7 @@
     }
 
     /// Agrees on a change of the voters, here or by way of the leader.
-    pub async fn members(&self, request: agree::MembersRequest) -> Passed<()> {
+    pub async fn members(&self, request: raft::MembersRequest) -> Passed<()> {
         match self.members_here(request.clone()).await {
             Passed::NotLeader => self.links.pass_members(self.leader(), request).await,
             passed => passed,
@@ -214,26 +214,26 @@
     }
 
     /// Agrees on a change of the voters if this voter leads.
-    pub async fn members_here(&self, request: agree::MembersRequest) -> Passed<()> {
+    pub async fn members_here(&self, request: raft::MembersRequest) -> Passed<()> {
         match self
-            .ask(|ticket| agree::Input::Members(ticket, request))
+            .ask(|ticket| raft::Input::Members(ticket, request))
             .await
         {
             // A membership entry has no answer of its own.
-            agree::Outcome::Refused(why) if why.is_empty() => Passed::Answer(()),
-            agree::Outcome::Applied(_) => Passed::Answer(()),
-            agree::Outcome::NotLeader(_) => Passed::NotLeader,
-            agree::Outcome::Unknown => Passed::Unknown,
-            agree::Outcome::Refused(why) => Passed::Refused(why),
+            raft::Outcome::Refused(why) if why.is_empty() => Passed::Answer(()),
+            raft::Outcome::Applied(_) => Passed::Answer(()),
+            raft::Outcome::NotLeader(_) => Passed::NotLeader,
+            raft::Outcome::Unknown => Passed::Unknown,
+            raft::Outcome::Refused(why) => Passed::Refused(why),
         }
     }
 
-    pub(super) fn leader(&self) -> Option<agree::Node> {
+    pub(super) fn leader(&self) -> Option<raft::Node> {
         self.published.borrow().status.leader.clone()
     }
 
-    async fn ask(&self, input: impl FnOnce(agree::Ticket) -> agree::Input<Ledger>) -> Outcome {
-        let ticket = agree::Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
+    async fn ask(&self, input: impl FnOnce(raft::Ticket) -> raft::Input<Ledger>) -> Outcome {
+        let ticket = raft::Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiters).insert(ticket, sender);
         if self
@@ -242,13 +242,13 @@
             .is_err()
         {
             lock(&self.waiters).remove(&ticket);
-            return agree::Outcome::Refused("the voter is overloaded; try again".into());
+            return raft::Outcome::Refused("the voter is overloaded; try again".into());
         }
         let outcome = tokio::time::timeout(control::PROPOSAL, receiver).await;
         lock(&self.waiters).remove(&ticket);
         match outcome {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) | Err(_) => agree::Outcome::Unknown,
+            Ok(Err(_)) | Err(_) => raft::Outcome::Unknown,
         }
     }
 
@@ -267,9 +267,9 @@
 /// committed. The receiver tells why it failed, if it does.
 pub(super) fn start(
     settings: &control::Settings,
-    node: agree::Node,
+    node: raft::Node,
     keeper: Keeper,
-    committed: agree::Index,
+    committed: raft::Index,
     feed: Arc<feed::Feed>,
     clock: clock::System,
     log: slog::Logger,
@@ -277,14 +277,14 @@
     let (commands, receiver) = mpsc::sync_channel(4096);
     let (fail, failed) = oneshot::channel();
     let kept = keeper.kept().clone();
-    let mut voter = agree::Voter::new(
+    let mut voter = raft::Voter::new(
         settings.agree.clone(),
         node,
         kept,
         rand::random(),
         clock.now(),
     );
-    voter.recall(committed);
+    voter.apply_known_committed(committed);
     let first = Published {
         status: voter.status(),
         ledger: Arc::new(voter.state().clone()),
@@ -330,7 +330,7 @@
 }
 
 struct Thread {
-    voter: agree::Voter<Ledger>,
+    voter: raft::Voter<Ledger>,
     settings: control::Settings,
     /// The journal; none while the disk can't be used.
     keeper: Option<Keeper>,
@@ -348,7 +348,7 @@
         self.publish_feed();
         let mut ticked = Duration::ZERO;
         loop {
-            let mut output = agree::Output::default();
+            let mut output = raft::Output::default();
             let mut stop = None;
             let first = commands.recv_timeout(TICK);
             if matches!(first, Err(mpsc::RecvTimeoutError::Disconnected)) {
@@ -363,11 +363,11 @@
                 }
             }
             if stop.is_some() {
-                output.merge(self.voter.step(agree::Input::Leave, self.clock.now()));
+                output.merge(self.voter.step(raft::Input::Stop, self.clock.now()));
             }
             if self.clock.now() >= ticked + TICK {
                 ticked = self.clock.now();
-                output.merge(self.voter.step(agree::Input::Tick, ticked));
+                output.merge(self.voter.step(raft::Input::Tick, ticked));
             }
             if let Err(error) = self.carry_out(output) {
                 event!(self.log, StoreFailed, "why" => %error);
@@ -414,8 +414,8 @@
         }
     }
 
-    fn drop_input(&self, input: &agree::Input<Ledger>) {
-        if let agree::Input::Propose(ticket, _) | agree::Input::Members(ticket, _) = input {
+    fn drop_input(&self, input: &raft::Input<Ledger>) {
+        if let raft::Input::Propose(ticket, _) | raft::Input::Members(ticket, _) = input {
             lock(&self.waiters).remove(ticket);
         }
     }
@@ -424,20 +424,20 @@
         let node = self.voter.node().clone();
         let kept = keeper.kept().clone();
         let settings = self.settings.agree.clone();
-        self.voter = agree::Voter::new(settings, node, kept, rand::random(), self.clock.now());
+        self.voter = raft::Voter::new(settings, node, kept, rand::random(), self.clock.now());
         event!(self.log, StoreRecovered, "bytes" => keeper.journal().len());
         self.keeper = Some(keeper);
     }
 
     /// Does what steps want done, in the order that makes it safe.
-    fn carry_out(&mut self, output: agree::Output<Ledger>) -> Result<(), journal::Error> {
+    fn carry_out(&mut self, output: raft::Output<Ledger>) -> Result<(), journal::Error> {
         if let Some(keeper) = &mut self.keeper {
             if keeper.keep(output.writes)? {
                 event!(self.log, StoreCompacted, "bytes" => keeper.journal().len());
             }
         }
         self.publish();
-        self.links.send(&self.voter.status(), output.sends);
+        self.links.send(&self.voter.status(), output.messages);
         let mut waiters = lock(&self.waiters);
         for (ticket, outcome) in output.answers {
             if let Some(waiter) = waiters.remove(&ticket) {
@@ -491,7 +491,7 @@
         if !(self.voter.is_caught_up() || has_recalled) || ledger.revision() <= have {
             return;
         }
-        match ledger.since(have) {
+        match ledger.steps_since(have) {
             Some(newer) if have.0 > 0 => {
                 for step in newer {
                     self.feed.publish_step(step);
--- a/src/scalewood/ops/control/scaling.rs
+++ b/src/scalewood/ops/control/scaling.rs
@@ -81,11 +81,11 @@
         offers.collect()
     }
 
-    fn seen(&self, service: &name::Service, records: &[registry::Record]) -> scaling::Seen {
+    fn seen(&self, service: &name::Service, records: &[registry::Record]) -> scaling::Observed {
         let published = self.handle.published();
-        let mut seen = scaling::Seen {
+        let mut seen = scaling::Observed {
             cordoned: published.ledger.document().cordoned.clone(),
-            ..scaling::Seen::default()
+            ..scaling::Observed::default()
         };
         let hub = lock(self.endpoints.hub());
         for record in records.iter().filter(|record| record.service == *service) {
@@ -94,11 +94,11 @@
             match (ready, record.interruptible) {
                 (true, true) => {
                     zone.interruptible += 1;
-                    let is_warm = record.warm_up.is_none_or(warm_up::Left::is_over);
+                    let is_warm = record.warm_up.is_none_or(warm_up::Remaining::is_over);
                     zone.warming += u32::from(!is_warm);
                 }
                 (true, false) => zone.ordinary += 1,
-                (false, true) => zone.going += 1,
+                (false, true) => zone.leaving += 1,
                 (false, false) => {}
             }
             seen.slots = seen.slots.max(record.slots.0);
@@ -141,8 +141,8 @@
         let answer = match said {
             provider::Said::Taken => scaling::Answer::Taken,
             provider::Said::NoneLeft => scaling::Answer::NoneLeft,
-            _ => scaling::Answer::Unclear,
+            _ => scaling::Answer::Unknown,
         };
-        scaler.answered(order, answer, self.clock.now());
+        scaler.record_answer(order, answer, self.clock.now());
     }
 }
--- a/src/scalewood/ops/control/server.rs
+++ b/src/scalewood/ops/control/server.rs
@@ -10,7 +10,7 @@
 use jsonrpsee::core::{async_trait, RpcResult};
 
 use crate::{
-    core::{agree, change, cordon, ledger, name, unit},
+    core::{change, cordon, ledger, name, raft, unit},
     ops::control::Handle,
     util::{
         clock::{self, Clock as _},
@@ -100,11 +100,11 @@
         Ok(self.handle.read_here())
     }
 
-    async fn join(&self, node: agree::Node, address: SocketAddr) -> RpcResult<Option<SocketAddr>> {
+    async fn join(&self, node: raft::Node, address: SocketAddr) -> RpcResult<Option<SocketAddr>> {
         Ok(self.handle.join(node, address))
     }
 
-    async fn members(&self, request: agree::MembersRequest) -> RpcResult<Passed<()>> {
+    async fn members(&self, request: raft::MembersRequest) -> RpcResult<Passed<()>> {
         Ok(self.handle.members_here(request).await)
     }
 }
--- a/src/scalewood/ops/control/share.rs
+++ b/src/scalewood/ops/control/share.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinHandle;
 
 use crate::{
-    core::{agree, name},
+    core::{name, raft},
     event,
     ops::{
         control::{registry::Endpoints, Handle},
@@ -52,7 +52,7 @@
     clock: clock::System,
     log: slog::Logger,
 ) {
-    let mut peers: BTreeMap<agree::Node, (SocketAddr, JoinHandle<()>)> = BTreeMap::new();
+    let mut peers: BTreeMap<raft::Node, (SocketAddr, JoinHandle<()>)> = BTreeMap::new();
     loop {
         let status = handle.published().status;
         let members: BTreeMap<_, _> = status.members.addresses().collect();
@@ -60,7 +60,7 @@
             let stays = members.get(node) == Some(&&*address);
             if !stays {
                 task.abort();
-                lock(endpoints.hub()).unlink(&node.name);
+                lock(endpoints.hub()).forget_sent(&node.name);
             }
             stays
         });
@@ -103,7 +103,7 @@
                 event!(self.log, LoadsPassedOn, "voter" => %self.name);
                 self.tell(&client).await;
                 event!(self.log, LoadsHeldBack, "voter" => %self.name);
-                lock(self.endpoints.hub()).unlink(&self.name);
+                lock(self.endpoints.hub()).forget_sent(&self.name);
             }
             tokio::time::sleep(AGAIN).await;
         }
@@ -159,8 +159,8 @@
         let mut period = PERIOD;
         loop {
             let now = self.clock.now();
-            let mut news = lock(self.endpoints.hub()).news_for(&self.name, anew, now);
-            news.throttle = lock(self.endpoints.issuer()).news_for(&self.name, anew, now);
+            let mut news = lock(self.endpoints.hub()).update_for(&self.name, anew, now);
+            news.throttle = lock(self.endpoints.issuer()).message_for(&self.name, anew, now);
             if anew || !news.is_empty() || now >= told_at + ALIVE {
                 let call = client.share(self.own.clone(), anew, news);
                 match tokio::time::timeout(ANSWER, call).await {
@@ -168,7 +168,7 @@
                         anew = !shared.known;
                         self.endpoints.note_time(&self.name, shared.unix_ms, now);
                         let answered = self.clock.now();
-                        lock(self.endpoints.issuer()).take(
+                        lock(self.endpoints.issuer()).handle_answer(
                             &self.name,
                             shared.throttle,
                             now,
--- a/src/scalewood/ops/control/usage.rs
+++ b/src/scalewood/ops/control/usage.rs
@@ -76,7 +76,7 @@
         let running = end.saturating_sub(2 * millis(self.settings.window));
         let (missing, counts) = {
             let mut book = lock(self.endpoints.book());
-            let missing = book.behind(running, after(BEYOND));
+            let missing = book.lagging(running, after(BEYOND));
             let counts = book.totals(window);
             book.forget(
                 usage::Window(window.0.saturating_sub(KEPT_WINDOWS)),
@@ -87,7 +87,7 @@
         let wait = self.settings.due.mul_f64(WAIT_PART);
         let ago = Duration::from_millis(now.saturating_sub(after(BEYOND)));
         let since = self.clock.now().saturating_sub(ago);
-        let Some(unheard) = lock(self.gathering.voters()).unheard_since(since) else {
+        let Some(unheard) = lock(self.gathering.voters()).unanswered_since(since) else {
             return;
         };
         let is_whole = missing.is_empty() && unheard.is_empty();
--- a/src/scalewood/ops/entry/beat.rs
+++ b/src/scalewood/ops/entry/beat.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
 use crate::{
-    core::{name, rest, throttle},
+    core::{backoff, name, throttle},
     ops::{
         entry::{desk, now, Shared},
         rpc,
@@ -55,7 +55,7 @@
 fn rests(board: &Shared) -> Vec<(name::Endpoint, u64)> {
     let now = now(board);
     let rests = lock(&board.rests);
-    let left = |(name, rest): (&name::Endpoint, &rest::Rest)| {
+    let left = |(name, rest): (&name::Endpoint, &backoff::Backoff)| {
         let left = rest.until.saturating_sub(now).as_millis();
         (name.clone(), u64::try_from(left).unwrap_or(u64::MAX))
     };
--- a/src/scalewood/ops/entry/call.rs
+++ b/src/scalewood/ops/entry/call.rs
@@ -190,7 +190,7 @@
     match decided {
         Ok((picked, base, decision)) => {
             let spill = decision.spill.unwrap_or(true);
-            Ok((picked, decision.over(base), spill))
+            Ok((picked, decision.override_class(base), spill))
         }
         Err(error) => {
             board.metrics.policy_failures.inc();
@@ -283,7 +283,7 @@
             preempted: 0,
             avoid: None,
             hold: None,
-            rests: Vec::new(),
+            backoffs: Vec::new(),
         }
     }
 
--- a/src/scalewood/ops/entry/claim.rs
+++ b/src/scalewood/ops/entry/claim.rs
@@ -25,7 +25,7 @@
     let mut settled = false;
     loop {
         lock(&board.claims).tick(now(&board));
-        let unheard = lock(&board.claims).unheard(now(&board));
+        let unheard = lock(&board.claims).not_read_back(now(&board));
         future::join_all(unheard.into_iter().map(|peer| read_back(&board, peer))).await;
         let is_settled = lock(&board.claims).is_settled(now(&board));
         if is_settled && !settled {
@@ -45,7 +45,7 @@
         client.read_back(board.own.name.clone()).await.ok()?
     };
     if let Ok(Some(claims)) = tokio::time::timeout(ANSWER, ask).await {
-        lock(&board.claims).absorb(&peer, claims, now(board));
+        lock(&board.claims).merge(&peer, claims, now(board));
     }
 }
 
--- a/src/scalewood/ops/entry/crash.rs
+++ b/src/scalewood/ops/entry/crash.rs
@@ -102,7 +102,7 @@
         at_unix_ms: unix_ms,
         ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
     };
-    change(board, |book| book.ended(fingerprint, end, broke_at));
+    change(board, |book| book.record_end(fingerprint, end, broke_at));
 }
 
 /// Takes what a voter tells of requests under which endpoints have ended.
@@ -137,7 +137,7 @@
     let mut book = lock(&board.crashes);
     let is_held_back = book.is_held_back(&fingerprint);
     if is_held_back {
-        book.came(&fingerprint, now);
+        book.record_arrival(&fingerprint, now);
     }
     is_held_back
 }
@@ -154,7 +154,7 @@
         return false;
     }
     let head = content.head();
-    lock(&board.crashes).knows(head)
+    lock(&board.crashes).knows_head(head)
 }
 
 /// Changes what is known; logs the requests that are held back from then on, and wakes those that
--- a/src/scalewood/ops/entry/desk.rs
+++ b/src/scalewood/ops/entry/desk.rs
@@ -62,9 +62,9 @@
 ) {
     if let dispatch::Report::Ask(ask) = &mut report {
         let in_vain = ask.avoid.as_ref();
-        ask.rests = lock(&board.rests).news(to, service, in_vain, now(board));
+        ask.backoffs = lock(&board.rests).updates(to, service, in_vain, now(board));
         // The dispatcher goes by the starts that are known now.
-        ask.rests.retain_mut(|told| board.renew_rest(told));
+        ask.backoffs.retain_mut(|told| board.renew_rest(told));
     }
     if *to == board.own.name {
         take(board, &board.own.name.clone(), service, vec![report]);
@@ -108,7 +108,7 @@
     let mut dispatcher = dispatch::Dispatcher::new(settings, now);
     let view = board.view.load();
     let mut outputs = dispatcher.step(configuration(board, &view, service), now);
-    outputs.extend(dispatcher.step(dispatch::Input::Boxes(alive(board)), now));
+    outputs.extend(dispatcher.step(dispatch::Input::LiveBoxes(alive(board)), now));
     let sharers = board.sharers.load(Ordering::Relaxed);
     outputs.extend(dispatcher.step(dispatch::Input::Sharers(sharers), now));
     (dispatcher, outputs)
@@ -182,13 +182,13 @@
 ) -> Duration {
     let shard = board.dispatchers.shard(service);
     let dispatcher = shard.get(service);
-    dispatcher.map_or(least, |d| d.patience(endpoint, least, now(board)))
+    dispatcher.map_or(least, |d| d.max_silence(endpoint, least, now(board)))
 }
 
 /// Voids the requests of a box that is gone.
 pub(super) fn forget(board: &Shared, gone: &name::Box) {
     for service in held(board) {
-        input(board, &service, dispatch::Input::Gone(gone.clone()));
+        input(board, &service, dispatch::Input::BoxGone(gone.clone()));
     }
 }
 
@@ -312,7 +312,7 @@
             .set(i64::try_from(state.revision.0).unwrap_or(i64::MAX));
         lock(&self.board.claims).configure(view.box_zones(), now(&self.board));
         let cordoned = &view.document.cordoned;
-        lock(&self.board.uncordoned).note(cordoned, now(&self.board));
+        lock(&self.board.uncordoned).update(cordoned, now(&self.board));
         self.configure(&view);
         self.renew_residency(&view);
         self.doubt_regions(&view);
@@ -338,7 +338,11 @@
 
     /// Says which items of the configuration can be served nowhere that is known here.
     fn doubt_regions(&self, view: &View) {
-        let unknown = residency::unknown(&view.document, &self.board.own.regions, MAX_DOUBTS);
+        let unknown = residency::items_with_unknown_regions(
+            &view.document,
+            &self.board.own.regions,
+            MAX_DOUBTS,
+        );
         for item in unknown {
             event!(self.board.log, RegionUnknown, "item" => item, "revision" => %view.revision);
         }
@@ -353,7 +357,7 @@
         }
         let count = i64::try_from(cordoned.len()).unwrap_or(i64::MAX);
         board.metrics.cordoned.set(count);
-        let behind = lock(&board.catchup).behind(now(board));
+        let behind = lock(&board.catchup).lag(now(board));
         let names: Vec<_> = cordoned.iter().map(name::Zone::as_str).collect();
         event!(board.log, CordonsInForce, "zones" => names.join(" "),
             "revision" => %view.revision, "behind_ms" => behind.as_millis());
@@ -364,7 +368,7 @@
     fn refresh_registry(&mut self) {
         let (layout, stamp, count) = {
             let registry = lock(&self.board.registry);
-            (registry.layout(), registry.stamp(), registry.len())
+            (registry.dispatch_stamp(), registry.stamp(), registry.len())
         };
         if self.layout == layout {
             return;
@@ -413,7 +417,11 @@
             let boxes = self::alive(&self.board);
             let dead = self.alive.iter().filter(|name| !boxes.contains(*name));
             for service in held(&self.board) {
-                input(&self.board, &service, dispatch::Input::Boxes(boxes.clone()));
+                input(
+                    &self.board,
+                    &service,
+                    dispatch::Input::LiveBoxes(boxes.clone()),
+                );
                 // One that is taken for dead by mistake tells everything anew.
                 dead.clone()
                     .for_each(|name| say_gone(&self.board, name, &service));
@@ -570,7 +578,7 @@
 /// Tells a dispatcher all that this box holds or waits for.
 pub(super) fn announce(board: &Shared, service: &name::Service, home: &name::Box) {
     let now = now(board);
-    lock(&board.rests).tell_anew(home, service);
+    lock(&board.rests).reset_dispatcher(home, service);
     tell(board, home, service, dispatch::Report::Hello);
     let mut reports = Vec::new();
     board.tickets.each(|shard| {
--- a/src/scalewood/ops/entry/directory.rs
+++ b/src/scalewood/ops/entry/directory.rs
@@ -167,7 +167,7 @@
     let mut registry = lock(&board.registry);
     let mut forgotten = registry.expire_restored(now);
     let linked_since = *lock(&board.linked_since);
-    let silence = registry.timing().silence();
+    let silence = registry.timing().max_silence();
     if linked_since.is_some_and(|since| now >= since + silence) {
         forgotten.extend(registry.expire_silent(now));
     }
@@ -198,7 +198,7 @@
             note_client(&followed, voter, Some(client.clone()));
             follow(&board, &followed, voter, &client).await;
             note_client(&followed, voter, None);
-            lock(&board.catchup).lost(voter);
+            lock(&board.catchup).remove_voter(voter);
             note_link(&board, false);
             event!(board.log, RegistryLost, "voter" => %voter);
         }
@@ -243,7 +243,7 @@
     let near = lock(followed)
         .get(&voter)
         .is_some_and(|v| v.is_in(&board.own.zone));
-    lock(&board.catchup).told(voter, revision, near, now(board));
+    lock(&board.catchup).record_announced(voter, revision, near, now(board));
     if revision > board.feed.current().revision {
         board.told.notify_one();
     }
@@ -283,7 +283,7 @@
         }
     };
     let by: name::Box = voucher_name(voter);
-    let voucher = lock(&board.registry).voucher(&by);
+    let voucher = lock(&board.registry).register_voucher(&by);
     let mut told = 0;
     let mut heard = now(board);
     loop {
@@ -350,23 +350,26 @@
         }
     }
     for told in news.leaving {
-        if registry.note_leaving(&told.name, told.start).is_news() {
+        if registry
+            .record_leaving(&told.name, told.start)
+            .must_propagate()
+        {
             event!(board.log, EndpointLeaving, "endpoint" => %told.name, "by" => "a voter",
                 "incarnation" => told.start.map(|start| start.0));
         }
     }
-    for name in registry.take_ends(&news.gone, &news.ended, &news.left) {
+    for name in registry.apply_ends(&news.gone, &news.ended, &news.left) {
         event!(board.log, EndpointGone, "endpoint" => %name);
     }
     for name in news.heard {
-        registry.hear(&name, now);
+        registry.record_heard(&name, now);
     }
     if let Some(voucher) = voucher {
         for name in &news.silent {
-            registry.withdraw(name, voucher);
+            registry.withdraw_vouch(name, voucher);
         }
         if news.vouches {
-            registry.vouched(voucher, now);
+            registry.record_vouch(voucher, now);
         }
     }
     for paced in news.paces {
@@ -397,7 +400,7 @@
             "incarnation" => incarnation.map(|i| i.0), "before" => before.map(|i| i.0),
             "sequence" => sequence);
     }
-    if !merged.is_news() {
+    if !merged.must_propagate() {
         return;
     }
     event!(board.log, EndpointAnnounced, "endpoint" => %name, "state" => ?state,
--- a/src/scalewood/ops/entry/exchange.rs
+++ b/src/scalewood/ops/entry/exchange.rs
@@ -15,7 +15,7 @@
 use jsonrpsee::ws_client::WsClient;
 
 use crate::{
-    core::{self, crash::Part, crash::Told, dispatch, follow, load, name, usage, warm_up},
+    core::{self, crash::Cursor, crash::Scope, dispatch, follow, load, name, usage, warm_up},
     event,
     ops::entry::{crash, desk, directory::Followed, now, throttle, Shared},
     util::{lock::lock, metric},
@@ -106,7 +106,7 @@
     /// What the voter knows of this box's usage.
     counted: BTreeMap<usage::Window, usage::Counts>,
     /// Up to where the voter knows of requests under which endpoints have ended.
-    crashes: Told,
+    crashes: Cursor,
     /// The registry's stamp up to which the voter knows of endpoints that leave.
     leaving: u64,
     /// Up to where the voter knows of limits that endpoints set.
@@ -128,7 +128,7 @@
             others: load::Loads::new(),
             bounds: Vec::new(),
             counted: BTreeMap::new(),
-            crashes: Told::default(),
+            crashes: Cursor::default(),
             leaving: 0,
             limits: 0,
             issued,
@@ -189,12 +189,12 @@
         };
         let mut limits = self.limits;
         // Unlocked before dispatchers are asked: these read it while they are locked.
-        let new_limits = lock(&self.board.throttles).news(&mut limits, now(&self.board));
-        let throttle = core::throttle::News {
+        let new_limits = lock(&self.board.throttles).updates(&mut limits, now(&self.board));
+        let throttle = core::throttle::Message {
             limits: new_limits,
             wanted: throttle::wanted(&self.board),
         };
-        let mut told = load::News {
+        let mut told = load::Update {
             loads: load::difference(&self.told, &own),
             placements: taken(&self.board, dispatch::Dispatcher::take_placements),
             outcomes: taken(&self.board, dispatch::Dispatcher::take_outcomes),
@@ -204,14 +204,14 @@
             } else {
                 Vec::new()
             },
-            crashes: lock(&self.board.crashes).news(&mut crashes, Part::Own),
+            crashes: lock(&self.board.crashes).updates(&mut crashes, Scope::Local),
             leaving,
             throttle,
-            ..load::News::default()
+            ..load::Update::default()
         };
         count_requests(&self.board, &mut told);
         let counted = lock(&self.board.usage).windows().clone();
-        let usage = usage::Told {
+        let usage = usage::Report {
             start: self.board.start,
             rows: usage::difference(&self.counted, &counted),
         };
@@ -231,14 +231,14 @@
                 self.board.exchanged.send_replace(begun);
                 self.boxes = answer.load.boxes;
                 let answered = now(&self.board);
-                lock(&self.board.wall).note(answer.unix_ms, asked, answered);
-                self.take(answer.load.news, anew);
+                lock(&self.board.wall).record(answer.unix_ms, asked, answered);
+                self.take(answer.load.update, anew);
                 if let Some(throttle) = answer.throttle {
                     self.take_permits(throttle, voter, asked);
                 }
                 self.board.held_back_known.store(true, Ordering::Relaxed);
                 if !answer.load.leased.is_empty() {
-                    let until = asked + warm_up::LEASE;
+                    let until = asked + warm_up::LEASE_DURATION;
                     let leased = answer.load.leased;
                     self.tell(&dispatch::Input::Leases(leased, until, hubs));
                 }
@@ -256,7 +256,7 @@
         throttle::merge(&self.board, &told.limits, from);
         throttle::take(&self.board, told.issued, asked);
         if now(&self.board) >= self.issued + ALONE_AFTER {
-            self.tell(&dispatch::Input::Alone(None));
+            self.tell(&dispatch::Input::PermitsUnavailable(None));
         }
         self.issued = now(&self.board);
     }
@@ -265,16 +265,16 @@
     fn go_alone(&self) {
         let since = self.issued + ALONE_AFTER;
         if now(&self.board) >= since {
-            self.tell(&dispatch::Input::Alone(Some(since)));
+            self.tell(&dispatch::Input::PermitsUnavailable(Some(since)));
         }
     }
 
-    fn take(&mut self, news: load::News, anew: bool) {
+    fn take(&mut self, news: load::Update, anew: bool) {
         if !news.placements.is_empty() {
-            self.tell(&dispatch::Input::Placed(news.placements));
+            self.tell(&dispatch::Input::Placements(news.placements));
         }
         if !news.prompts.is_empty() {
-            self.tell(&dispatch::Input::Prompts(news.prompts));
+            self.tell(&dispatch::Input::PromptSizes(news.prompts));
         }
         if !news.risks.is_empty() {
             let risk = |risk: &load::Risk| format!("{}:{}", risk.endpoint, risk.chance.0);
@@ -289,10 +289,10 @@
         }
         if anew {
             load::merge(&mut self.others, news.loads);
-            self.tell(&dispatch::Input::Others(Some(self.others.clone())));
+            self.tell(&dispatch::Input::OtherLoads(Some(self.others.clone())));
             return;
         }
-        self.tell(&dispatch::Input::OthersChanged(news.loads.clone()));
+        self.tell(&dispatch::Input::OtherLoadsChanged(news.loads.clone()));
         load::merge(&mut self.others, news.loads);
     }
 
@@ -327,13 +327,13 @@
     fn lose(&mut self) {
         if let Some(voter) = self.voter.take() {
             event!(self.board.log, LoadsGuessed, "voter" => %voter);
-            self.tell(&dispatch::Input::Others(None));
+            self.tell(&dispatch::Input::OtherLoads(None));
         }
         self.bound(Vec::new());
         self.told.clear();
         self.others.clear();
         self.counted.clear();
-        self.crashes = Told::default();
+        self.crashes = Cursor::default();
         self.leaving = 0;
         self.limits = 0;
     }
@@ -348,7 +348,7 @@
 /// The endpoints that warm up and that the dispatchers here would send to, the most wanted first.
 fn wanted(board: &Shared) -> Vec<name::Endpoint> {
     let now = now(board);
-    let mut wanted = taken(board, |dispatcher| dispatcher.wants(now));
+    let mut wanted = taken(board, |dispatcher| dispatcher.wanted_leases(now));
     wanted.sort_by_key(|(count, _)| Reverse(*count));
     wanted.into_iter().map(|(_, name)| name).collect()
 }
@@ -368,7 +368,7 @@
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
             for row in dispatcher.take_precedence() {
-                for (outcome, count) in [("held", row.met.held), ("begun", row.met.begun)] {
+                for (outcome, count) in [("held", row.tally.held), ("begun", row.tally.begun)] {
                     let label = metric::PrecedenceLabel {
                         service: service.to_string(),
                         refused: row.refused.to_string(),
@@ -384,11 +384,11 @@
 }
 
 /// Adds to what is told what became of requests here since it was last taken.
-fn count_requests(board: &Shared, told: &mut load::News) {
+fn count_requests(board: &Shared, told: &mut load::Update) {
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
             for (class, counts) in dispatcher.take_counts() {
-                told.count(service, &class, counts);
+                told.add_counts(service, &class, counts);
             }
         }
     });
--- a/src/scalewood/ops/entry/fetch.rs
+++ b/src/scalewood/ops/entry/fetch.rs
@@ -67,7 +67,7 @@
             () = board.told.notified() => {}
             changed = feed.changed() => if changed.is_err() { return },
             Some((voter, gave)) = asked.next() => {
-                lock(&board.catchup).answered(voter, gave, now(&board));
+                lock(&board.catchup).record_answer(voter, gave, now(&board));
             }
             () = tokio::time::sleep(wait) => {}
         }
@@ -77,8 +77,8 @@
 /// Notes the revision in force; tells whether no voter has a newer one.
 fn note_reached(board: &Shared, own: unit::Revision) -> bool {
     let mut catchup = lock(&board.catchup);
-    let caught_up = catchup.reached(own);
-    let behind = catchup.behind(now(board));
+    let caught_up = catchup.record_applied(own);
+    let behind = catchup.lag(now(board));
     board.metrics.behind.set(behind.as_secs_f64());
     caught_up
 }
@@ -88,7 +88,7 @@
     let now = now(board);
     let (behind, newest) = {
         let catchup = lock(&board.catchup);
-        (catchup.behind(now), catchup.newest())
+        (catchup.lag(now), catchup.newest())
     };
     if behind < LOOK || now < *looked_at + LOOK {
         return;
@@ -109,7 +109,7 @@
     let took = now(&board).saturating_sub(asked_at);
     match &taken {
         Ok(revision) => {
-            let behind = lock(&board.catchup).behind(now(&board));
+            let behind = lock(&board.catchup).lag(now(&board));
             event!(board.log, RevisionInForce, "revision" => %revision, "voter" => %voter,
                 "took_ms" => took.as_millis(), "behind_ms" => behind.as_millis());
         }
--- a/src/scalewood/ops/entry/member.rs
+++ b/src/scalewood/ops/entry/member.rs
@@ -96,7 +96,7 @@
         Ok(None) | Err(_) => {
             clients.lock().await.remove(&peer);
             if own_zone {
-                lock(&board.members).miss(&peer, now(&board));
+                lock(&board.members).record_unanswered(&peer, now(&board));
             }
         }
     }
@@ -155,7 +155,7 @@
 pub(super) fn hear(board: &Shared, probe: Probe) {
     let now = now(board);
     if probe.zone == board.own.zone {
-        lock(&board.members).hear(probe.members, now);
+        lock(&board.members).receive(probe.members, now);
     }
     let mut loads = lock(&board.loads);
     for (service, load) in probe.loads {
--- a/src/scalewood/ops/entry/reply.rs
+++ b/src/scalewood/ops/entry/reply.rs
@@ -85,7 +85,7 @@
                       ask an operator to take it back into service"
                 .into(),
             verdict,
-            retry_after: Some(crash::REMEMBERED),
+            retry_after: Some(crash::RETENTION),
         }
     }
 
--- a/src/scalewood/ops/entry/routed/again.rs
+++ b/src/scalewood/ops/entry/routed/again.rs
@@ -27,7 +27,7 @@
 /// Notes a request of a service: its budget earns a part of a retry by it.
 pub(super) fn earn<D>(context: &Context<D>, service: &name::Service) {
     let board = &context.board;
-    let part = context.retries.part(board.sharers.load(Ordering::Relaxed));
+    let part = context.retries.share(board.sharers.load(Ordering::Relaxed));
     let mut shard = board.budgets.shard(service);
     let budget = budget(&mut shard, service, part);
     budget.set(part);
@@ -94,8 +94,8 @@
     (earned, most): (f64, f64),
 ) -> &'a mut retry::Budget {
     let settings = retry::Settings {
-        earned,
-        most,
+        earned_per_request: earned,
+        capacity: most,
         base: WAIT,
         cap: LONGEST_WAIT,
         attempts: MAX_TRIES,
--- a/src/scalewood/ops/entry/routed/attempt.rs
+++ b/src/scalewood/ops/entry/routed/attempt.rs
@@ -468,7 +468,7 @@
     pub(super) fn log_end(&self, status: StatusCode, code: &str, verdict: verdict::Verdict) {
         let routed = &self.routed;
         let took = self.now().saturating_sub(routed.call.arrived);
-        let behind = lock(&self.context.board.catchup).behind(self.now());
+        let behind = lock(&self.context.board.catchup).lag(self.now());
         event!(self.context.board.log, RequestEnded, "id" => routed.head.id.as_deref(),
             "route" => %routed.call.key, "team" => %routed.call.team, "rank" => %routed.rank,
             "allowed" => self.allowed(),
--- a/src/scalewood/ops/entry/routed/mod.rs
+++ b/src/scalewood/ops/entry/routed/mod.rs
@@ -129,7 +129,7 @@
 
     /// The final answer of a request that no dispatcher was asked about.
     fn refuse(&self, refusal: &Refusal, id: Option<&str>) -> Response<Answer> {
-        let behind = lock(&self.board.catchup).behind(now(&self.board));
+        let behind = lock(&self.board.catchup).lag(now(&self.board));
         event!(self.board.log, RequestEnded, "id" => id,
             "status" => refusal.status.as_u16(), "code" => refusal.code,
             "verdict" => %refusal.verdict, "revision" => %self.board.view.load().revision,
@@ -163,7 +163,7 @@
         })?;
         let (team, rights) = authenticate(&view, &routing, route, head.key.as_deref())?;
         let body = read(body, routing.limits.body_bytes, self.limits.arrival).await?;
-        let service = route.pick(rand::random()).ok_or_else(|| {
+        let service = route.pick_service(rand::random()).ok_or_else(|| {
             let why = "the route leads to no service";
             Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "no-service", why)
         })?;
--- a/src/scalewood/ops/entry/routed/stream.rs
+++ b/src/scalewood/ops/entry/routed/stream.rs
@@ -139,7 +139,7 @@
         mut body: Incoming,
     ) -> Result<(), Failure> {
         let mut buffer = BytesMut::new();
-        let mut stream = pace::Stream::default();
+        let mut stream = pace::Sampler::default();
         let gap = self.request.routed.call.class.gap();
         let mut paused = false;
         loop {
@@ -184,10 +184,10 @@
     }
 
     /// Notes an event for the endpoint's pace.
-    fn measure(&self, stream: &mut pace::Stream, endpoint: &name::Endpoint) {
+    fn measure(&self, stream: &mut pace::Sampler, endpoint: &name::Endpoint) {
         let board = &self.request.context.board;
         let now = now(board);
-        if let Some(pace) = stream.event(now) {
+        if let Some(pace) = stream.record_event(now) {
             let call = &self.request.routed.call;
             let long = call.prompt >= dispatch::LONG_PROMPT;
             lock(&board.paces).observe(&call.key.service, endpoint, pace, long, now);
--- a/src/scalewood/ops/entry/said.rs
+++ b/src/scalewood/ops/entry/said.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 
 use crate::{
-    core::{name, rest},
+    core::{backoff, name},
     event,
     ops::{
         self,
@@ -95,18 +95,18 @@
     let headers = response.headers();
     let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), now(board));
     match ops::rest::asked(headers, unix_ms) {
-        rest::Asked::Nothing => {}
-        rest::Asked::Unreadable => {
+        backoff::Parsed::Absent => {}
+        backoff::Parsed::Invalid => {
             event!(board.log, RestUnreadable, "endpoint" => %at.endpoint,
                 "asked" => ops::rest::text(headers));
         }
-        rest::Asked::For(length) => {
+        backoff::Parsed::For(length) => {
             board.metrics.rests_asked.inc();
             event!(board.log, EndpointRests, "endpoint" => %at.endpoint,
                 "incarnation" => at.start.map(|start| start.0),
                 "asked" => ops::rest::text(headers), "rest_ms" => length.as_millis());
             let now = now(board);
-            lock(&board.rests).note(&at.endpoint, service, at.start, length, now);
+            lock(&board.rests).record(&at.endpoint, service, at.start, length, now);
         }
     }
 }
@@ -115,10 +115,10 @@
     if lock(&board.registry).get(&at.endpoint).is_none() {
         let now = now(board);
         let length = CONFIGURED_LEAVES;
-        return lock(&board.rests).note(&at.endpoint, service, at.start, length, now);
+        return lock(&board.rests).record(&at.endpoint, service, at.start, length, now);
     }
-    let noted = lock(&board.registry).note_leaving(&at.endpoint, at.start);
-    if noted.is_news() {
+    let noted = lock(&board.registry).record_leaving(&at.endpoint, at.start);
+    if noted.must_propagate() {
         event!(board.log, EndpointLeaving, "endpoint" => %at.endpoint, "by" => %board.own.name,
             "incarnation" => at.start.map(|start| start.0));
     }
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -17,11 +17,11 @@
     let values = response.headers().get_all(D::LIMIT).into_iter();
     // What is no text is no number either.
     let values: Vec<_> = values.map(|value| value.to_str().unwrap_or("?")).collect();
-    let limit = match throttle::read(values.iter().copied()) {
-        throttle::Said::Limit(limit) => Some(limit),
-        throttle::Said::Nothing if is_own => None,
-        throttle::Said::Nothing => return,
-        throttle::Said::Unreadable => {
+    let limit = match throttle::parse(values.iter().copied()) {
+        throttle::Parsed::Limit(limit) => Some(limit),
+        throttle::Parsed::Absent if is_own => None,
+        throttle::Parsed::Absent => return,
+        throttle::Parsed::Invalid => {
             event!(board.log, LimitUnreadable, "endpoint" => %at.endpoint,
                 "said" => values.join("; "));
             return;
@@ -29,9 +29,9 @@
     };
     let heard = {
         let mut throttles = lock(&board.throttles);
-        throttles.hear(&at.endpoint, at.start, limit, at.sent_at, now(board))
+        throttles.observe(&at.endpoint, at.start, limit, at.sent_at, now(board))
     };
-    if heard == throttle::Heard::Nothing {
+    if heard == throttle::Change::Unchanged {
         return;
     }
     let change = dispatch::LimitChange {
@@ -82,12 +82,14 @@
 
 /// Marks the endpoints that limit their requests in what a dispatcher is configured with.
 pub(super) fn mark(board: &Shared, input: &mut dispatch::Input) {
-    let (dispatch::Input::Configure(specs, _) | dispatch::Input::Changed(specs, _)) = input else {
+    let (dispatch::Input::Configure(specs, _) | dispatch::Input::EndpointsChanged(specs, _)) =
+        input
+    else {
         return;
     };
     let throttles = lock(&board.throttles);
     for spec in specs {
-        let standing = &mut spec.standing;
+        let standing = &mut spec.admission;
         standing.limit = throttles.limit(&spec.name, standing.incarnation);
     }
 }
@@ -114,7 +116,7 @@
     let passes = issued.into_iter().map(|issued| dispatch::Pass {
         endpoint: issued.endpoint,
         count: issued.count,
-        until: asked + issued.left,
+        until: asked + issued.remaining,
     });
     let passes: Vec<_> = passes.collect();
     for service in desk::held(board) {
--- a/src/scalewood/ops/entry/warmth.rs
+++ b/src/scalewood/ops/entry/warmth.rs
@@ -18,7 +18,9 @@
     registry: &registry::Registry,
     input: &mut dispatch::Input,
 ) {
-    let (dispatch::Input::Configure(specs, _) | dispatch::Input::Changed(specs, _)) = input else {
+    let (dispatch::Input::Configure(specs, _) | dispatch::Input::EndpointsChanged(specs, _)) =
+        input
+    else {
         return;
     };
     let routing = view.document.routing.as_deref();
@@ -32,12 +34,12 @@
         let Some(belief) = registry.warm_up(&spec.name) else {
             continue;
         };
-        let uncordoned = lock(&board.uncordoned).at(&spec.zone);
-        let Some((until, source)) = belief.until(&rate, uncordoned, now) else {
+        let uncordoned = lock(&board.uncordoned).uncordoned_at(&spec.zone);
+        let Some((until, source)) = belief.ends_at(&rate, uncordoned, now) else {
             continue;
         };
-        spec.standing.warming = Some(warm_up::Warming::new(until, &rate, &board.own.leeway));
-        note(board, &spec.name, until, source, belief.age(now));
+        spec.admission.warming = Some(warm_up::Warming::new(until, &rate, &board.own.leeway));
+        note(board, &spec.name, until, source, belief.report_age(now));
     }
 }
 
@@ -67,9 +69,9 @@
 pub(super) fn count(board: &Shared) {
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
-            let limited = u64::from(dispatcher.take_limited());
+            let limited = u64::from(dispatcher.take_limit_diversions());
             board.metrics.limit_kept_back.inc_by(limited);
-            let (sent, kept_back) = dispatcher.take_warm_up();
+            let (sent, kept_back) = dispatcher.take_warm_up_counts();
             if sent == 0 && kept_back == 0 {
                 continue;
             }
@@ -93,7 +95,7 @@
         let said = registry.warm_up(endpoint);
         let lasts = now < *until && said.is_some();
         if !lasts {
-            let age = said.and_then(|belief| belief.age(now));
+            let age = said.and_then(|belief| belief.report_age(now));
             event!(board.log, WarmUpEnded, "endpoint" => %endpoint,
                 "age_ms" => age.map(|age| age.as_millis()));
         }
--- a/src/scalewood/ops/operate.rs
+++ b/src/scalewood/ops/operate.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 use crate::{
-    core::{agree, change, config, unit},
+    core::{change, config, raft, unit},
     wire::admin::{
         Config, Cordon, Cordons, Failure, HeldBack, History, Pardon, Provider, Status, PREFIX,
     },
@@ -173,7 +173,7 @@
     /// # Errors
     ///
     /// Fails if the change was not accepted.
-    pub async fn members(&self, request: &agree::MembersRequest) -> Result<(), Report<Error>> {
+    pub async fn members(&self, request: &raft::MembersRequest) -> Result<(), Report<Error>> {
         let answer = self.call(Method::POST, "voters", Some(request)).await?;
         if answer.status == StatusCode::OK {
             return Ok(());
--- a/src/scalewood/ops/rest.rs
+++ b/src/scalewood/ops/rest.rs
@@ -2,17 +2,17 @@
 
 use hyper::{header, HeaderMap, StatusCode};
 
-use crate::core::rest;
+use crate::core::backoff;
 
 /// The rest that an answer asks for; a date in it is compared with the answer's own, or else with
 /// the time of day here.
-pub(in crate::ops) fn asked(headers: &HeaderMap, unix_ms: u64) -> rest::Asked {
+pub(in crate::ops) fn asked(headers: &HeaderMap, unix_ms: u64) -> backoff::Parsed {
     let values = headers.get_all(header::RETRY_AFTER).into_iter();
     // What is no text is no time either.
     let values = values.map(|value| value.to_str().unwrap_or("?"));
     let date = headers.get(header::DATE);
     let date = date.and_then(|date| date.to_str().ok());
-    rest::read(values, date, unix_ms)
+    backoff::parse(values, date, unix_ms)
 }
 
 /// Whether an answer of this status speaks of all that its receiver may send. 503 does; 429 speaks
--- a/src/scalewood/store/hints.rs
+++ b/src/scalewood/store/hints.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::{agree, crash, pace, registry};
+use crate::core::{crash, pace, raft, registry};
 
 /// The file's name.
 const NAME: &str = "hints.json";
@@ -29,7 +29,7 @@
     /// of all power.
     pub held_back: Vec<crash::Row>,
     /// The last entry of the journal that was known to be committed.
-    pub committed: agree::Index,
+    pub committed: raft::Index,
 }
 
 /// Where hints are kept.
--- a/src/scalewood/store/identity.rs
+++ b/src/scalewood/store/identity.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{agree, name},
+    core::{name, raft},
     store::media,
 };
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Record {
-    node: agree::Node,
+    node: raft::Node,
 }
 
 /// Why a folder can't be used as a voter's.
@@ -31,9 +31,9 @@
     /// It holds no identity.
     Empty,
     /// It was initialised before.
-    Used(agree::Node),
+    Used(raft::Node),
     /// It belongs to another box.
-    Foreign(agree::Node, name::Box),
+    Foreign(raft::Node, name::Box),
     /// Its identity can't be read.
     Damaged(String),
 }
@@ -77,7 +77,7 @@
 /// # Errors
 ///
 /// Fails if there is none, or it is another box's.
-pub fn read<M: media::Media>(media: &M, own: &name::Box) -> Result<agree::Node, Error> {
+pub fn read<M: media::Media>(media: &M, own: &name::Box) -> Result<raft::Node, Error> {
     let bytes = media.read(FILE)?.ok_or(Error::Empty)?;
     let record: Record =
         serde_json::from_slice(&bytes).map_err(|error| Error::Damaged(error.to_string()))?;
@@ -111,10 +111,10 @@
 pub fn make<M: media::Media>(
     media: &mut M,
     own: &name::Box,
-    identity: agree::Identity,
-) -> Result<agree::Node, Error> {
+    identity: raft::Identity,
+) -> Result<raft::Node, Error> {
     check_unused(media)?;
-    let node = agree::Node {
+    let node = raft::Node {
         name: own.clone(),
         identity,
     };
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::agree::{self, Kept, State, Write},
+    core::raft::{self, Persisted, State, Write},
     store::media,
 };
 
@@ -64,7 +64,7 @@
     /// The journal.
     pub journal: Journal<M>,
     /// What it holds.
-    pub kept: Kept<S>,
+    pub kept: Persisted<S>,
     /// Bytes of an unfinished record that were dropped.
     pub dropped: usize,
 }
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// Fails if it can't be written.
-    pub fn create<S: State>(mut media: M, kept: Kept<S>) -> Result<Self, Error> {
+    pub fn create<S: State>(mut media: M, kept: Persisted<S>) -> Result<Self, Error> {
         let bytes = whole(&kept)?;
         media.replace(FILE, &bytes)?;
         Ok(Self {
@@ -111,7 +111,7 @@
     /// Fails if it is missing or damaged.
     pub fn open<S: State>(mut media: M) -> Result<Opened<M, S>, Error> {
         let bytes = media.read(FILE)?.ok_or(Error::Missing)?;
-        let mut kept = Kept::default();
+        let mut kept = Persisted::default();
         let mut offset = 0;
         let mut records = 0;
         while offset < bytes.len() {
@@ -163,7 +163,7 @@
     /// # Errors
     ///
     /// Fails if it can't be written; the old one then stands.
-    pub fn compact<S: State>(&mut self, kept: &Kept<S>) -> Result<(), Error> {
+    pub fn compact<S: State>(&mut self, kept: &Persisted<S>) -> Result<(), Error> {
         let bytes = whole(kept)?;
         self.media.replace(FILE, &bytes)?;
         self.length = bytes.len();
@@ -188,7 +188,7 @@
 }
 
 /// A journal that holds just what is kept, as a single record.
-fn whole<S: State>(kept: &Kept<S>) -> Result<Vec<u8>, Error> {
+fn whole<S: State>(kept: &Persisted<S>) -> Result<Vec<u8>, Error> {
     let mut writes = vec![
         Write::Restart(kept.snapshot.clone()),
         Write::Vote(kept.term, kept.voted.clone()),
@@ -257,17 +257,17 @@
 #[derive(Debug)]
 pub struct Keeper<M, S: State> {
     journal: Journal<M>,
-    kept: Kept<S>,
+    kept: Persisted<S>,
 }
 
 impl<M: media::Media, S: State> Keeper<M, S> {
     /// Keeps a voter's writes in a journal.
-    pub fn new(journal: Journal<M>, kept: Kept<S>) -> Self {
+    pub fn new(journal: Journal<M>, kept: Persisted<S>) -> Self {
         Self { journal, kept }
     }
 
     /// What is kept.
-    pub fn kept(&self) -> &Kept<S> {
+    pub fn kept(&self) -> &Persisted<S> {
         &self.kept
     }
 
@@ -281,7 +281,7 @@
     /// # Errors
     ///
     /// Fails if they can't be written; the voter must stop then.
-    pub fn keep(&mut self, writes: Vec<agree::Write<S>>) -> Result<bool, Error> {
+    pub fn keep(&mut self, writes: Vec<raft::Write<S>>) -> Result<bool, Error> {
         if !compacts(&writes) {
             for write in &writes {
                 self.kept.replay(write.clone());
--- a/src/scalewood/wire/admin.rs
+++ b/src/scalewood/wire/admin.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    agree, audit, change, config, cordon, fingerprint, name, tenure, unit, usage, verdict,
+    audit, change, config, cordon, fencing, fingerprint, name, raft, unit, usage, verdict,
 };
 
 /// The prefix of all paths.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// The voter.
-    pub voter: agree::Status,
+    pub voter: raft::Status,
     /// The revision in force.
     pub revision: unit::Revision,
     /// The entry boxes that have reported here.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Provider {
     /// Who does it.
-    pub holder: Option<tenure::Holder>,
+    pub holder: Option<fencing::Holder>,
     /// The windows of usage that are kept.
     pub usage: BTreeMap<usage::Window, usage::Agreed>,
     /// How many endpoints were ordered last, by service, zone and kind.
@@ -78,7 +78,7 @@
     /// The zone.
     pub zone: name::Zone,
     /// What is done to it.
-    pub act: cordon::Act,
+    pub act: cordon::Action,
     /// Why; goes into the audit trail.
     pub why: String,
 }
--- a/src/scalewood/wire/control.rs
+++ b/src/scalewood/wire/control.rs
@@ -5,19 +5,19 @@
 use jsonrpsee::{core::RpcResult, proc_macros::rpc};
 use serde::{Deserialize, Serialize};
 
-use crate::core::{agree, change, cordon, ledger, name, throttle, unit};
+use crate::core::{change, cordon, ledger, name, raft, throttle, unit};
 
 /// A message between voters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
-    pub from: agree::Node,
+    pub from: raft::Node,
     /// Where the sender takes answers.
     pub address: SocketAddr,
     /// The node that it is for; any other must not take it.
-    pub to: agree::Node,
+    pub to: raft::Node,
     /// The message.
-    pub message: agree::Message<ledger::Ledger>,
+    pub message: raft::Message<ledger::Ledger>,
 }
 
 /// What an entry box says of itself.
@@ -90,9 +90,9 @@
     /// Has a node made a member. Answers with the leader's address where another
     /// voter leads.
     #[method(name = "join")]
-    async fn join(&self, node: agree::Node, address: SocketAddr) -> RpcResult<Option<SocketAddr>>;
+    async fn join(&self, node: raft::Node, address: SocketAddr) -> RpcResult<Option<SocketAddr>>;
 
     /// Takes a change of the voters that an operator gave to another voter.
     #[method(name = "members")]
-    async fn members(&self, request: agree::MembersRequest) -> RpcResult<Passed<()>>;
+    async fn members(&self, request: raft::MembersRequest) -> RpcResult<Passed<()>>;
 }
--- a/src/scalewood/wire/registry.rs
+++ b/src/scalewood/wire/registry.rs
@@ -184,14 +184,14 @@
         &self,
         who: name::Box,
         anew: bool,
-        told: load::News,
-        usage: usage::Told,
+        told: load::Update,
+        usage: usage::Report,
     ) -> RpcResult<Option<Exchanged>>;
 
     /// Takes what has changed at another voter's boxes, or all of it if that voter starts
     /// `anew`.
     #[method(name = "share")]
-    async fn share(&self, who: name::Box, anew: bool, told: load::News) -> RpcResult<Shared>;
+    async fn share(&self, who: name::Box, anew: bool, told: load::Update) -> RpcResult<Shared>;
 
     /// What boxes and endpoints have told this voter since some stamps.
     #[method(name = "gather")]
--- a/tests/testsuite/admin.rs
+++ b/tests/testsuite/admin.rs
@@ -2,9 +2,8 @@
 
 use scalewood::{
     core::{
-        agree,
         change::{Answer, Change, Edit, Item, Key},
-        config, unit,
+        config, raft, unit,
     },
     ops::operate,
 };
@@ -212,7 +211,7 @@
     config.is_ok_and(|config| config.revision == unit::Revision(2))
 }
 
-async fn is_led_by_another(client: &operate::Client, leader: &agree::Node) -> bool {
+async fn is_led_by_another(client: &operate::Client, leader: &raft::Node) -> bool {
     let status = client.status().await;
     let leads = status.ok().and_then(|status| status.voter.leader);
     leads.is_some_and(|now| now != *leader)
--- a/tests/testsuite/control.rs
+++ b/tests/testsuite/control.rs
@@ -8,9 +8,10 @@
 
 use scalewood::{
     core::{
-        agree::{MembersRequest, Node},
         change::{Answer, Change, Edit, Item},
-        config, unit,
+        config,
+        raft::{MembersRequest, Node},
+        unit,
     },
     ops::operate,
     wire::admin,
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -11,15 +11,15 @@
 use scalewood::{
     board::feed::Feed,
     core::{
-        agree::State as _,
-        change::{Answer, Change, Edit, Item, Step, What},
+        change::{Answer, Change, Delta, Edit, Item, Step},
         config,
-        cordon::{Act, Mark, Order, MAX_ZONES},
+        cordon::{Action, Mark, Order, MAX_ZONES},
         dispatch::{
-            Ask, Dispatcher, Input, Order as Told, Reason, Report, Settings, Spec, Standing,
+            Admission, Ask, Dispatcher, Input, Order as Told, Reason, Report, Settings, Spec,
         },
         ledger::{Command, Ledger, Proposal, Publication},
         name,
+        raft::State as _,
         registry::State,
         unit,
     },
@@ -40,14 +40,14 @@
 /// The longest that an order may take to be acknowledged while a leader can be elected.
 const ACKNOWLEDGED: Duration = Duration::from_secs(5);
 
-fn mark(act: Act, zone: &str) -> Mark {
+fn mark(act: Action, zone: &str) -> Mark {
     Mark {
         zone: zone.parse().unwrap(),
         act,
     }
 }
 
-fn order(act: Act, zone: &str, id: Option<&str>) -> Order {
+fn order(act: Action, zone: &str, id: Option<&str>) -> Order {
     Order {
         mark: mark(act, zone),
         operator: "nara".parse().unwrap(),
@@ -57,7 +57,7 @@
     }
 }
 
-fn give(ledger: &mut Ledger, act: Act, zone: &str, id: Option<&str>) -> Answer {
+fn give(ledger: &mut Ledger, act: Action, zone: &str, id: Option<&str>) -> Answer {
     ledger.apply(&Command::Cordon(order(act, zone, id)))
 }
 
@@ -103,12 +103,12 @@
 #[test]
 fn an_order_makes_a_revision_and_a_record_only_if_it_changes_something() {
     let mut ledger = Ledger::default();
-    assert_eq!(give(&mut ledger, Act::Uncordon, "a", None), accepted(0));
-    assert_eq!(give(&mut ledger, Act::Cordon, "a", None), accepted(1));
-    assert_eq!(give(&mut ledger, Act::Cordon, "a", None), accepted(1));
-    assert_eq!(give(&mut ledger, Act::Cordon, "b", None), accepted(2));
+    assert_eq!(give(&mut ledger, Action::Uncordon, "a", None), accepted(0));
+    assert_eq!(give(&mut ledger, Action::Cordon, "a", None), accepted(1));
+    assert_eq!(give(&mut ledger, Action::Cordon, "a", None), accepted(1));
+    assert_eq!(give(&mut ledger, Action::Cordon, "b", None), accepted(2));
     assert_eq!(cordoned(ledger.document()), ["a", "b"]);
-    assert_eq!(give(&mut ledger, Act::Uncordon, "a", None), accepted(3));
+    assert_eq!(give(&mut ledger, Action::Uncordon, "a", None), accepted(3));
     assert_eq!(cordoned(ledger.document()), ["b"]);
     let records: Vec<_> = ledger.records().collect();
     assert_eq!(records.len(), 3);
@@ -122,17 +122,17 @@
 #[test]
 fn a_resend_under_an_id_gets_its_first_answer_and_does_nothing() {
     let mut ledger = Ledger::default();
-    let first = give(&mut ledger, Act::Cordon, "a", Some("one"));
+    let first = give(&mut ledger, Action::Cordon, "a", Some("one"));
     assert_eq!(first, accepted(1));
-    give(&mut ledger, Act::Uncordon, "a", Some("two"));
-    assert_eq!(give(&mut ledger, Act::Cordon, "a", Some("one")), first);
+    give(&mut ledger, Action::Uncordon, "a", Some("two"));
+    assert_eq!(give(&mut ledger, Action::Cordon, "a", Some("one")), first);
     assert!(ledger.document().cordoned.is_empty(), "it was taken back");
     // One that changed nothing keeps its answer too.
-    let idle = give(&mut ledger, Act::Uncordon, "b", Some("idle"));
-    give(&mut ledger, Act::Cordon, "b", None);
-    assert_eq!(give(&mut ledger, Act::Uncordon, "b", Some("idle")), idle);
+    let idle = give(&mut ledger, Action::Uncordon, "b", Some("idle"));
+    give(&mut ledger, Action::Cordon, "b", None);
+    assert_eq!(give(&mut ledger, Action::Uncordon, "b", Some("idle")), idle);
     assert_eq!(cordoned(ledger.document()), ["b"]);
-    let other = give(&mut ledger, Act::Cordon, "c", Some("one"));
+    let other = give(&mut ledger, Action::Cordon, "c", Some("one"));
     assert!(matches!(other, Answer::NotApplied { .. }), "{other:?}");
     assert_eq!(cordoned(ledger.document()), ["b"]);
 }
@@ -141,23 +141,23 @@
 fn a_routing_that_is_published_and_a_change_keep_the_cordons() {
     let mut ledger = Ledger::default();
     publish(&mut ledger, 1);
-    give(&mut ledger, Act::Cordon, "a", None);
+    give(&mut ledger, Action::Cordon, "a", None);
     publish(&mut ledger, 2);
     set_service(&mut ledger, "parts");
     assert_eq!(cordoned(ledger.document()), ["a"]);
-    assert_eq!(ledger.version(), 2);
+    assert_eq!(ledger.routing_version(), 2);
 }
 
 #[test]
 fn names_that_are_no_zones_can_not_make_the_document_grow_for_ever() {
     let mut ledger = Ledger::default();
     for number in 0..MAX_ZONES {
-        let answer = give(&mut ledger, Act::Cordon, &format!("z{number}"), None);
+        let answer = give(&mut ledger, Action::Cordon, &format!("z{number}"), None);
         assert!(matches!(answer, Answer::Accepted { .. }), "{answer:?}");
     }
-    let answer = give(&mut ledger, Act::Cordon, "more", None);
+    let answer = give(&mut ledger, Action::Cordon, "more", None);
     assert!(matches!(answer, Answer::NotApplied { .. }), "{answer:?}");
-    let again = give(&mut ledger, Act::Cordon, "z0", None);
+    let again = give(&mut ledger, Action::Cordon, "z0", None);
     assert!(matches!(again, Answer::Accepted { .. }), "{again:?}");
 }
 
@@ -200,8 +200,8 @@
                     operator: "publisher".parse().unwrap(),
                     at_unix_ms: 1,
                 }),
-                1..=3 => Command::Cordon(order(Act::Cordon, &zone, id.as_deref())),
-                _ => Command::Cordon(order(Act::Uncordon, &zone, id.as_deref())),
+                1..=3 => Command::Cordon(order(Action::Cordon, &zone, id.as_deref())),
+                _ => Command::Cordon(order(Action::Uncordon, &zone, id.as_deref())),
             };
             let answer = ledger.apply(&command);
             if let Some(joined) = &mut joined {
@@ -229,7 +229,7 @@
     if ledger.revision() <= have {
         return;
     }
-    match ledger.since(have) {
+    match ledger.steps_since(have) {
         Some(steps) if have.0 > 0 => {
             for step in steps {
                 assert!(feed.publish_step(step));
@@ -253,13 +253,13 @@
         let feed = Feed::default();
         follow(&feed, &ledger);
         let from = feed.current().revision;
-        give(&mut ledger, Act::Cordon, "a", None);
+        give(&mut ledger, Action::Cordon, "a", None);
         follow(&feed, &ledger);
         let steps = feed.current().since(from).unwrap();
-        assert!(matches!(&steps[0].what, What::Cordons(d) if d.len() == 1));
+        assert!(matches!(&steps[0].what, Delta::Cordons(d) if d.len() == 1));
         // What a voter that heard of all at once gives on.
-        give(&mut ledger, Act::Uncordon, "a", None);
-        give(&mut ledger, Act::Cordon, "b", None);
+        give(&mut ledger, Action::Uncordon, "a", None);
+        give(&mut ledger, Action::Cordon, "b", None);
         if routed {
             publish(&mut ledger, 2);
         }
@@ -281,14 +281,14 @@
         name: format!("m-{zone}").parse().unwrap(),
         slots: 1,
         leaving: false,
-        away: false,
-        place: 0,
+        in_other_zone: false,
+        rank: 0,
         zone: zone.parse().unwrap(),
         slow: false,
         memory: None,
-        standing: Standing {
+        admission: Admission {
             cordoned: cordoned.contains(&zone),
-            ..Standing::default()
+            ..Admission::default()
         },
     };
     ["a", "b"].map(spec).into()
@@ -338,7 +338,7 @@
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = Dispatcher::new(Settings::default(), now);
     configure(&mut dispatcher, &[], now);
-    dispatcher.step(Input::Boxes([own.clone()].into()), now);
+    dispatcher.step(Input::LiveBoxes([own.clone()].into()), now);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), now);
     dispatcher.step(Input::Report(own, Report::Announced), now);
     let mut at = Vec::new();
@@ -375,7 +375,7 @@
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = Dispatcher::new(Settings::default(), now);
     configure(&mut dispatcher, &[], now);
-    dispatcher.step(Input::Boxes([own.clone()].into()), now);
+    dispatcher.step(Input::LiveBoxes([own.clone()].into()), now);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), now);
     dispatcher.step(Input::Report(own, Report::Announced), now);
     for number in [1, 2] {
@@ -523,7 +523,7 @@
     let order = admin::Cordon {
         id: "odd".parse().unwrap(),
         zone: "nowhere".parse().unwrap(),
-        act: Act::Cordon,
+        act: Action::Cordon,
         why: "a test".into(),
     };
     let refused = system.operator().cordon(&order).await.unwrap_err();
@@ -680,7 +680,7 @@
     let order = admin::Cordon {
         id: "first".parse().unwrap(),
         zone: "zone0".parse().unwrap(),
-        act: Act::Cordon,
+        act: Action::Cordon,
         why: "a test".into(),
     };
     let first = deployment.operator().cordon(&order).await.unwrap();
--- a/tests/testsuite/crash_book.rs
+++ b/tests/testsuite/crash_book.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use scalewood::core::{
-    crash::{Book, End, Id, Part, Row, Told, MOST_ENDS, REMEMBERED},
+    crash::{Book, Cursor, End, Id, Row, Scope, ENDS_TO_HOLD_BACK, RETENTION},
     fingerprint::{Fingerprint, Head, HeadHash},
-    load::{Hub, News},
+    load::{Hub, Update},
     name,
 };
 
@@ -43,13 +43,13 @@
 fn book(fingerprint: Fingerprint, ends: usize) -> Book {
     let mut book = Book::default();
     for i in 0..ends {
-        book.ended(fingerprint, end(&format!("i-{i}")), NOW);
+        book.record_end(fingerprint, end(&format!("i-{i}")), NOW);
     }
     book
 }
 
 fn rows(book: &Book) -> Vec<Row> {
-    book.news(&mut Told::default(), Part::Own)
+    book.updates(&mut Cursor::default(), Scope::Local)
 }
 
 #[test]
@@ -77,13 +77,13 @@
 #[test]
 fn the_third_end_holds_a_request_back() {
     let one = fingerprint("shop", "body");
-    for ends in 0..=MOST_ENDS + 1 {
+    for ends in 0..=ENDS_TO_HOLD_BACK + 1 {
         let is_held_back = book(one, ends).is_held_back(&one);
-        assert_eq!(is_held_back, ends >= MOST_ENDS, "{ends}");
+        assert_eq!(is_held_back, ends >= ENDS_TO_HOLD_BACK, "{ends}");
     }
     // The same end, told twice, counts once.
     let mut twice = book(one, 2);
-    twice.ended(one, end("i-1"), NOW);
+    twice.record_end(one, end("i-1"), NOW);
     assert!(!twice.is_held_back(&one));
 }
 
@@ -92,7 +92,7 @@
     let one = fingerprint("shop", "body");
     let mut left = book(one, 2);
     let mut right = Book::default();
-    right.ended(one, end("i-7"), NOW);
+    right.record_end(one, end("i-7"), NOW);
     for _ in 0..2 {
         for row in rows(&left) {
             right.merge(row, true, NOW);
@@ -123,7 +123,7 @@
     assert!(!other.is_held_back(&one));
     // What ends after that counts anew.
     for name in ["i-7", "i-8", "i-9"] {
-        other.ended(one, end(name), NOW);
+        other.record_end(one, end(name), NOW);
     }
     assert!(other.is_held_back(&one));
 }
@@ -133,20 +133,20 @@
     let one = fingerprint("shop", "body");
     let mut here = book(one, 3);
     let mut there = Book::default();
-    let mut told = Told::default();
+    let mut told = Cursor::default();
     let mut now = NOW;
     for _ in 0..100 {
         now += Duration::from_secs(20);
-        here.came(&one, now);
-        for row in here.news(&mut told, Part::Own) {
+        here.record_arrival(&one, now);
+        for row in here.updates(&mut told, Scope::Local) {
             there.merge(row, false, now);
         }
         // Another request, so that old ones are looked for.
-        there.ended(fingerprint("shop", "other"), end("i-1"), now);
+        there.record_end(fingerprint("shop", "other"), end("i-1"), now);
         assert!(there.is_held_back(&one));
     }
-    now += REMEMBERED;
-    there.ended(fingerprint("shop", "other"), end("i-2"), now);
+    now += RETENTION;
+    there.record_end(fingerprint("shop", "other"), end("i-2"), now);
     assert!(!there.is_held_back(&one));
 }
 
@@ -158,9 +158,9 @@
         let now = NOW + Duration::from_millis(i);
         let flood = fingerprint("attacker", &i.to_string());
         for n in 0..=(i % 3) {
-            book.ended(flood, end(&format!("f-{i}-{n}")), now);
+            book.record_end(flood, end(&format!("f-{i}-{n}")), now);
         }
-        book.came(&one, now);
+        book.record_arrival(&one, now);
     }
     let (known, held_back) = book.counts();
     assert!(known <= 4096 + 1024, "{known}");
@@ -171,7 +171,7 @@
 /// Three zones with a hub each, and a box at each hub.
 struct Zones {
     hubs: Vec<Hub>,
-    boxes: Vec<(Book, Told, bool)>,
+    boxes: Vec<(Book, Cursor, bool)>,
     now: Duration,
 }
 
@@ -180,7 +180,7 @@
         Self {
             hubs: (0..3).map(|_| Hub::default()).collect(),
             boxes: (0..3)
-                .map(|_| (Book::default(), Told::default(), true))
+                .map(|_| (Book::default(), Cursor::default(), true))
                 .collect(),
             now: NOW,
         }
@@ -196,13 +196,13 @@
         let now = self.now;
         for (i, (book, told, anew)) in self.boxes.iter_mut().enumerate() {
             let name = format!("e{i}").parse().unwrap();
-            let news = News {
-                crashes: book.news(told, Part::Own),
-                ..News::default()
+            let news = Update {
+                crashes: book.updates(told, Scope::Local),
+                ..Update::default()
             };
             let answer = self.hubs[i].exchange(&name, *anew, news, now);
             *anew = false;
-            for row in answer.news.crashes {
+            for row in answer.update.crashes {
                 book.merge(row, false, now);
             }
         }
@@ -210,13 +210,13 @@
             for to in (0..3).filter(|to| *to != from) {
                 let (a, b) = (Self::hub_name(from), Self::hub_name(to));
                 if !up(from, to) {
-                    self.hubs[from].unlink(&b);
+                    self.hubs[from].forget_sent(&b);
                     continue;
                 }
-                let mut news = self.hubs[from].news_for(&b, false, now);
-                if !self.hubs[to].take(&a, false, news, now) {
-                    news = self.hubs[from].news_for(&b, true, now);
-                    self.hubs[to].take(&a, true, news, now);
+                let mut news = self.hubs[from].update_for(&b, false, now);
+                if !self.hubs[to].apply(&a, false, news, now) {
+                    news = self.hubs[from].update_for(&b, true, now);
+                    self.hubs[to].apply(&a, true, news, now);
                 }
             }
         }
@@ -235,7 +235,9 @@
     zones.round(|_, _| true);
     for i in 0..3 {
         let now = zones.now;
-        zones.boxes[i].0.ended(one, end(&format!("i-{i}")), now);
+        zones.boxes[i]
+            .0
+            .record_end(one, end(&format!("i-{i}")), now);
     }
     // Told, passed on and heard: three rounds of a tenth of a second.
     for _ in 0..3 {
@@ -252,7 +254,9 @@
     let cut = |from: usize, to: usize| from != 2 && to != 2;
     for i in 0..3 {
         let now = zones.now;
-        zones.boxes[0].0.ended(one, end(&format!("i-{i}")), now);
+        zones.boxes[0]
+            .0
+            .record_end(one, end(&format!("i-{i}")), now);
     }
     for _ in 0..5 {
         zones.round(cut);
@@ -260,10 +264,10 @@
     let held_back = zones.held_back(&one);
     assert_eq!(held_back[..2], [true; 2]);
     assert!(!held_back[2], "it is cut off");
-    zones.boxes[1] = (Book::default(), Told::default(), true);
+    zones.boxes[1] = (Book::default(), Cursor::default(), true);
     // Behind the cut a voter has lost all that it knew, and its box with it.
     zones.hubs[2] = Hub::default();
-    zones.boxes[2] = (Book::default(), Told::default(), true);
+    zones.boxes[2] = (Book::default(), Cursor::default(), true);
     for _ in 0..3 {
         zones.round(|_, _| true);
     }
@@ -276,7 +280,9 @@
     let mut zones = Zones::new();
     for i in 0..3 {
         let now = zones.now;
-        zones.boxes[0].0.ended(one, end(&format!("i-{i}")), now);
+        zones.boxes[0]
+            .0
+            .record_end(one, end(&format!("i-{i}")), now);
     }
     for _ in 0..3 {
         zones.round(|_, _| true);
@@ -285,7 +291,7 @@
         *hub = Hub::default();
     }
     for (_, told, anew) in &mut zones.boxes {
-        (*told, *anew) = (Told::default(), true);
+        (*told, *anew) = (Cursor::default(), true);
     }
     zones.boxes[1].0 = Book::default();
     for _ in 0..3 {
@@ -304,7 +310,7 @@
         let now = zones.now;
         let lost = fingerprint("shop", &i.to_string());
         let endpoint = end(&format!("i-{}", i / 30));
-        zones.boxes[i % 3].0.ended(lost, endpoint, now);
+        zones.boxes[i % 3].0.record_end(lost, endpoint, now);
     }
     for _ in 0..10 {
         zones.round(|_, _| true);
@@ -326,12 +332,12 @@
         ..end_at(name, at)
     };
     for i in 0..30 {
-        book.ended(one, long(&format!("i-{i}"), 7_000 + 20 * i), NOW);
+        book.record_end(one, long(&format!("i-{i}"), 7_000 + 20 * i), NOW);
     }
     assert!(!book.is_held_back(&one));
-    book.ended(one, long("i-40", 11_000), NOW);
+    book.record_end(one, long("i-40", 11_000), NOW);
     assert!(!book.is_held_back(&one), "twice");
-    book.ended(one, long("i-41", 15_000), NOW);
+    book.record_end(one, long("i-41", 15_000), NOW);
     assert!(book.is_held_back(&one), "three times, one after the other");
 }
 
@@ -346,7 +352,7 @@
             ..end_at(&format!("i-{i}"), 7_000 + 3 * i)
         };
         assert!(!book.is_held_back(&one));
-        book.ended(one, end, NOW);
+        book.record_end(one, end, NOW);
     }
     assert!(book.is_held_back(&one));
 }
@@ -361,7 +367,7 @@
     for boxes in [30, 100, 300] {
         let mut hubs: Vec<_> = (0..VOTERS).map(|_| Hub::default()).collect();
         let mut books: Vec<_> = (0..boxes)
-            .map(|_| (Book::default(), Told::default()))
+            .map(|_| (Book::default(), Cursor::default()))
             .collect();
         let (mut box_bytes, mut voter_bytes) = (vec![0; boxes], [0; VOTERS]);
         let size = |rows: &Vec<Row>| serde_json::to_string(rows).unwrap().len();
@@ -374,23 +380,23 @@
                 let number = RUNNING * (round + 1) + i - again;
                 let one = fingerprint("shop", &number.to_string());
                 let book = &mut books[number % boxes].0;
-                book.ended(one, end_at(&format!("i-{round}"), at), now);
+                book.record_end(one, end_at(&format!("i-{round}"), at), now);
             }
             // Boxes tell, voters tell each other, boxes hear.
             for step in 0..2 {
                 for (i, (book, told)) in books.iter_mut().enumerate() {
-                    let crashes = book.news(told, Part::Own);
+                    let crashes = book.updates(told, Scope::Local);
                     box_bytes[i] += size(&crashes);
-                    let news = News {
+                    let news = Update {
                         crashes,
-                        ..News::default()
+                        ..Update::default()
                     };
                     let name = format!("e{i}").parse().unwrap();
                     let anew = round == 0 && step == 0;
                     let hub = i % VOTERS;
                     let answer = hubs[hub].exchange(&name, anew, news, now);
-                    voter_bytes[hub] += size(&answer.news.crashes);
-                    for row in answer.news.crashes {
+                    voter_bytes[hub] += size(&answer.update.crashes);
+                    for row in answer.update.crashes {
                         book.merge(row, false, now);
                     }
                 }
@@ -398,9 +404,9 @@
                     for to in (0..VOTERS).filter(|to| *to != from) {
                         let (a, b) = (Zones::hub_name(from), Zones::hub_name(to));
                         let anew = round == 0 && step == 0;
-                        let news = hubs[from].news_for(&b, anew, now);
+                        let news = hubs[from].update_for(&b, anew, now);
                         voter_bytes[from] += size(&news.crashes);
-                        hubs[to].take(&a, anew, news, now);
+                        hubs[to].apply(&a, anew, news, now);
                     }
                 }
             }
@@ -433,23 +439,23 @@
         ("i-2", 11_508, 60),
         ("i-0", 11_510, 60),
     ] {
-        book.ended(ends_them, at(endpoint, at_ms, ran_ms), NOW);
+        book.record_end(ends_them, at(endpoint, at_ms, ran_ms), NOW);
     }
     for (endpoint, at_ms, ran_ms) in [("i-0", 10_719, 8), ("i-2", 11_508, 3), ("i-0", 11_510, 2)] {
-        book.ended(harmless, at(endpoint, at_ms, ran_ms), NOW);
+        book.record_end(harmless, at(endpoint, at_ms, ran_ms), NOW);
     }
     assert!(book.is_held_back(&ends_them));
     assert!(!book.is_held_back(&harmless));
     assert_eq!(book.held_back().count(), 1);
     assert_eq!(book.counts(), (2, 1));
     // An end without the other one tells that it does it by itself.
-    book.ended(harmless, at("i-7", 20_000, 50), NOW);
+    book.record_end(harmless, at("i-7", 20_000, 50), NOW);
     assert!(book.is_held_back(&harmless));
     // Two that were always there together can't be told apart, and both are held back.
     let mut both = Book::default();
     for endpoint in ["i-1", "i-2", "i-3"] {
-        both.ended(ends_them, end(endpoint), NOW);
-        both.ended(harmless, end(endpoint), NOW);
+        both.record_end(ends_them, end(endpoint), NOW);
+        both.record_end(harmless, end(endpoint), NOW);
     }
     assert!(both.is_held_back(&ends_them) && both.is_held_back(&harmless));
 }
@@ -468,11 +474,11 @@
                 continue;
             }
             let at = 7_000 + 330 * arrival + 100 * i as u64;
-            book.ended(one, end_at(endpoint, at), NOW);
+            book.record_end(one, end_at(endpoint, at), NOW);
             ended += 1;
         }
     }
-    assert_eq!(ended, MOST_ENDS);
+    assert_eq!(ended, ENDS_TO_HOLD_BACK);
 }
 
 /// Two boxes see one end on both sides of a moment at which its name changes. It stays one end, and
@@ -483,15 +489,15 @@
     let mut book = Book::default();
     for (i, at) in [7_000, 8_000, 9_000].into_iter().enumerate() {
         let endpoint = format!("i-{i}");
-        book.ended(ends, end_at(&endpoint, at), NOW);
-        book.ended(beside, end_at(&endpoint, at - 1), NOW);
+        book.record_end(ends, end_at(&endpoint, at), NOW);
+        book.record_end(beside, end_at(&endpoint, at - 1), NOW);
         if i == 0 {
             // The other box had sent it there too.
-            book.ended(ends, end_at(&endpoint, at - 1), NOW);
+            book.record_end(ends, end_at(&endpoint, at - 1), NOW);
         }
         assert_eq!(book.is_held_back(&ends), i == 2);
     }
-    book.ended(ends, end_at("i-3", 10_000), NOW);
+    book.record_end(ends, end_at("i-3", 10_000), NOW);
     assert!(book.is_held_back(&ends));
     assert!(!book.is_held_back(&beside));
 }
--- a/tests/testsuite/dispatch_large.rs
+++ b/tests/testsuite/dispatch_large.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use scalewood::core::{
-    dispatch::{Dispatcher, Input, Settings, Spec, Standing},
+    dispatch::{Admission, Dispatcher, Input, Settings, Spec},
     load::{Load, Loaded},
     name, unit,
 };
@@ -19,12 +19,12 @@
         name: endpoint(number),
         slots: 4,
         leaving: false,
-        away: false,
-        place: number as usize,
+        in_other_zone: false,
+        rank: number as usize,
         zone: "z".parse().unwrap(),
         slow: false,
         memory: Some(unit::Tokens(1000)),
-        standing: Standing::default(),
+        admission: Admission::default(),
     }
 }
 
@@ -58,7 +58,7 @@
             specs.insert(number + 1, leaving.clone());
             specs.insert(endpoints + number, started.clone());
             let gone = left.into_iter().collect();
-            let changed = Input::Changed(vec![leaving, started], gone);
+            let changed = Input::EndpointsChanged(vec![leaving, started], gone);
             by_changes.step(changed, NOW);
             by_changes.step(Input::Tick, NOW);
         }
@@ -81,10 +81,16 @@
         },
     };
     let mut dispatcher = dispatcher(2);
-    dispatcher.step(Input::Others(Some(BTreeMap::new())), NOW);
-    dispatcher.step(Input::OthersChanged(vec![loaded(7, 4), loaded(8, 2)]), NOW);
-    dispatcher.step(Input::OthersChanged(vec![loaded(8, 0)]), NOW);
-    dispatcher.step(Input::Changed(vec![spec(7), spec(8)], Vec::new()), NOW);
+    dispatcher.step(Input::OtherLoads(Some(BTreeMap::new())), NOW);
+    dispatcher.step(
+        Input::OtherLoadsChanged(vec![loaded(7, 4), loaded(8, 2)]),
+        NOW,
+    );
+    dispatcher.step(Input::OtherLoadsChanged(vec![loaded(8, 0)]), NOW);
+    dispatcher.step(
+        Input::EndpointsChanged(vec![spec(7), spec(8)], Vec::new()),
+        NOW,
+    );
     let views = dispatcher.endpoints().into_iter();
     let others: BTreeMap<_, _> = views.map(|view| (view.name, view.others)).collect();
     assert_eq!(others[&endpoint(7)], 4);
--- a/tests/testsuite/feed.rs
+++ b/tests/testsuite/feed.rs
@@ -6,7 +6,7 @@
 use scalewood::{
     board::feed::Feed,
     core::{
-        change::{Edit, Item, Step, What},
+        change::{Delta, Edit, Item, Step},
         config, route, unit,
     },
 };
@@ -19,7 +19,7 @@
 }
 
 fn step(revision: u64, edit: Edit) -> Step {
-    Step::of_edits(unit::Revision(revision), vec![edit])
+    Step::from_edits(unit::Revision(revision), vec![edit])
 }
 
 fn document(names: &[&str]) -> Arc<config::Document> {
@@ -106,7 +106,7 @@
     let [step] = steps.as_slice() else {
         panic!("one step: {steps:?}");
     };
-    let What::Routing(difference) = &step.what else {
+    let Delta::Routing(difference) = &step.what else {
         panic!("the routing differs: {step:?}");
     };
     assert_eq!(difference.len(), 3, "r2 changed, r3 went, r4 is new");
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -202,9 +202,9 @@
 fn at_rest(voters: u16) -> Catchup {
     let mut catchup = Catchup::default();
     for i in 1..=voters {
-        catchup.told(at(i), unit::Revision(1), i == 1, START);
+        catchup.record_announced(at(i), unit::Revision(1), i == 1, START);
     }
-    assert!(catchup.reached(unit::Revision(1)));
+    assert!(catchup.record_applied(unit::Revision(1)));
     catchup
 }
 
@@ -225,7 +225,7 @@
 fn voters_are_asked_beside_those_that_do_not_answer() {
     let mut catchup = at_rest(5);
     for i in 1..=5 {
-        catchup.told(at(i), unit::Revision(2), i == 1, START);
+        catchup.record_announced(at(i), unit::Revision(2), i == 1, START);
     }
     let asked = asks(&mut catchup, Duration::from_secs(3));
     assert_eq!(
@@ -238,10 +238,10 @@
 #[test]
 fn a_voter_of_another_zone_waits_for_the_one_of_this_zone() {
     let mut catchup = at_rest(3);
-    catchup.told(at(2), unit::Revision(2), false, START);
+    catchup.record_announced(at(2), unit::Revision(2), false, START);
     assert_eq!(catchup.next(START), None);
     assert_eq!(catchup.due(START), Some(START + Duration::from_millis(250)));
-    catchup.told(at(1), unit::Revision(2), true, START + STEP);
+    catchup.record_announced(at(1), unit::Revision(2), true, START + STEP);
     assert_eq!(catchup.next(START + STEP), Some(at(1)));
 }
 
@@ -249,14 +249,14 @@
 fn a_voter_that_fails_is_left_alone_and_the_next_one_asked_at_once() {
     let mut catchup = at_rest(3);
     for i in 1..=3 {
-        catchup.told(at(i), unit::Revision(2), false, START);
+        catchup.record_announced(at(i), unit::Revision(2), false, START);
     }
     let now = START + Duration::from_millis(250);
     for i in 1..=3 {
         // None of this zone has it; the others are asked after a moment.
         assert_eq!(catchup.next(now), Some(at(i)));
         assert_eq!(catchup.next(now), None, "one at first");
-        catchup.answered(at(i), false, now);
+        catchup.record_answer(at(i), false, now);
     }
     assert_eq!(catchup.next(now), None);
     let again = now + Duration::from_millis(500);
@@ -267,12 +267,12 @@
 #[test]
 fn a_box_is_behind_since_a_voter_told_of_what_it_has_not() {
     let mut catchup = at_rest(2);
-    assert_eq!(catchup.behind(START + STEP), Duration::ZERO);
-    catchup.told(at(1), unit::Revision(2), true, START);
-    catchup.told(at(2), unit::Revision(3), false, START + STEP);
-    assert_eq!(catchup.behind(START + 3 * STEP), 3 * STEP);
-    assert!(!catchup.reached(unit::Revision(2)));
-    assert_eq!(catchup.behind(START + 3 * STEP), 2 * STEP, "for the third");
-    catchup.lost(at(2));
-    assert_eq!(catchup.behind(START + 3 * STEP), Duration::ZERO);
+    assert_eq!(catchup.lag(START + STEP), Duration::ZERO);
+    catchup.record_announced(at(1), unit::Revision(2), true, START);
+    catchup.record_announced(at(2), unit::Revision(3), false, START + STEP);
+    assert_eq!(catchup.lag(START + 3 * STEP), 3 * STEP);
+    assert!(!catchup.record_applied(unit::Revision(2)));
+    assert_eq!(catchup.lag(START + 3 * STEP), 2 * STEP, "for the third");
+    catchup.remove_voter(at(2));
+    assert_eq!(catchup.lag(START + 3 * STEP), Duration::ZERO);
 }
