--- a/tests/testsuite/incarnation.rs
+++ b/tests/testsuite/incarnation.rs
@@ -5,7 +5,7 @@
 
 use scalewood::{
     core::{
-        load::{Count, Hub, News, Outcome, Placement},
+        load::{Count, Hub, Outcome, Placement, Update},
         name, pace,
         prompt::Prefix,
         registry::{Ended, Merged, Record, Registry, State},
@@ -82,7 +82,7 @@
 fn a_start_that_has_gone_stays_gone_and_a_later_one_is_used() {
     let mut registry = Registry::default();
     registry.merge(record("i", 5, 40), START);
-    assert!(registry.leave(&named("i")).is_news());
+    assert!(registry.leave(&named("i")).must_propagate());
     assert_eq!(registry.merge(record("i", 5, 41), START), Merged::Nothing);
     assert_eq!(registry.merge(record("i", 4, 90), START), Merged::Nothing);
     // Without an incarnation it is one of before.
@@ -91,7 +91,7 @@
     // Its leave is told once more, by a voter that heard it late.
     assert_eq!(registry.end(&named("i"), start(5)), Merged::Nothing);
     assert_eq!(used(&registry), uses([("i", 9)]));
-    assert!(registry.end(&named("i"), start(9)).is_news());
+    assert!(registry.end(&named("i"), start(9)).must_propagate());
     assert_eq!(used(&registry), uses([]));
 }
 
@@ -99,13 +99,13 @@
 fn the_leave_of_an_earlier_start_that_was_not_heard_of_does_not_end_a_later_one() {
     let mut registry = Registry::default();
     registry.merge(record("i", 9, 1), START);
-    assert!(registry.end(&named("i"), start(5)).is_news());
+    assert!(registry.end(&named("i"), start(5)).must_propagate());
     assert!(registry.end(&named("i"), None) == Merged::Nothing);
     assert_eq!(used(&registry), uses([("i", 9)]));
     // Nor one that tells no start.
     let mut other = Registry::default();
     other.merge(record("i", 9, 1), START);
-    assert!(other.end(&named("i"), None).is_news());
+    assert!(other.end(&named("i"), None).must_propagate());
     assert_eq!(used(&other), uses([("i", 9)]));
 }
 
@@ -128,22 +128,26 @@
     let mut voter = Registry::default();
     voter.merge(record("other", 1, 1), START);
     let stamp = voter.stamp();
-    assert!(voter.leave(&named("i")).is_news());
+    assert!(voter.leave(&named("i")).must_propagate());
     assert_eq!(voter.gone_since(stamp), [named("i")]);
-    assert_eq!(voter.left_since(stamp), [named("i")]);
+    assert_eq!(voter.left_without_start_since(stamp), [named("i")]);
     assert_eq!(voter.ended_since(stamp), []);
     // A box has heard of it from another voter.
     let mut heard = Registry::default();
     heard.merge(record("i", 5, 40), START);
-    let news = heard.take_ends(&voter.gone_since(stamp), &[], &voter.left_since(stamp));
+    let news = heard.apply_ends(
+        &voter.gone_since(stamp),
+        &[],
+        &voter.left_without_start_since(stamp),
+    );
     assert_eq!(news, [named("i")]);
     assert_eq!(used(&heard), uses([]));
     assert_eq!(heard.merge(record("i", 5, 41), START), Merged::Nothing);
-    assert!(heard.merge(record("i", 9, 1), START).is_news());
+    assert!(heard.merge(record("i", 9, 1), START).must_propagate());
     // A box that follows only now isn't told of a leave of long ago.
     let mut new = Registry::default();
     new.merge(record("i", 9, 1), START);
-    new.take_ends(&voter.gone_since(0), &voter.ended_since(0), &[]);
+    new.apply_ends(&voter.gone_since(0), &voter.ended_since(0), &[]);
     assert_eq!(used(&new), uses([("i", 9)]));
 }
 
@@ -153,7 +157,7 @@
     voter.merge(record("i", 9, 30), START);
     voter.expire(START + Duration::from_secs(60));
     let stamp = voter.stamp();
-    assert!(voter.leave(&named("i")).is_news());
+    assert!(voter.leave(&named("i")).must_propagate());
     let ended = Ended {
         name: named("i"),
         incarnation: unit::Incarnation(9),
@@ -162,7 +166,7 @@
     assert_eq!(told, [ended]);
     let mut heard = Registry::default();
     heard.merge(record("i", 9, 31), START);
-    heard.take_ends(&[], &told, &[]);
+    heard.apply_ends(&[], &told, &[]);
     assert_eq!(used(&heard), uses([]));
 }
 
@@ -208,10 +212,14 @@
 fn an_endpoint_that_flaps_is_used_by_its_last_start() {
     let mut registry = Registry::default();
     for incarnation in 1..=20 {
-        assert!(registry.merge(record("i", incarnation, 1), START).is_news());
+        assert!(registry
+            .merge(record("i", incarnation, 1), START)
+            .must_propagate());
         registry.merge(record("i", incarnation, 2), START);
         if incarnation % 2 == 0 {
-            assert!(registry.end(&named("i"), start(incarnation)).is_news());
+            assert!(registry
+                .end(&named("i"), start(incarnation))
+                .must_propagate());
         }
         let late = registry.merge(record("i", incarnation - 1, 99), START);
         assert_eq!(late, Merged::Nothing, "start {incarnation}");
@@ -248,12 +256,12 @@
 }
 
 /// One failure: a box that meets many and nothing else counts as cut off itself.
-fn outcome() -> News {
+fn outcome() -> Update {
     let count = Count {
         answered: 0,
         failed: 1,
     };
-    News {
+    Update {
         outcomes: vec![Outcome {
             endpoint: named("i"),
             count,
@@ -262,7 +270,7 @@
             prefix: Prefix(7),
             endpoint: named("i"),
         }],
-        ..News::default()
+        ..Update::default()
     }
 }
 
@@ -270,15 +278,15 @@
 fn a_hub_ends_what_it_believes_of_an_earlier_start() {
     let mut hub = Hub::default();
     let (one, other): (name::Box, name::Box) = ("e1".parse().unwrap(), "e2".parse().unwrap());
-    hub.exchange(&other, true, News::default(), START);
-    let told = hub.exchange(&one, true, outcome(), START).news;
+    hub.exchange(&other, true, Update::default(), START);
+    let told = hub.exchange(&one, true, outcome(), START).update;
     assert_eq!(told.risks.len(), 1);
     hub.restarted(&named("i"));
-    let heard = hub.exchange(&other, false, News::default(), START).news;
+    let heard = hub.exchange(&other, false, Update::default(), START).update;
     assert!(heard.risks.is_empty(), "{heard:?}");
     assert!(heard.placements.is_empty(), "{heard:?}");
     // Who was told of the risk is told that it has ended.
-    let heard = hub.exchange(&one, false, News::default(), START).news;
+    let heard = hub.exchange(&one, false, Update::default(), START).update;
     assert_eq!(heard.risks.len(), 1);
     assert_eq!(heard.risks[0].chance.0, 0);
 }
--- a/tests/testsuite/journal.rs
+++ b/tests/testsuite/journal.rs
@@ -9,7 +9,7 @@
 
 use rand::Rng as _;
 use scalewood::{
-    core::agree::{Entry, Identity, Index, Kept, Node, Payload, Snapshot, Term, Write},
+    core::raft::{Entry, Identity, Index, Node, Payload, Persisted, Snapshot, Term, Write},
     store::{
         identity,
         journal::{Error, Journal, Keeper},
@@ -93,7 +93,7 @@
     }
 }
 
-fn same(left: &Kept<Trail>, right: &Kept<Trail>) -> bool {
+fn same(left: &Persisted<Trail>, right: &Persisted<Trail>) -> bool {
     left.entries == right.entries
         && (left.term, &left.voted) == (right.term, &right.voted)
         && left.snapshot.index == right.snapshot.index
@@ -125,7 +125,7 @@
 }
 
 /// The writes of a step, as a voter would make them.
-fn writes(step: Step, kept: &Kept<Trail>) -> Vec<Write<Trail>> {
+fn writes(step: Step, kept: &Persisted<Trail>) -> Vec<Write<Trail>> {
     let first = kept.snapshot.index.0 + 1;
     let last = kept.entries.last().map_or(first - 1, |entry| entry.index.0);
     match step {
@@ -166,7 +166,7 @@
 fn what_was_acknowledged_outlives_losses_of_power() {
     runs(300, schedule, |_, steps| {
         let media = Memory::default();
-        let kept = Kept::<Trail>::default();
+        let kept = Persisted::<Trail>::default();
         Journal::create(media.clone(), kept.clone()).unwrap();
         let mut keeper = reopen(&media);
         let mut acknowledged = kept;
@@ -207,7 +207,7 @@
 #[test]
 fn damage_before_the_end_is_an_error_wherever_it_is() {
     let media = Memory::default();
-    let kept = Kept::<Trail>::default();
+    let kept = Persisted::<Trail>::default();
     Journal::create(media.clone(), kept.clone()).unwrap();
     let mut keeper = reopen(&media);
     for i in 0..5 {
@@ -227,7 +227,7 @@
         damaged[at] ^= 0x20;
         media.clone().replace("journal", &damaged).unwrap();
         let opened = Journal::open::<Trail>(media.clone());
-        let lost = |kept: &Kept<Trail>| kept.entries.len() < 5;
+        let lost = |kept: &Persisted<Trail>| kept.entries.len() < 5;
         match opened {
             Err(Error::Damaged(_)) => {}
             Ok(opened) => assert!(
--- a/tests/testsuite/load.rs
+++ b/tests/testsuite/load.rs
@@ -5,7 +5,8 @@
 use scalewood::core::{
     dispatch::Prefix,
     load::{
-        difference, merge, Count, Hub, Load, Loaded, Loads, News, Outcome, Placement, Prompts, Risk,
+        difference, merge, Count, Hub, Load, Loaded, Loads, Outcome, Placement, Prompts, Risk,
+        Update,
     },
     name,
 };
@@ -14,8 +15,8 @@
 
 fn load(unread: u64, running: u32) -> Load {
     Load {
-        unread,
-        held: unread,
+        pending_prefill: unread,
+        cached: unread,
         running,
         ..Load::default()
     }
@@ -36,11 +37,11 @@
     loads: Vec<Loaded>,
     now: Duration,
 ) -> Vec<Loaded> {
-    let told = News {
+    let told = Update {
         loads,
-        ..News::default()
+        ..Update::default()
     };
-    hub.exchange(from, anew, told, now).news.loads
+    hub.exchange(from, anew, told, now).update.loads
 }
 
 fn box_name(text: &str) -> name::Box {
@@ -139,11 +140,11 @@
         endpoint: "a".parse().unwrap(),
     };
     let mut exchange = |from: &name::Box, anew, placements: Vec<u64>| {
-        let told = News {
+        let told = Update {
             placements: placements.into_iter().map(placement).collect(),
-            ..News::default()
+            ..Update::default()
         };
-        let heard = hub.exchange(from, anew, told, START).news.placements;
+        let heard = hub.exchange(from, anew, told, START).update.placements;
         heard.iter().map(|p| p.prefix.0).collect::<Vec<_>>()
     };
     assert!(exchange(&one, true, vec![1, 2]).is_empty(), "its own");
@@ -216,8 +217,11 @@
 
 /// One hub tells another its news.
 fn pass(from: &mut Hub, name: &str, to: &mut Hub, peer: &str, anew: bool, now: Duration) {
-    let news = from.news_for(&box_name(peer), anew, now);
-    assert!(to.take(&box_name(name), anew, news, now), "{name} is known");
+    let news = from.update_for(&box_name(peer), anew, now);
+    assert!(
+        to.apply(&box_name(name), anew, news, now),
+        "{name} is known"
+    );
 }
 
 #[test]
@@ -233,7 +237,7 @@
     pass(&mut near, "c1", &mut far, "c2", false, START);
     let heard = exchange(&mut far, &other, false, Vec::new(), START);
     assert_eq!(heard, [loaded("a", load(9000, 9))]);
-    let back = far.news_for(&box_name("c1"), false, START);
+    let back = far.update_for(&box_name("c1"), false, START);
     assert!(back.is_empty(), "only own boxes are told of: {back:?}");
 }
 
@@ -252,9 +256,9 @@
     let later = START + Duration::from_millis(800);
     let heard = exchange(&mut far, &other, false, Vec::new(), later);
     assert_eq!(heard, [loaded("a", Load::default())]);
-    let changes = near.news_for(&box_name("c2"), false, later);
+    let changes = near.update_for(&box_name("c2"), false, later);
     assert!(
-        !far.take(&box_name("c1"), false, changes, later),
+        !far.apply(&box_name("c1"), false, changes, later),
         "differences mean nothing to a hub that has forgotten the rest"
     );
     exchange(&mut near, &one, false, Vec::new(), later);
@@ -276,17 +280,20 @@
         endpoint: endpoint.parse().unwrap(),
         count: Count { answered, failed },
     };
-    let told = News {
+    let told = Update {
         outcomes: vec![outcome],
-        ..News::default()
+        ..Update::default()
     };
-    let heard = hub.exchange(from, false, told, now).news.risks;
+    let heard = hub.exchange(from, false, told, now).update.risks;
     let risk = |risk: Risk| (risk.endpoint.to_string(), risk.chance.0);
     heard.into_iter().map(risk).collect()
 }
 
 fn risks(hub: &mut Hub, from: &name::Box, now: Duration) -> Vec<(String, u16)> {
-    let heard = hub.exchange(from, false, News::default(), now).news.risks;
+    let heard = hub
+        .exchange(from, false, Update::default(), now)
+        .update
+        .risks;
     let risk = |risk: Risk| (risk.endpoint.to_string(), risk.chance.0);
     heard.into_iter().map(risk).collect()
 }
@@ -357,12 +364,12 @@
         count,
         tokens,
     };
-    let tell = |prompts| News {
+    let tell = |prompts| Update {
         prompts,
-        ..News::default()
+        ..Update::default()
     };
     let told = tell(vec![seen("report", 2, 24_000), seen("question", 10, 8000)]);
-    let heard = near.exchange(&one, false, told, START).news.prompts;
+    let heard = near.exchange(&one, false, told, START).update.prompts;
     assert_eq!(
         heard.len(),
         2,
@@ -370,8 +377,8 @@
     );
     pass(&mut near, "c1", &mut far, "c2", false, START);
     let heard = far
-        .exchange(&other, false, News::default(), START)
-        .news
+        .exchange(&other, false, Update::default(), START)
+        .update
         .prompts;
     assert_eq!(
         heard,
@@ -381,11 +388,11 @@
     let little = tell(vec![seen("question", 1, 900)]);
     assert!(far
         .exchange(&other, false, little, START)
-        .news
+        .update
         .prompts
         .is_empty());
     let much = tell(vec![seen("report", 2, 48_000)]);
-    let heard = far.exchange(&other, false, much, START).news.prompts;
+    let heard = far.exchange(&other, false, much, START).update.prompts;
     assert_eq!(heard, [seen("report", 4, 72_000)]);
 }
 
@@ -411,9 +418,13 @@
         }
         messages += 1;
         assert!(heard.len() <= MOST, "{} rows", heard.len());
-        let most = heard.iter().map(|loaded| loaded.load.unread).max();
+        let most = heard.iter().map(|loaded| loaded.load.pending_prefill).max();
         assert!(most.unwrap() <= least, "what changed more was left behind");
-        least = heard.iter().map(|loaded| loaded.load.unread).min().unwrap();
+        least = heard
+            .iter()
+            .map(|loaded| loaded.load.pending_prefill)
+            .min()
+            .unwrap();
         merge(&mut known, heard);
     }
     assert_eq!(messages, ENDPOINTS.div_ceil(MOST as u64));
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -10,7 +10,7 @@
 
 use scalewood::core::{
     dispatch::{Ask, Dispatcher, End, Input, Order, Reason, Report},
-    load::{Bound, Hub, Load, News},
+    load::{Bound, Hub, Load, Update},
     name, unit,
 };
 
@@ -31,11 +31,11 @@
     let mut dispatcher = dispatcher();
     // Everywhere stands what takes two seconds to read.
     let busy = Load {
-        unread: 2_000 * READ_PER_MS,
+        pending_prefill: 2_000 * READ_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
-    dispatcher.step(Input::Others(Some(everywhere.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(everywhere.collect())), START);
     let urgent = |request| Ask {
         patience: Some(Duration::from_secs(1)),
         ..ask(request, "short", request)
@@ -89,24 +89,24 @@
     /// Sets how long what stands at all endpoints takes to be read, as a box sees it.
     fn burden(&mut self, place: usize, millis: u64, now: Duration) {
         let busy = Load {
-            unread: millis * READ_PER_MS,
+            pending_prefill: millis * READ_PER_MS,
             ..Load::default()
         };
         let everywhere = (0..ENDPOINTS).map(|at| (format!("i-{at}").parse().unwrap(), busy));
-        let everywhere = Input::Others(Some(everywhere.collect()));
+        let everywhere = Input::OtherLoads(Some(everywhere.collect()));
         self.dispatchers[place].step(everywhere, now);
     }
 
     /// Tells of refusals what a box tells in an exchange, and takes what it hears.
     fn exchange(&mut self, place: usize, now: Duration) {
         let dispatcher = &mut self.dispatchers[place];
-        let mut told = News::default();
+        let mut told = Update::default();
         for (class, counts) in dispatcher.take_counts() {
-            told.count(&service(), &class, counts);
+            told.add_counts(&service(), &class, counts);
         }
         let name = format!("e{place}").parse().unwrap();
         let heard = self.hubs[place % 2].exchange(&name, false, told, now);
-        let bounds = heard.news.bounds;
+        let bounds = heard.update.bounds;
         assert!(bounds.iter().all(|bound| bound.service == service()));
         dispatcher.step(Input::Bounds(bounds), now);
     }
@@ -114,8 +114,8 @@
     fn share(&mut self, now: Duration) {
         for (from, to) in [(0, 1), (1, 0)] {
             let anew = now == START;
-            let news = self.hubs[from].news_for(&hub_name(to), anew, now);
-            assert!(self.hubs[to].take(&hub_name(from), anew, news, now));
+            let news = self.hubs[from].update_for(&hub_name(to), anew, now);
+            assert!(self.hubs[to].apply(&hub_name(from), anew, news, now));
         }
     }
 
--- a/tests/testsuite/pace.rs
+++ b/tests/testsuite/pace.rs
@@ -7,7 +7,7 @@
     core::{
         dispatch::Input,
         name,
-        pace::{grade, Meter, Meters, Pace, Paced, Reports, Stream},
+        pace::{classify, Meter, Meters, Pace, Paced, Reports, Sampler},
         region,
         registry::{Record, Registry, State},
         unit,
@@ -20,12 +20,12 @@
 /// Feeds a meter with a stream whose events come `steady` apart, and every fifth group of
 /// them `stalled` apart, as beside a prompt that is being read.
 fn measure(meter: &mut Meter, steady: Duration, stalled: Duration, events: u32) {
-    let mut stream = Stream::default();
+    let mut stream = Sampler::default();
     let mut now = START;
     for number in 0..events {
         let busy = number / 8 % 5 == 0;
         now += if busy { stalled } else { steady };
-        if let Some(pace) = stream.event(now) {
+        if let Some(pace) = stream.record_event(now) {
             meter.observe(pace, now);
         }
     }
@@ -42,12 +42,12 @@
 #[test]
 fn events_that_arrive_together_do_not_make_an_endpoint_fast() {
     let mut meter = Meter::default();
-    let mut stream = Stream::default();
+    let mut stream = Sampler::default();
     let mut now = START;
     for number in 0..400 {
         // Events leave 20 ms apart and arrive in pairs.
         now += Duration::from_millis(if number % 2 == 0 { 40 } else { 0 });
-        if let Some(pace) = stream.event(now) {
+        if let Some(pace) = stream.record_event(now) {
             meter.observe(pace, now);
         }
     }
@@ -59,26 +59,26 @@
     let mut reports = Reports::default();
     let box_name = |n: u32| -> name::Box { format!("e{n}").parse().unwrap() };
     for n in 0..4 {
-        reports.take(box_name(n), Pace(20_000 + n));
+        reports.record(box_name(n), Pace(20_000 + n));
     }
-    assert_eq!(reports.take(box_name(9), Pace(3)), Pace(20_001));
+    assert_eq!(reports.record(box_name(9), Pace(3)), Pace(20_001));
 }
 
 #[test]
 fn slow_endpoints_are_told_from_busy_ones_and_the_verdict_does_not_flap() {
     let paces = [19_400, 19_900, 20_800, 25_300];
     let mut graded: Vec<_> = paces.iter().map(|p| (Some(Pace(*p)), false)).collect();
-    grade(&mut graded);
+    classify(&mut graded);
     let slow: Vec<_> = graded.iter().map(|(_, slow)| *slow).collect();
     assert_eq!(slow, [false, false, false, true]);
     graded[3].0 = Some(Pace(22_300));
-    grade(&mut graded);
+    classify(&mut graded);
     assert!(graded[3].1, "a little better is not enough");
     graded[3].0 = Some(Pace(20_000));
-    grade(&mut graded);
+    classify(&mut graded);
     assert!(!graded[3].1);
     let mut few = [(Some(Pace(10)), false), (Some(Pace(90)), false)];
-    grade(&mut few);
+    classify(&mut few);
     assert!(!few[1].1, "two are too few to compare");
 }
 
@@ -107,7 +107,7 @@
         panic!("a configuration is expected");
     };
     let mut specs = specs;
-    specs.sort_by_key(|spec| spec.place);
+    specs.sort_by_key(|spec| spec.rank);
     let specs = specs.iter();
     specs
         .map(|spec| (spec.name.to_string(), spec.slow))
@@ -239,12 +239,12 @@
     for name in ["a", "b", "c"] {
         registry.merge(record(name, "z"), START);
     }
-    let layout = registry.layout();
+    let layout = registry.dispatch_stamp();
     assert!(registry.set_pace(&"a".parse().unwrap(), Pace(1000)));
-    assert_eq!(registry.layout(), layout);
+    assert_eq!(registry.dispatch_stamp(), layout);
     assert!(registry.stamp() > layout, "others hear of the pace");
     registry.leave(&"a".parse().unwrap());
-    assert!(registry.layout() > layout);
+    assert!(registry.dispatch_stamp() > layout);
 }
 
 /// What is compared as paces change one by one ends as if all were compared at once.
@@ -268,17 +268,17 @@
         }
         let pace = Pace(u32::try_from(18_000 + next(9_000)).unwrap());
         let known = paces.get(&name).copied();
-        if pace.is_news(known) {
+        if pace.differs_enough(known) {
             paces.insert(name.clone(), pace);
         }
         registry.set_pace(&parsed, pace);
         registry.regrade();
-        if pace.is_news(known) {
+        if pace.differs_enough(known) {
             let mut graded: Vec<_> = paces
                 .iter()
                 .map(|(name, pace)| (Some(*pace), slow.get(name).copied().unwrap_or(false)))
                 .collect();
-            grade(&mut graded);
+            classify(&mut graded);
             let names = paces.keys().cloned();
             slow = names
                 .zip(graded.into_iter().map(|(_, slow)| slow))
--- a/tests/testsuite/placement.rs
+++ b/tests/testsuite/placement.rs
@@ -32,7 +32,7 @@
     let own: name::Box = "e1".parse().unwrap();
     let (specs, classes) = configuration(slow);
     dispatcher.step(Input::Configure(specs, classes), START);
-    dispatcher.step(Input::Boxes(BTreeSet::from([own.clone()])), START);
+    dispatcher.step(Input::LiveBoxes(BTreeSet::from([own.clone()])), START);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
     dispatcher.step(Input::Report(own, Report::Announced), START);
     dispatcher
@@ -44,12 +44,12 @@
         name: format!("i-{place}").parse().unwrap(),
         slots: 64,
         leaving: false,
-        away: place % 3 != 0,
-        place,
+        in_other_zone: place % 3 != 0,
+        rank: place,
         zone: format!("z{}", place % 3).parse().unwrap(),
         slow: slow.contains(&place),
         memory: Some(unit::Tokens(100_000)),
-        standing: Default::default(),
+        admission: Default::default(),
     });
     let class = config::Class {
         target: Duration::from_millis(250),
@@ -93,7 +93,7 @@
         preemptible: false,
         preempted: 0,
         avoid: None,
-        rests: Vec::new(),
+        backoffs: Vec::new(),
         hold: None,
     }
 }
@@ -161,7 +161,7 @@
 
 /// What the other boxes have at one endpoint.
 fn others(endpoint: &str, load: Load) -> Input {
-    Input::Others(Some(Loads::from([(endpoint.parse().unwrap(), load)])))
+    Input::OtherLoads(Some(Loads::from([(endpoint.parse().unwrap(), load)])))
 }
 
 #[test]
@@ -169,14 +169,14 @@
     let mut dispatcher = dispatcher();
     let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: BORNE + 1000,
+        pending_prefill: BORNE + 1000,
         ..Load::default()
     };
     dispatcher.step(others(&home, busy), START);
     let next = granted(&mut dispatcher, ask(2, "short", 7), true, START);
     assert_ne!(next, home, "others have too much there");
     let calm = Load {
-        unread: BORNE / 2,
+        pending_prefill: BORNE / 2,
         ..Load::default()
     };
     dispatcher.step(others(&home, calm), START);
@@ -186,7 +186,7 @@
     assert_eq!(found, own_home, "another prompt is not moved by it");
     // Where the voters tell nothing any more, only what this box has counts.
     dispatcher.step(others(&next, busy), START);
-    dispatcher.step(Input::Others(None), START);
+    dispatcher.step(Input::OtherLoads(None), START);
     let much_later = START + Duration::from_secs(60);
     assert_eq!(
         granted(&mut dispatcher, ask(4, "short", 7), true, much_later),
@@ -199,7 +199,7 @@
     let (mut one, mut other) = (dispatcher(), dispatcher());
     let home = granted(&mut one, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: BORNE + 1000,
+        pending_prefill: BORNE + 1000,
         ..Load::default()
     };
     one.step(others(&home, busy), START);
@@ -210,9 +210,9 @@
     assert_eq!(places, [home.clone(), next.clone()]);
     assert!(one.take_placements().is_empty(), "it is told once");
     // The other box takes the second place as soon as that is better at all.
-    other.step(Input::Placed(placed), START);
+    other.step(Input::Placements(placed), START);
     let little = Load {
-        unread: 100,
+        pending_prefill: 100,
         ..Load::default()
     };
     other.step(others(&home, little), START);
@@ -224,7 +224,7 @@
         endpoint: "i-8".parse().unwrap(),
     };
     granted(&mut other, ask(4, "long", 100), true, START);
-    other.step(Input::Placed(vec![foreign]), START);
+    other.step(Input::Placements(vec![foreign]), START);
     let found = granted(&mut other, ask(5, "short", 8), true, START);
     assert_ne!(found, "i-8");
 }
@@ -233,7 +233,7 @@
 fn an_endpoint_whose_memory_or_slots_others_fill_is_left() {
     for load in [
         Load {
-            held: 99_000,
+            cached: 99_000,
             ..Load::default()
         },
         Load {
@@ -443,7 +443,7 @@
     let now = START + Duration::from_secs(30);
     let home = granted(&mut dispatcher, ask(1, "short", 7), true, now);
     let busy = Load {
-        unread: BORNE / 2,
+        pending_prefill: BORNE / 2,
         ..Load::default()
     };
     dispatcher.step(others(&home, busy), now);
@@ -457,11 +457,11 @@
     let own: name::Box = "e1".parse().unwrap();
     // Everywhere stands what takes ten seconds to read.
     let busy = Load {
-        unread: 10_000 * READ_PER_MS,
+        pending_prefill: 10_000 * READ_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
-    dispatcher.step(Input::Others(Some(everywhere.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(everywhere.collect())), START);
     let impatient = Ask {
         patience: Some(Duration::from_secs(2)),
         ..ask(1, "short", 7)
@@ -493,11 +493,11 @@
     let mut dispatcher = dispatcher();
     // Everywhere stands what takes one and a half targets to read.
     let busy = Load {
-        unread: 375 * READ_PER_MS,
+        pending_prefill: 375 * READ_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
-    dispatcher.step(Input::Others(Some(everywhere.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(everywhere.collect())), START);
     let orders = |dispatcher: &mut Dispatcher, asked| {
         dispatcher.step(Input::Report(own.clone(), Report::Ask(asked)), START)
     };
@@ -542,14 +542,14 @@
     // Long prompts stay away from where streams run, however much is unread at their own.
     let number = |name: &str| name[2..].parse::<usize>().unwrap();
     let unread = Load {
-        unread: 700 * READ_PER_MS,
+        pending_prefill: 700 * READ_PER_MS,
         ..Load::default()
     };
     let loads = (0..ENDPOINTS).map(|place| {
         let load = if place < 3 { running(20) } else { unread };
         (format!("i-{place}").parse().unwrap(), load)
     });
-    dispatcher.step(Input::Others(Some(loads.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(loads.collect())), START);
     let found = granted(&mut dispatcher, ask(3, "long", 101), false, START);
     assert!(
         number(&found) >= 3,
@@ -557,7 +557,7 @@
     );
     // Where none runs, one may be read.
     let loads = (3..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), unread));
-    dispatcher.step(Input::Others(Some(loads.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(loads.collect())), START);
     let found = granted(&mut dispatcher, ask(4, "long", 102), false, START);
     assert!(
         number(&found) < 3,
@@ -582,12 +582,12 @@
     let full = |unread| {
         let loads = (0..3).map(|place| {
             let load = Load {
-                unread,
+                pending_prefill: unread,
                 ..Load::default()
             };
             (format!("i-{place}").parse().unwrap(), load)
         });
-        Input::Others(Some(loads.collect()))
+        Input::OtherLoads(Some(loads.collect()))
     };
     dispatcher.step(full(10 * BORNE), later);
     for request in 10..30 {
@@ -606,11 +606,11 @@
     let mut dispatcher = dispatcher();
     let least = Duration::from_millis(1000);
     let endpoint: name::Endpoint = "i-4".parse().unwrap();
-    let patience = |dispatcher: &Dispatcher| dispatcher.patience(&endpoint, least, START);
+    let patience = |dispatcher: &Dispatcher| dispatcher.max_silence(&endpoint, least, START);
     assert_eq!(patience(&dispatcher), least, "nothing waits there");
     let load = Load {
-        unread: 40_000,
-        held: 40_000,
+        pending_prefill: 40_000,
+        cached: 40_000,
         running: 9,
         ..Load::default()
     };
@@ -718,7 +718,7 @@
         prefix: Prefix(7),
         endpoint: elsewhere.parse().unwrap(),
     };
-    fresh.step(Input::Placed(vec![placement]), START);
+    fresh.step(Input::Placements(vec![placement]), START);
     let (specs, classes) = configuration(&[]);
     let specs = specs.into_iter().filter(|spec| spec.name.as_str() != gone);
     fresh.step(Input::Configure(specs.collect(), classes), START);
@@ -741,7 +741,7 @@
     let place = |endpoint: String| endpoint[2..].parse::<usize>().unwrap();
     for prefix in 0..40 {
         let mut fresh = dispatcher();
-        fresh.step(Input::Prompts(prompts.clone()), START);
+        fresh.step(Input::PromptSizes(prompts.clone()), START);
         let placed = granted(&mut fresh, ask(1, "short", prefix), true, START);
         assert!(at["short"].contains(&place(placed)), "its first prompt");
         let small = Ask {
@@ -762,7 +762,7 @@
     let mut dispatcher = dispatcher();
     let home = granted(&mut dispatcher, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: BORNE + 1000,
+        pending_prefill: BORNE + 1000,
         ..Load::default()
     };
     dispatcher.step(others(&home, busy), START);
@@ -776,7 +776,7 @@
     let mut started = |number: u64| {
         let (mut specs, classes) = configuration(&[]);
         let spec = specs.iter_mut().find(|spec| spec.name.as_str() == home);
-        spec.unwrap().standing.incarnation = Some(unit::Incarnation(number));
+        spec.unwrap().admission.incarnation = Some(unit::Incarnation(number));
         dispatcher.step(Input::Configure(specs, classes), START);
         let loads: BTreeMap<_, _> = dispatcher.loads().collect();
         loads.contains_key(&home.parse().unwrap())
--- a/tests/testsuite/placement_large.rs
+++ b/tests/testsuite/placement_large.rs
@@ -20,12 +20,12 @@
         name: format!("i-{number}").parse().unwrap(),
         slots: 32,
         leaving: false,
-        away: !number.is_multiple_of(ZONES),
-        place: number,
+        in_other_zone: !number.is_multiple_of(ZONES),
+        rank: number,
         zone: format!("z{}", number % ZONES).parse().unwrap(),
         slow: false,
         memory: Some(unit::Tokens(459_000)),
-        standing: Default::default(),
+        admission: Default::default(),
     }
 }
 
@@ -40,7 +40,7 @@
     let specs = numbers.iter().map(|number| spec(*number)).collect();
     let class = ("short".parse().unwrap(), config::Class::default());
     dispatcher.step(Input::Configure(specs, BTreeMap::from([class])), START);
-    dispatcher.step(Input::Boxes(BTreeSet::from([own.clone()])), START);
+    dispatcher.step(Input::LiveBoxes(BTreeSet::from([own.clone()])), START);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
     dispatcher.step(Input::Report(own, Report::Announced), START);
     dispatcher
--- a/tests/testsuite/precedence/world.rs
+++ b/tests/testsuite/precedence/world.rs
@@ -12,9 +12,9 @@
     attempt::{Attempt, Request},
     config,
     dispatch::{
-        Ask, Dispatcher, End, Input, Order, Placed, Prefix, Report, Settings, Spec, Standing,
+        Admission, Ask, Dispatcher, End, Input, Order, Placed, Prefix, Report, Settings, Spec,
     },
-    load::{self, Hub, Loads, News},
+    load::{self, Hub, Loads, Update},
     name, unit,
 };
 
@@ -216,12 +216,12 @@
         name: format!("i-{place}").parse().unwrap(),
         slots: u32::from(SLOTS),
         leaving: false,
-        away: false,
-        place,
+        in_other_zone: false,
+        rank: place,
         zone: "z0".parse().unwrap(),
         slow: false,
         memory: None,
-        standing: Standing::default(),
+        admission: Admission::default(),
     });
     let classes = (0..CLASSES.len()).map(|at| {
         let class = config::Class {
@@ -237,7 +237,7 @@
     let classes: BTreeMap<_, _> = classes.collect();
     dispatcher.step(Input::Configure(specs.collect(), classes), START);
     let own = box_name(at);
-    dispatcher.step(Input::Boxes(BTreeSet::from([own.clone()])), START);
+    dispatcher.step(Input::LiveBoxes(BTreeSet::from([own.clone()])), START);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
     dispatcher.step(Input::Report(own, Report::Announced), START);
     dispatcher.step(Input::Sharers(u32::try_from(plan.boxes).unwrap()), START);
@@ -393,7 +393,7 @@
             preempted: 0,
             avoid: None,
             hold: None,
-            rests: Vec::new(),
+            backoffs: Vec::new(),
         };
         self.report(at, Report::Ask(ask));
     }
@@ -526,27 +526,27 @@
         let own = &mut self.boxes[at];
         let loads: Loads = own.dispatcher.loads().collect();
         let counted = own.dispatcher.take_counts();
-        let mut told = News {
+        let mut told = Update {
             loads: load::difference(&own.told, &loads),
             outcomes: own.dispatcher.take_outcomes(),
             prompts: own.dispatcher.take_prompts(),
             placements: own.dispatcher.take_placements(),
-            ..News::default()
+            ..Update::default()
         };
         for (class, counts) in counted {
-            told.count(&service(), &class, counts);
+            told.add_counts(&service(), &class, counts);
         }
         own.told = loads;
         let anew = std::mem::take(&mut own.anew);
         let hubs = self.hubs.len();
         let heard = self.hubs[at % hubs].exchange(&box_name(at), anew, told, self.now);
-        let news = heard.news;
+        let news = heard.update;
         load::merge(&mut self.boxes[at].others, news.loads);
         let others = self.boxes[at].others.clone();
-        self.input(at, Input::Placed(news.placements));
-        self.input(at, Input::Prompts(news.prompts));
+        self.input(at, Input::Placements(news.placements));
+        self.input(at, Input::PromptSizes(news.prompts));
         self.input(at, Input::Risks(news.risks));
-        self.input(at, Input::Others(Some(others)));
+        self.input(at, Input::OtherLoads(Some(others)));
         self.input(at, Input::Bounds(news.bounds));
     }
 
@@ -557,7 +557,7 @@
         }
         own.told.clear();
         own.others.clear();
-        self.input(at, Input::Others(None));
+        self.input(at, Input::OtherLoads(None));
         self.input(at, Input::Bounds(Vec::new()));
     }
 
@@ -566,8 +566,8 @@
         let anew = !std::mem::replace(&mut self.linked, true);
         for from in 0..self.hubs.len() {
             for to in (0..self.hubs.len()).filter(|to| *to != from) {
-                let news = self.hubs[from].news_for(&hub_name(to), anew, self.now);
-                assert!(self.hubs[to].take(&hub_name(from), anew, news, self.now));
+                let news = self.hubs[from].update_for(&hub_name(to), anew, self.now);
+                assert!(self.hubs[to].apply(&hub_name(from), anew, news, self.now));
             }
         }
     }
--- a/tests/testsuite/random/agree.rs
+++ b/tests/testsuite/random/agree.rs
@@ -11,9 +11,9 @@
 };
 
 use rand::Rng as _;
-use scalewood::core::agree::{
-    Entry, Identity, Index, Input, Kept, Members, MembersRequest, Message, Node, Outcome, Output,
-    Repair, Settings, State, Term, Ticket, Voter, Write,
+use scalewood::core::raft::{
+    Entry, Identity, Index, Input, Members, MembersRequest, Message, Node, Outcome, Output,
+    Persisted, Repair, Settings, State, Term, Ticket, Voter, Write,
 };
 use serde::{Deserialize, Serialize};
 
@@ -88,7 +88,7 @@
 struct Member {
     node: Node,
     /// What is on its disk.
-    kept: Kept<Trail>,
+    kept: Persisted<Trail>,
     /// Nothing while it is down.
     voter: Option<Voter<Trail>>,
     frozen: bool,
@@ -131,16 +131,16 @@
 
     /// A cluster whose leader repairs the membership by itself, or not.
     fn with_repair(seed: u64, nodes: usize, repair: Option<Repair>) -> Self {
-        let mut kept = Kept::<Trail>::default();
+        let mut kept = Persisted::<Trail>::default();
         let text = serde_json::json!({
             "voters": (0..nodes).map(|i| (node(i, i as u64), address())).collect::<Vec<_>>(),
             "learners": [],
         });
         kept.snapshot.members = serde_json::from_value::<Members>(text).unwrap();
         let settings = Settings {
-            compact: 12,
-            piece: 64,
-            batch: 4,
+            compact_after: 12,
+            max_piece_bytes: 64,
+            max_entries: 4,
             repair,
             ..Settings::default()
         };
@@ -196,7 +196,7 @@
             member.kept.replay(write);
         }
         let from = member.node.clone();
-        for (to, message) in output.sends {
+        for (to, message) in output.messages {
             self.send(from.clone(), to, message);
         }
         for (ticket, outcome) in output.answers {
@@ -360,7 +360,7 @@
             Step::LosePower(i) => self.lose_power(i),
             Step::Leave(i) => {
                 if !self.members[i].frozen {
-                    self.step(i, Input::Leave);
+                    self.step(i, Input::Stop);
                 }
             }
         }
@@ -383,7 +383,7 @@
         let member = &mut self.members[i];
         member.joins = Some(member.node.clone());
         member.node = node(i, 1000 + self.serial);
-        member.kept = Kept::default();
+        member.kept = Persisted::default();
         member.voter = None;
         self.restart(i);
     }
@@ -466,7 +466,11 @@
 }
 
 /// What is written must leave what is committed as it is.
-fn check_write(kept: &Kept<Trail>, write: &Write<Trail>, committed: &BTreeMap<Index, Entry<u64>>) {
+fn check_write(
+    kept: &Persisted<Trail>,
+    write: &Write<Trail>,
+    committed: &BTreeMap<Index, Entry<u64>>,
+) {
     let Write::Truncate(from) = write else { return };
     for entry in kept.entries.iter().filter(|entry| entry.index >= *from) {
         let known = committed.get(&entry.index);
@@ -591,7 +595,7 @@
     // identities must not elect anyone.
     for i in [0, 1] {
         cluster.members[i].node = node(i, 500 + i as u64);
-        cluster.members[i].kept = Kept::default();
+        cluster.members[i].kept = Persisted::default();
         cluster.members[i].voter = None;
         cluster.restart(i);
     }
--- a/tests/testsuite/random/claim.rs
+++ b/tests/testsuite/random/claim.rs
@@ -154,13 +154,13 @@
     }
 
     fn read_back(&mut self, i: usize, cut: u8) {
-        for from in self.holders[i].unheard(self.now) {
+        for from in self.holders[i].not_read_back(self.now) {
             let f: usize = from.as_str()[1..].parse().unwrap();
             if cut & (1 << f) != 0 {
                 continue;
             }
             if let Some(claims) = self.holders[f].read_back(&box_name(i), self.now) {
-                self.holders[i].absorb(&from, claims, self.now);
+                self.holders[i].merge(&from, claims, self.now);
             }
         }
     }
--- a/tests/testsuite/random/dispatch.rs
+++ b/tests/testsuite/random/dispatch.rs
@@ -195,7 +195,7 @@
 
     fn open_dispatcher(&mut self, at: usize) {
         let settings = Settings {
-            grant_life: GRANT_LIFE,
+            grant_ttl: GRANT_LIFE,
             max_waiting: MAX_WAITING,
             ..Settings::default()
         };
@@ -206,7 +206,7 @@
             .iter()
             .map(|i| box_name(*i))
             .collect();
-        self.input(at, Input::Boxes(alive));
+        self.input(at, Input::LiveBoxes(alive));
     }
 
     fn configure(&mut self, at: usize) {
@@ -214,14 +214,14 @@
             name: format!("m{i}").parse().unwrap(),
             slots: SLOTS,
             leaving: self.leaving[i],
-            away: false,
-            place: 0,
+            in_other_zone: false,
+            rank: 0,
             zone: format!("z{i}").parse().expect("a zone"),
             slow: false,
             memory: None,
-            standing: dispatch::Standing {
+            admission: dispatch::Admission {
                 cordoned: self.cordoned[i],
-                ..dispatch::Standing::default()
+                ..dispatch::Admission::default()
             },
         });
         let specs = specs.collect();
@@ -401,7 +401,10 @@
         }
         self.entries[i].alive = alive.clone();
         let home = self.home(i);
-        self.input(i, Input::Boxes(alive.into_iter().map(box_name).collect()));
+        self.input(
+            i,
+            Input::LiveBoxes(alive.into_iter().map(box_name).collect()),
+        );
         if home != self.entries[i].home {
             self.entries[i].home = home;
             self.announce(i);
@@ -527,7 +530,7 @@
             preemptible: tier > 1,
             preempted: 0,
             avoid: None,
-            rests: Vec::new(),
+            backoffs: Vec::new(),
             hold: None,
         };
         let takes = Duration::from_millis(takes);
--- a/tests/testsuite/random/member.rs
+++ b/tests/testsuite/random/member.rs
@@ -109,7 +109,7 @@
         let reached = self.members[p].is_some() && !self.lost();
         let answer = reached.then(|| {
             if let Some(members) = self.members[p].as_mut() {
-                members.hear(question, now);
+                members.receive(question, now);
             }
             self.message(p)
         });
@@ -118,15 +118,15 @@
             return;
         };
         match answer {
-            Some(answer) => members.hear(answer, now),
-            None => members.miss(peer, now),
+            Some(answer) => members.receive(answer, now),
+            None => members.record_unanswered(peer, now),
         }
     }
 
     fn message(&mut self, i: usize) -> Option<Message> {
         let message = self.members[i].as_mut()?.message();
         *self.sent.entry(i).or_default() += 1;
-        self.most_news = self.most_news.max(message.news.len());
+        self.most_news = self.most_news.max(message.updates.len());
         Some(message)
     }
 
@@ -212,5 +212,5 @@
         large <= small * 3 / 2,
         "{large} messages with 64 boxes, {small} with 8"
     );
-    assert!(news <= Settings::default().news + 1);
+    assert!(news <= Settings::default().max_updates + 1);
 }
--- a/tests/testsuite/random/warm_up.rs
+++ b/tests/testsuite/random/warm_up.rs
@@ -10,7 +10,7 @@
 use rand::{rngs::SmallRng, Rng as _};
 use scalewood::core::{
     name,
-    warm_up::{Leases, Leeway, Pass, Rate, Warming, LEASE},
+    warm_up::{Leases, Leeway, Pass, Rate, Warming, LEASE_DURATION},
 };
 
 use super::{random, runs};
@@ -121,7 +121,7 @@
         if exchange.arrives == now && exchange.answer.is_none() {
             let hub = &mut self.hubs[exchange.hub];
             let at = Duration::from_millis(now + 5_000_000);
-            let given = hub.give(&place.name, &self.endpoints, 4, at);
+            let given = hub.grant(&place.name, &self.endpoints, 4, at);
             exchange.answer = Some((now + delay, given));
         }
     }
@@ -182,7 +182,7 @@
             let place = &mut self.places[i];
             let own = Duration::from_millis(now + place.ahead);
             let pass = &mut place.passes[endpoint];
-            if pass.permits(&self.warming, own) {
+            if pass.may_send(&self.warming, own) {
                 pass.take(&self.warming, own);
                 place.sending.push((now + wait, endpoint));
             }
@@ -198,7 +198,7 @@
         let answered = exchange.answer.filter(|(arrives, _)| *arrives <= now);
         if let Some((_, leased)) = answered {
             place.exchange = None;
-            let until = Duration::from_millis(exchange.asked + place.ahead) + LEASE;
+            let until = Duration::from_millis(exchange.asked + place.ahead) + LEASE_DURATION;
             let own = Duration::from_millis(now + place.ahead);
             for (pass, name) in place.passes.iter_mut().zip(&self.endpoints) {
                 if leased.contains(name) {
--- a/tests/testsuite/regions.rs
+++ b/tests/testsuite/regions.rs
@@ -4,7 +4,7 @@
 
 use scalewood::core::{
     config,
-    dispatch::{Dispatcher, Input, Order, Report, Settings, Spec, Standing},
+    dispatch::{Admission, Dispatcher, Input, Order, Report, Settings, Spec},
     name,
 };
 
@@ -23,14 +23,14 @@
             name: format!("i-{zone}").parse().unwrap(),
             slots: SLOTS,
             leaving: false,
-            away: place > 0,
-            place,
+            in_other_zone: place > 0,
+            rank: place,
             zone: zone.parse().unwrap(),
             slow: false,
             memory: None,
-            standing: Standing {
+            admission: Admission {
                 region: Some(region.parse().unwrap()),
-                ..Standing::default()
+                ..Admission::default()
             },
         });
     let settings = Settings {
@@ -41,7 +41,7 @@
     let classes = BTreeMap::from([("short".parse().unwrap(), config::Class::default())]);
     dispatcher.step(Input::Configure(specs.collect(), classes), START);
     let own: name::Box = "e1".parse().unwrap();
-    dispatcher.step(Input::Boxes(BTreeSet::from([own.clone()])), START);
+    dispatcher.step(Input::LiveBoxes(BTreeSet::from([own.clone()])), START);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
     dispatcher.step(Input::Report(own, Report::Announced), START);
     dispatcher
--- a/tests/testsuite/registry.rs
+++ b/tests/testsuite/registry.rs
@@ -89,7 +89,7 @@
     registry.merge(record("a", 1, State::Ready), START);
     registry.merge(record("b", 1, State::Ready), START);
     let later = START + Duration::from_secs(5);
-    registry.hear(&"b".parse().unwrap(), later);
+    registry.record_heard(&"b".parse().unwrap(), later);
     let expired = registry.expire(later);
     assert_eq!(expired, [record("a", 1, State::Ready)]);
     assert!(registry.get(&"b".parse().unwrap()).is_some());
@@ -111,7 +111,7 @@
     registry.leave(&"went".parse().unwrap());
     let again = registry.restore(record("went", 0, State::Ready), START);
     assert_eq!(again, Merged::Nothing, "what has gone stays gone");
-    let restored = Timing::default().restored();
+    let restored = Timing::default().restored_timeout();
     let before = START + restored - Duration::from_millis(1);
     assert!(registry.expire_restored(before).is_empty());
     let expired = registry.expire_restored(START + restored);
@@ -180,7 +180,7 @@
     let late = START + Duration::from_secs(5);
     registry.merge(at("10.0.0.1:80", "short", 1), late);
     assert_eq!(displaced(&registry, &["new"]), [true]);
-    registry.hear(&"new".parse().unwrap(), late + Duration::from_secs(6));
+    registry.record_heard(&"new".parse().unwrap(), late + Duration::from_secs(6));
     registry.expire(late + Duration::from_secs(1));
     assert_eq!(displaced(&registry, &["new"]), [false]);
 }
@@ -197,33 +197,36 @@
     let state = |registry: &Registry| registry.get(&name).map(|record| record.state);
     let mut registry = Registry::default();
     // Nothing is known of it yet.
-    assert_eq!(registry.note_leaving(&name, start(1)), Merged::Nothing);
+    assert_eq!(registry.record_leaving(&name, start(1)), Merged::Nothing);
     registry.merge(beat(5, 1), START);
     let stamp = registry.stamp();
-    assert_eq!(registry.note_leaving(&name, start(1)), Merged::Changed);
+    assert_eq!(registry.record_leaving(&name, start(1)), Merged::Changed);
     assert_eq!(state(&registry), Some(State::Leaving));
     assert_eq!(registry.leaving_since(stamp).len(), 1);
-    assert_eq!(registry.note_leaving(&name, start(1)), Merged::Nothing);
+    assert_eq!(registry.record_leaving(&name, start(1)), Merged::Nothing);
     // From before, and from after.
     for sequence in [4, 6, 60] {
-        assert!(!registry.merge(beat(sequence, 1), START).is_news());
+        assert!(!registry.merge(beat(sequence, 1), START).must_propagate());
         assert_eq!(state(&registry), Some(State::Leaving));
     }
     // Told to another process, it holds there too, whatever that hears first.
     let mut other = Registry::default();
     other.merge(beat(61, 1), START);
     for told in registry.leaving_since(0) {
-        assert_eq!(other.note_leaving(&told.name, told.start), Merged::Changed);
+        assert_eq!(
+            other.record_leaving(&told.name, told.start),
+            Merged::Changed
+        );
     }
     assert_eq!(state(&other), Some(State::Leaving));
     // The next start has said nothing; what the one before said comes late.
     assert_eq!(registry.merge(beat(1, 2), START), Merged::Restarted);
     assert_eq!(state(&registry), Some(State::Ready));
-    assert_eq!(registry.note_leaving(&name, start(1)), Merged::Nothing);
+    assert_eq!(registry.record_leaving(&name, start(1)), Merged::Nothing);
     assert_eq!(state(&registry), Some(State::Ready));
     assert!(registry.leaving_since(0).is_empty());
     // It goes all the same.
-    registry.note_leaving(&name, start(2));
+    registry.record_leaving(&name, start(2));
     registry.leave(&name);
     assert_eq!(state(&registry), None);
 }
@@ -240,10 +243,10 @@
     voter.merge(record("i", 1, State::Ready), START);
     let mut stamp = 0;
     let mut tell = |voter: &Registry, own: &mut Registry, now| {
-        for record in voter.told_since(stamp, now) {
+        for record in voter.records_since(stamp, now) {
             own.merge(record, now);
         }
-        own.hear(&name, now);
+        own.record_heard(&name, now);
         stamp = voter.stamp();
     };
     tell(&voter, &mut own, START);
@@ -326,7 +329,7 @@
         for record in changed {
             other.merge(record, START);
         }
-        other.take_ends(&gone, &registry.ended_since(span), &[]);
+        other.apply_ends(&gone, &registry.ended_since(span), &[]);
         after = to;
     }
     let names =
--- a/tests/testsuite/residency.rs
+++ b/tests/testsuite/residency.rs
@@ -4,7 +4,7 @@
 
 use scalewood::core::{
     config,
-    dispatch::{Dispatcher, End, Input, Order, Reason, Report, Settings, Spec, Standing},
+    dispatch::{Admission, Dispatcher, End, Input, Order, Reason, Report, Settings, Spec},
     name, region,
     registry::{Record, State},
     residency::{self, Allowed, Source},
@@ -126,11 +126,17 @@
     let zone = |zone: &str, region: &str| (zone.parse().unwrap(), region.parse().unwrap());
     let regions = region::Map::new([zone("z0", "r0"), zone("z1", "r1")]);
     let partly = document(only(&["r0", "r9"]), Allowed::default());
-    assert!(residency::unknown(&partly, &regions, 16).is_empty());
+    assert!(residency::items_with_unknown_regions(&partly, &regions, 16).is_empty());
     let unknown = document(Allowed::default(), only(&["r9"]));
-    assert_eq!(residency::unknown(&unknown, &regions, 16), ["team t1"]);
+    assert_eq!(
+        residency::items_with_unknown_regions(&unknown, &regions, 16),
+        ["team t1"]
+    );
     let many = document(only(&["r8"]), only(&["r9"]));
-    assert_eq!(residency::unknown(&many, &regions, 2).len(), 2);
+    assert_eq!(
+        residency::items_with_unknown_regions(&many, &regions, 2).len(),
+        2
+    );
 }
 
 /// An endpoint with so many slots in a region.
@@ -139,15 +145,15 @@
         name: name.parse().unwrap(),
         slots,
         leaving: false,
-        away: false,
-        place: 0,
+        in_other_zone: false,
+        rank: 0,
         zone: region.parse().unwrap(),
         slow: false,
         memory: None,
-        standing: Standing {
+        admission: Admission {
             cordoned: false,
             region: Some(region.parse().unwrap()),
-            ..Standing::default()
+            ..Admission::default()
         },
     }
 }
@@ -175,7 +181,7 @@
     let mut dispatcher = Dispatcher::new(Settings::default(), START);
     configured(&mut dispatcher, specs);
     let own: name::Box = "e1".parse().unwrap();
-    orders(&mut dispatcher, Input::Boxes([own].into()));
+    orders(&mut dispatcher, Input::LiveBoxes([own].into()));
     report(&mut dispatcher, Report::Hello);
     report(&mut dispatcher, Report::Announced);
     dispatcher
--- a/tests/testsuite/rest.rs
+++ b/tests/testsuite/rest.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt as _;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 
-use scalewood::core::{name, registry::State, rest, unit};
+use scalewood::core::{backoff, name, registry::State, unit};
 
 use crate::support::{
     client, deploy,
@@ -278,22 +278,22 @@
     }
 }
 
-fn read(values: &[&str], date: Option<&str>) -> rest::Asked {
+fn read(values: &[&str], date: Option<&str>) -> backoff::Parsed {
     /// Some time of day here, which is off.
     const HERE_MS: u64 = 1_000_000;
-    rest::read(values.iter().copied(), date, HERE_MS)
+    backoff::parse(values.iter().copied(), date, HERE_MS)
 }
 
 #[test]
 fn a_rest_is_read_in_all_its_forms() {
-    use rest::Asked::{For, Nothing, Unreadable};
+    use backoff::Parsed::{Absent, For, Invalid};
     let millis = |ms| For(Duration::from_millis(ms));
-    assert_eq!(read(&[], None), Nothing);
-    assert_eq!(read(&["0"], None), Nothing);
+    assert_eq!(read(&[], None), Absent);
+    assert_eq!(read(&["0"], None), Absent);
     assert_eq!(read(&[" 3 "], None), millis(3000));
     assert_eq!(read(&["0.25"], None), millis(250));
     for unreadable in ["-1", "", "+3", "inf", "NaN", "1e3", "3s", ".", "3,soon"] {
-        assert_eq!(read(&[unreadable], None), Unreadable, "{unreadable}");
+        assert_eq!(read(&[unreadable], None), Invalid, "{unreadable}");
     }
     // Twice, or joined on the way: the longer one.
     assert_eq!(read(&["2", "5"], None), millis(5000));
@@ -301,15 +301,18 @@
     assert_eq!(read(&["5", "soon"], None), millis(5000));
     assert_eq!(read(&["2, 5"], None), millis(5000));
     // Absurd ones are cut.
-    assert_eq!(read(&["31536000"], None), For(rest::LONGEST));
-    assert_eq!(read(&["9".repeat(400).as_str()], None), For(rest::LONGEST));
+    assert_eq!(read(&["31536000"], None), For(backoff::MAX_BACKOFF));
+    assert_eq!(
+        read(&["9".repeat(400).as_str()], None),
+        For(backoff::MAX_BACKOFF)
+    );
     // A date counts from the answer's own, whatever the time of day is here.
     let (sent, until) = (
         "Sun, 06 Nov 1994 08:49:37 GMT",
         "Sun, 06 Nov 1994 08:49:41 GMT",
     );
     assert_eq!(read(&[until], Some(sent)), millis(4000));
-    assert_eq!(read(&[sent], Some(until)), Nothing);
+    assert_eq!(read(&[sent], Some(until)), Absent);
     assert_eq!(read(&["Thu, 01 Jan 1970 00:16:45 GMT"], None), millis(5000));
 }
 
@@ -322,18 +325,18 @@
     let second = Duration::from_secs;
     let (endpoint, service) = (name("i-1"), name("lm"));
     let start = |number| Some(unit::Incarnation(number));
-    let mut book = rest::Book::new(name("e1"));
-    book.note(&endpoint, &service, start(1), second(10), second(0));
-    book.note(&endpoint, &service, start(1), second(1), second(1));
-    assert!(book.left(&endpoint, start(1), second(9)) >= Some(second(1)));
+    let mut book = backoff::Book::new(name("e1"));
+    book.record(&endpoint, &service, start(1), second(10), second(0));
+    book.record(&endpoint, &service, start(1), second(1), second(1));
+    assert!(book.remaining(&endpoint, start(1), second(9)) >= Some(second(1)));
     // It stays away a little longer, as boxes that hear it together would else return together.
-    assert!(book.left(&endpoint, start(1), second(11)).is_none());
-    assert!(book.left(&endpoint, start(2), second(7)).is_none());
-    book.note(&endpoint, &service, start(2), second(4), second(5));
-    assert!(book.left(&endpoint, start(2), second(8)).is_some());
+    assert!(book.remaining(&endpoint, start(1), second(11)).is_none());
+    assert!(book.remaining(&endpoint, start(2), second(7)).is_none());
+    book.record(&endpoint, &service, start(2), second(4), second(5));
+    assert!(book.remaining(&endpoint, start(2), second(8)).is_some());
     // An answer of the start before comes late.
-    book.note(&endpoint, &service, start(1), second(100), second(6));
-    assert!(book.left(&endpoint, start(2), second(12)).is_none());
+    book.record(&endpoint, &service, start(1), second(100), second(6));
+    assert!(book.remaining(&endpoint, start(2), second(12)).is_none());
 }
 
 #[test]
@@ -341,22 +344,22 @@
     let second = Duration::from_secs;
     let service: name::Service = name("lm");
     let (here, other): (name::Box, name::Box) = (name("e1"), name("e2"));
-    let mut book = rest::Book::new(here.clone());
+    let mut book = backoff::Book::new(here.clone());
     let endpoint: name::Endpoint = name("i-1");
-    book.note(&endpoint, &service, None, second(10), second(0));
-    let told = |book: &mut rest::Book, to, in_vain: Option<&name::Endpoint>| {
-        book.news(to, &service, in_vain, second(1)).len()
+    book.record(&endpoint, &service, None, second(10), second(0));
+    let told = |book: &mut backoff::Book, to, in_vain: Option<&name::Endpoint>| {
+        book.updates(to, &service, in_vain, second(1)).len()
     };
     assert_eq!(told(&mut book, &other, None), 1);
     assert_eq!(told(&mut book, &other, None), 0);
     assert_eq!(told(&mut book, &other, Some(&endpoint)), 1);
     assert_eq!(told(&mut book, &here, None), 1);
-    book.tell_anew(&other, &service);
+    book.reset_dispatcher(&other, &service);
     assert_eq!(told(&mut book, &other, None), 1);
     assert!(book
-        .news(&other, &name("another"), None, second(1))
+        .updates(&other, &name("another"), None, second(1))
         .is_empty());
-    book.note(&endpoint, &service, None, second(20), second(2));
+    book.record(&endpoint, &service, None, second(20), second(2));
     assert_eq!(told(&mut book, &other, None), 1);
 }
 
@@ -477,13 +480,15 @@
     let millis = Duration::from_millis;
     let (endpoint, service) = (name("i-2"), name("lm"));
     let start = |number| Some(unit::Incarnation(number));
-    let mut book = rest::Book::new(name("e1"));
-    book.note(&endpoint, &service, start(5), millis(1109), millis(0));
-    assert!(book.left(&endpoint, start(6), millis(500)).is_some());
-    assert!(book.left(&endpoint, start(6), millis(2000)).is_none());
+    let mut book = backoff::Book::new(name("e1"));
+    book.record(&endpoint, &service, start(5), millis(1109), millis(0));
+    assert!(book.remaining(&endpoint, start(6), millis(500)).is_some());
+    assert!(book.remaining(&endpoint, start(6), millis(2000)).is_none());
     // One that is heard of long after has begun after it, and has asked for nothing.
-    book.note(&endpoint, &service, start(6), millis(60_000), millis(3000));
-    assert!(book.left(&endpoint, start(7), millis(7900)).is_some());
-    assert!(book.left(&endpoint, start(7), millis(8100)).is_none());
-    assert!(book.left(&endpoint, start(6), millis(30_000)).is_some());
+    book.record(&endpoint, &service, start(6), millis(60_000), millis(3000));
+    assert!(book.remaining(&endpoint, start(7), millis(7900)).is_some());
+    assert!(book.remaining(&endpoint, start(7), millis(8100)).is_none());
+    assert!(book
+        .remaining(&endpoint, start(6), millis(30_000))
+        .is_some());
 }
--- a/tests/testsuite/rest_dispatch.rs
+++ b/tests/testsuite/rest_dispatch.rs
@@ -7,9 +7,9 @@
 
 use scalewood::core::{
     attempt::{Attempt, Request},
-    config,
-    dispatch::{Ask, Dispatcher, End, Input, Order, Report, Settings, Spec, Standing},
-    name, rest, unit,
+    backoff, config,
+    dispatch::{Admission, Ask, Dispatcher, End, Input, Order, Report, Settings, Spec},
+    name, unit,
 };
 
 const START: Duration = Duration::from_secs(1000);
@@ -30,7 +30,7 @@
     let mut dispatcher = Dispatcher::new(Settings::default(), START);
     dispatcher.step(configuration(endpoints, 1), START);
     let boxes = BTreeSet::from([origin(1), origin(2)]);
-    dispatcher.step(Input::Boxes(boxes.clone()), START);
+    dispatcher.step(Input::LiveBoxes(boxes.clone()), START);
     for own in boxes {
         dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
         dispatcher.step(Input::Report(own, Report::Announced), START);
@@ -44,29 +44,29 @@
         name: endpoint(number),
         slots: SLOTS,
         leaving: false,
-        away: false,
-        place: 0,
+        in_other_zone: false,
+        rank: 0,
         zone: "z0".parse().unwrap(),
         slow: false,
         memory: None,
-        standing: Standing {
+        admission: Admission {
             incarnation: Some(unit::Incarnation(incarnation)),
-            ..Standing::default()
+            ..Admission::default()
         },
     };
     let class = ("short".parse().unwrap(), config::Class::default());
     Input::Configure((0..endpoints).map(spec).collect(), BTreeMap::from([class]))
 }
 
-fn told(number: u32, left: Duration) -> rest::Told {
-    rest::Told {
+fn told(number: u32, left: Duration) -> backoff::Notice {
+    backoff::Notice {
         endpoint: endpoint(number),
         start: Some(unit::Incarnation(1)),
-        left,
+        remaining: left,
     }
 }
 
-fn ask(request: u64, rests: Vec<rest::Told>) -> Ask {
+fn ask(request: u64, rests: Vec<backoff::Notice>) -> Ask {
     Ask {
         attempt: Attempt::first(Request(request)),
         class: "short".parse().unwrap(),
@@ -85,7 +85,7 @@
         preempted: 0,
         avoid: None,
         hold: None,
-        rests,
+        backoffs: rests,
     }
 }
 
--- a/tests/testsuite/route.rs
+++ b/tests/testsuite/route.rs
@@ -82,7 +82,7 @@
         .collect();
     let mut counts = BTreeMap::<String, u32>::new();
     for i in 0..1000 {
-        let picked = weighted.pick(f64::from(i) / 1000.0).unwrap();
+        let picked = weighted.pick_service(f64::from(i) / 1000.0).unwrap();
         *counts.entry(picked.to_string()).or_default() += 1;
     }
     let expected = BTreeMap::from([("a".to_owned(), 750), ("c".to_owned(), 250)]);
@@ -139,6 +139,6 @@
     let tiers = || routing().teams.into_values().map(|team| team.tier);
     for route in routing().routes.into_values() {
         let ranks = tiers().map(|team| table.rank(route.tier, team));
-        assert_eq!(Some(table.least_rank(route.tier)), ranks.max());
+        assert_eq!(Some(table.lowest_rank(route.tier)), ranks.max());
     }
 }
--- a/tests/testsuite/scaling.rs
+++ b/tests/testsuite/scaling.rs
@@ -11,7 +11,7 @@
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use scalewood::core::{
     name,
-    scaling::{Answer, Kind, Offer, Order, Scaler, Seen, Serving, Settings},
+    scaling::{Answer, Kind, Observed, Offer, Order, Scaler, Serving, Settings},
 };
 
 const ZONES: [&str; 4] = ["z0", "z1", "z2", "z3"];
@@ -85,7 +85,7 @@
         }
     }
 
-    fn seen(&self, in_use: u32) -> Seen {
+    fn seen(&self, in_use: u32) -> Observed {
         let mut zones: BTreeMap<name::Zone, Serving> = BTreeMap::new();
         for ((zone, kind), stock) in &self.stock {
             let serving = zones.entry(zone.clone()).or_default();
@@ -93,9 +93,9 @@
                 Kind::Ordinary => serving.ordinary += stock.serving,
                 Kind::Interruptible => serving.interruptible += stock.serving,
             }
-            serving.going += stock.going.map_or(0, |(_, count)| count);
+            serving.leaving += stock.going.map_or(0, |(_, count)| count);
         }
-        Seen {
+        Observed {
             in_use,
             slots: SLOTS,
             zones,
@@ -118,7 +118,7 @@
             let seen = self.seen(in_use);
             for order in self.scaler.step(&offer(), &seen, self.now) {
                 let answer = self.take(&order);
-                self.scaler.answered(&order, answer, self.now);
+                self.scaler.record_answer(&order, answer, self.now);
                 self.orders.push(order);
             }
             self.check();
@@ -398,7 +398,7 @@
         };
         (zone.parse().unwrap(), serving)
     });
-    let seen = Seen {
+    let seen = Observed {
         in_use: 400,
         slots: SLOTS,
         zones: zones.collect(),
@@ -427,11 +427,11 @@
             };
             (zone.parse().unwrap(), serving)
         });
-        Seen {
+        Observed {
             in_use: 140,
             slots: SLOTS,
             zones: zones.collect(),
-            ..Seen::default()
+            ..Observed::default()
         }
     };
     let given_up = |warming| {
--- a/tests/testsuite/sight.rs
+++ b/tests/testsuite/sight.rs
@@ -45,7 +45,7 @@
         let mut first = BTreeMap::new();
         for number in 0..200 {
             let tracked = chosen(number, &voters);
-            assert_eq!(tracked.len(), follow::TRACKED, "{a_zone}");
+            assert_eq!(tracked.len(), follow::TRACKED_VOTERS, "{a_zone}");
             let zone = "z1".parse().unwrap();
             assert!(tracked
                 .iter()
@@ -61,7 +61,7 @@
 #[test]
 fn a_voter_that_is_cut_off_is_tracked_beside_one_that_is_not() {
     let mut voters = voters(2);
-    assert!(voters.len() > follow::ALL_TRACKED);
+    assert!(voters.len() > follow::TRACK_ALL_UP_TO);
     let tracked = chosen(7, &voters);
     voters.get_mut(&tracked[0]).unwrap().state = Stand::CutOff;
     let beside = chosen(7, &voters);
@@ -86,7 +86,7 @@
 #[test]
 fn of_few_voters_all_are_tracked() {
     let voters = voters(1);
-    assert!(voters.len() <= follow::ALL_TRACKED);
+    assert!(voters.len() <= follow::TRACK_ALL_UP_TO);
     assert_eq!(chosen(7, &voters).len(), voters.len());
 }
 
@@ -132,7 +132,7 @@
 impl Hearer {
     fn new(timing: Timing) -> Self {
         let mut registry = Registry::new(timing);
-        let voucher = registry.voucher(&"w".parse().unwrap()).unwrap();
+        let voucher = registry.register_voucher(&"w".parse().unwrap()).unwrap();
         Self {
             registry,
             voucher,
@@ -142,7 +142,7 @@
 
     /// Takes all news; returns how many records and names that took.
     fn hear(&mut self, from: &Registry, now: Duration) -> usize {
-        let changed = from.told_since(self.stamp, now);
+        let changed = from.records_since(self.stamp, now);
         let silent = from.silent_since(self.stamp);
         let told = changed.len() + silent.len();
         for record in changed {
@@ -151,9 +151,9 @@
             self.registry.vouch_for(&name, self.voucher);
         }
         for name in &silent {
-            self.registry.withdraw(name, self.voucher);
+            self.registry.withdraw_vouch(name, self.voucher);
         }
-        self.registry.vouched(self.voucher, now);
+        self.registry.record_vouch(self.voucher, now);
         self.registry.expire_silent(now);
         self.stamp = from.stamp();
         told
@@ -221,7 +221,7 @@
             "a heartbeat that says nothing new is told to no box"
         );
         let died = NOW + Duration::from_secs(119);
-        let bound = path.timing.silence() + Duration::from_secs(3);
+        let bound = path.timing.max_silence() + Duration::from_secs(3);
         let mut now = died;
         while path.knows() {
             now += Duration::from_secs(1);
@@ -237,8 +237,8 @@
 fn an_endpoint_is_known_while_anybody_vouches_for_it() {
     let timing = Timing::default();
     let mut own = Registry::new(timing);
-    let first = own.voucher(&"a".parse().unwrap()).unwrap();
-    let second = own.voucher(&"b".parse().unwrap()).unwrap();
+    let first = own.register_voucher(&"a".parse().unwrap()).unwrap();
+    let second = own.register_voucher(&"b".parse().unwrap()).unwrap();
     let name = "i".parse().unwrap();
     own.merge(record(1), NOW);
     own.vouch_for(&name, first);
@@ -246,13 +246,13 @@
     let mut now = NOW;
     for _ in 0..30 {
         now += Duration::from_secs(1);
-        own.vouched(second, now);
+        own.record_vouch(second, now);
         assert!(own.expire_silent(now).is_empty());
     }
     // The second one starts anew and has not told of it yet.
-    own.voucher(&"b".parse().unwrap()).unwrap();
-    now += timing.silence() - Duration::from_millis(1);
-    own.vouched(second, now);
+    own.register_voucher(&"b".parse().unwrap()).unwrap();
+    now += timing.max_silence() - Duration::from_millis(1);
+    own.record_vouch(second, now);
     assert!(
         own.expire_silent(now).is_empty(),
         "it was vouched for just before"
--- a/tests/testsuite/size.rs
+++ b/tests/testsuite/size.rs
@@ -16,7 +16,7 @@
     dispatch::{
         Ask, Dispatcher, End, Input, Order, Output, Placed, Prefix, Report, Settings, Spec,
     },
-    load::{self, Hub, Loads, News},
+    load::{self, Hub, Loads, Update},
     name, unit,
 };
 
@@ -111,7 +111,7 @@
             };
             let name = box_name(i);
             let mut dispatcher = Dispatcher::new(settings, START);
-            dispatcher.step(Input::Boxes([name.clone()].into()), START);
+            dispatcher.step(Input::LiveBoxes([name.clone()].into()), START);
             for report in [Report::Hello, Report::Announced] {
                 dispatcher.step(Input::Report(name.clone(), report), START);
             }
@@ -153,12 +153,12 @@
                 name: self.endpoint_name(i),
                 slots: 64,
                 leaving: false,
-                away: false,
-                place: i,
+                in_other_zone: false,
+                rank: i,
                 zone: format!("z{}", i % ZONES).parse().unwrap(),
                 slow: false,
                 memory: None,
-                standing: Default::default(),
+                admission: Default::default(),
             })
             .collect();
         for i in 0..BOXES {
@@ -240,7 +240,7 @@
             preempted: 0,
             avoid,
             hold: None,
-            rests: Vec::new(),
+            backoffs: Vec::new(),
         }
     }
 
@@ -314,21 +314,21 @@
             let place = &mut self.places[i];
             place.next += self.plan.period;
             let own: Loads = place.dispatcher.loads().collect();
-            let told = News {
+            let told = Update {
                 loads: load::difference(&place.told, &own),
                 placements: place.dispatcher.take_placements(),
                 outcomes: place.dispatcher.take_outcomes(),
                 prompts: place.dispatcher.take_prompts(),
-                ..News::default()
+                ..Update::default()
             };
             let news = self.hubs[hub].exchange(&place.name, place.anew, told, self.now);
             place.anew = false;
             place.told = own;
-            load::merge(&mut place.others, news.news.loads);
+            load::merge(&mut place.others, news.update.loads);
             let others = place.others.clone();
-            self.step(i, Input::Placed(news.news.placements));
-            self.step(i, Input::Risks(news.news.risks));
-            self.step(i, Input::Others(Some(others)));
+            self.step(i, Input::Placements(news.update.placements));
+            self.step(i, Input::Risks(news.update.risks));
+            self.step(i, Input::OtherLoads(Some(others)));
         }
         if self.now >= self.shared_at + SHARE {
             let anew = self.shared_at == START;
@@ -340,8 +340,8 @@
     fn share(&mut self, anew: bool) {
         for from in 0..self.plan.hubs {
             for to in (0..self.plan.hubs).filter(|to| *to != from) {
-                let news = self.hubs[from].news_for(&hub_name(to), anew, self.now);
-                assert!(self.hubs[to].take(&hub_name(from), anew, news, self.now));
+                let news = self.hubs[from].update_for(&hub_name(to), anew, self.now);
+                assert!(self.hubs[to].apply(&hub_name(from), anew, news, self.now));
             }
         }
     }
--- a/tests/testsuite/support/deploy.rs
+++ b/tests/testsuite/support/deploy.rs
@@ -440,12 +440,12 @@
         let (name, identity) = node
             .split_once('/')
             .expect("a node is a box and an identity");
-        let node = scalewood::core::agree::Node {
+        let node = scalewood::core::raft::Node {
             name: name.parse().expect("a valid name"),
             identity: identity.parse().expect("a valid identity"),
         };
         let request =
-            scalewood::core::agree::MembersRequest::Add(node.clone(), self.voters[i].listen);
+            scalewood::core::raft::MembersRequest::Add(node.clone(), self.voters[i].listen);
         let until = Instant::now() + PATIENCE;
         let mut asked = false;
         loop {
@@ -590,8 +590,8 @@
     }
 
     /// Removes a voter. Where it is not known what became of the request, the members tell.
-    pub(crate) async fn remove_voter(&self, node: &scalewood::core::agree::Node) {
-        let request = scalewood::core::agree::MembersRequest::Remove(node.clone());
+    pub(crate) async fn remove_voter(&self, node: &scalewood::core::raft::Node) {
+        let request = scalewood::core::raft::MembersRequest::Remove(node.clone());
         let until = Instant::now() + PATIENCE;
         loop {
             let asked = self.operator().members(&request).await;
--- a/tests/testsuite/support/voter.rs
+++ b/tests/testsuite/support/voter.rs
@@ -139,13 +139,13 @@
         &self,
         _who: name::Box,
         _anew: bool,
-        _told: load::News,
-        _usage: usage::Told,
+        _told: load::Update,
+        _usage: usage::Report,
     ) -> RpcResult<Option<Exchanged>> {
         Ok(None)
     }
 
-    async fn share(&self, _who: name::Box, _anew: bool, _told: load::News) -> RpcResult<Shared> {
+    async fn share(&self, _who: name::Box, _anew: bool, _told: load::Update) -> RpcResult<Shared> {
         Ok(Shared {
             known: true,
             unix_ms: 0,
--- a/tests/testsuite/tenure.rs
+++ b/tests/testsuite/tenure.rs
@@ -5,8 +5,8 @@
 
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use scalewood::core::{
-    agree::{Identity, Node},
-    tenure::{Holder, Step, Tenure, Token},
+    fencing::{Holder, Step, Tenure, Token},
+    raft::{Identity, Node},
 };
 
 const REST: Duration = Duration::from_secs(3);
@@ -54,10 +54,10 @@
             match voter.step(&nodes[i], leader == Some(i), holder.as_ref(), now) {
                 Step::Wait => {}
                 // A proposal is lost now and then.
-                Step::Take if random.random_bool(0.3) => {
+                Step::Acquire if random.random_bool(0.3) => {
                     holder = Some(Holder::next(holder.as_ref(), nodes[i].clone()));
                 }
-                Step::Take => {}
+                Step::Acquire => {}
                 Step::Act(token) => acts.push(Act {
                     at: now,
                     voter: i,
@@ -116,7 +116,7 @@
     let (one, other) = (node(1), node(2));
     let first = Holder::next(None, one.clone());
     let mut tenure = Tenure::new(REST, start);
-    assert_eq!(tenure.step(&one, true, None, start), Step::Take);
+    assert_eq!(tenure.step(&one, true, None, start), Step::Acquire);
     let act = tenure.step(&one, true, Some(&first), start);
     assert_eq!(act, Step::Act(Token(1)));
     // Another one has run for long and takes over: nothing of its own lies behind it.
--- a/tests/testsuite/throttle_dispatch.rs
+++ b/tests/testsuite/throttle_dispatch.rs
@@ -9,8 +9,8 @@
     attempt::{Attempt, Request},
     config,
     dispatch::{
-        Ask, Dispatcher, End, Input, LimitChange, Order, Pass, Reason, Report, Settings, Spec,
-        Standing,
+        Admission, Ask, Dispatcher, End, Input, LimitChange, Order, Pass, Reason, Report, Settings,
+        Spec,
     },
     name, unit,
 };
@@ -34,21 +34,21 @@
         name: endpoint(number),
         slots: SLOTS,
         leaving: false,
-        away: false,
-        place: 0,
+        in_other_zone: false,
+        rank: 0,
         zone: "z0".parse().unwrap(),
         slow: false,
         memory: None,
-        standing: Standing {
+        admission: Admission {
             incarnation: Some(unit::Incarnation(1)),
-            ..Standing::default()
+            ..Admission::default()
         },
     };
     let class = ("short".parse().unwrap(), config::Class::default());
     let specs = (0..endpoints).map(spec).collect();
     let mut dispatcher = Dispatcher::new(Settings::default(), START);
     dispatcher.step(Input::Configure(specs, BTreeMap::from([class])), START);
-    dispatcher.step(Input::Boxes(BTreeSet::from([own()])), START);
+    dispatcher.step(Input::LiveBoxes(BTreeSet::from([own()])), START);
     dispatcher.step(Input::Sharers(1), START);
     dispatcher.step(Input::Report(own(), Report::Hello), START);
     dispatcher.step(Input::Report(own(), Report::Announced), START);
@@ -94,7 +94,7 @@
         preempted: 0,
         avoid: None,
         hold: Some(Duration::from_millis(500)),
-        rests: Vec::new(),
+        backoffs: Vec::new(),
     }
 }
 
--- a/tests/testsuite/throttle_issuer.rs
+++ b/tests/testsuite/throttle_issuer.rs
@@ -6,7 +6,7 @@
 
 use scalewood::core::{
     name,
-    throttle::{self, Alone, Heard, Issuer, Limit, Permits, Said, Wanted},
+    throttle::{self, Change, Fallback, Issuer, Limit, Parsed, Permits, Wanted},
     unit,
 };
 
@@ -32,19 +32,19 @@
 
 #[test]
 fn a_limit_is_read_in_all_its_forms() {
-    let read = |values: &[&str]| throttle::read(values.iter().copied());
-    assert_eq!(read(&[]), Said::Nothing);
-    assert_eq!(read(&[" 2.5 "]), Said::Limit(limit("2.5")));
-    assert_eq!(read(&["0"]), Said::Limit(limit("0")));
-    assert_eq!(read(&["1e9"]), Said::Limit(limit("1000000000")));
+    let read = |values: &[&str]| throttle::parse(values.iter().copied());
+    assert_eq!(read(&[]), Parsed::Absent);
+    assert_eq!(read(&[" 2.5 "]), Parsed::Limit(limit("2.5")));
+    assert_eq!(read(&["0"]), Parsed::Limit(limit("0")));
+    assert_eq!(read(&["1e9"]), Parsed::Limit(limit("1000000000")));
     for unreadable in ["", "nan", "inf", "-1", "soon", "2.5/s", "-0"] {
-        assert_eq!(read(&[unreadable]), Said::Unreadable, "{unreadable}");
+        assert_eq!(read(&[unreadable]), Parsed::Invalid, "{unreadable}");
     }
     // Twice, or joined on the way: the lower one.
-    assert_eq!(read(&["4", "2.5"]), Said::Limit(limit("2.5")));
-    assert_eq!(read(&["2.5, 4"]), Said::Limit(limit("2.5")));
-    assert_eq!(read(&["soon", "4"]), Said::Limit(limit("4")));
-    assert_eq!(read(&["4", "soon"]), Said::Limit(limit("4")));
+    assert_eq!(read(&["4", "2.5"]), Parsed::Limit(limit("2.5")));
+    assert_eq!(read(&["2.5, 4"]), Parsed::Limit(limit("2.5")));
+    assert_eq!(read(&["soon", "4"]), Parsed::Limit(limit("4")));
+    assert_eq!(read(&["4", "soon"]), Parsed::Limit(limit("4")));
     assert_eq!(limit("2.5").to_string(), "2.5");
     // One request now and then finds out whether it still holds.
     assert!(limit("0").per_second() > 0.0);
@@ -58,17 +58,17 @@
     let mut book = throttle::Book::default();
     let mut hear = |said: Option<&str>, sent_at, now| {
         let said = said.map(limit);
-        book.hear(&endpoint, start(1), said, millis(sent_at), millis(now))
+        book.observe(&endpoint, start(1), said, millis(sent_at), millis(now))
     };
-    assert_eq!(hear(None, 0, 50), Heard::Nothing);
-    assert_eq!(hear(Some("2.5"), 50, 100), Heard::Named(limit("2.5")));
-    assert_eq!(hear(None, 60, 110), Heard::Nothing);
+    assert_eq!(hear(None, 0, 50), Change::Unchanged);
+    assert_eq!(hear(Some("2.5"), 50, 100), Change::Set(limit("2.5")));
+    assert_eq!(hear(None, 60, 110), Change::Unchanged);
     // A higher one may be older, and a lower one binds at once.
-    assert_eq!(hear(Some("9"), 60, 120), Heard::Nothing);
-    assert_eq!(hear(Some("2"), 60, 130), Heard::Named(limit("2")));
-    assert_eq!(hear(Some("9"), 140, 150), Heard::Named(limit("9")));
-    assert_eq!(hear(None, 160, 200), Heard::Ended);
-    assert_eq!(hear(Some("3"), 210, 220), Heard::Named(limit("3")));
+    assert_eq!(hear(Some("9"), 60, 120), Change::Unchanged);
+    assert_eq!(hear(Some("2"), 60, 130), Change::Set(limit("2")));
+    assert_eq!(hear(Some("9"), 140, 150), Change::Set(limit("9")));
+    assert_eq!(hear(None, 160, 200), Change::Ended);
+    assert_eq!(hear(Some("3"), 210, 220), Change::Set(limit("3")));
 }
 
 #[test]
@@ -76,16 +76,16 @@
     let endpoint: name::Endpoint = name("i-1");
     let mut book = throttle::Book::default();
     let said = Some(limit("2.5"));
-    book.hear(&endpoint, start(2), said, second(1), second(2));
+    book.observe(&endpoint, start(2), said, second(1), second(2));
     assert_eq!(book.limit(&endpoint, start(2)), said);
     assert_eq!(book.limit(&endpoint, start(3)), None);
     // An answer of the start before comes late.
-    let late = book.hear(&endpoint, start(1), Some(limit("1")), second(1), second(3));
+    let late = book.observe(&endpoint, start(1), Some(limit("1")), second(1), second(3));
     assert_eq!(
         (late, book.limit(&endpoint, start(1))),
-        (Heard::Nothing, None)
+        (Change::Unchanged, None)
     );
-    book.hear(&endpoint, start(3), Some(limit("7")), second(3), second(4));
+    book.observe(&endpoint, start(3), Some(limit("7")), second(3), second(4));
     assert_eq!(book.limit(&endpoint, start(3)), Some(limit("7")));
     assert_eq!(book.limit(&endpoint, start(2)), None);
 }
@@ -97,7 +97,7 @@
     let endpoint: name::Endpoint = name("i-1");
     let (mut here, mut there) = (throttle::Book::default(), throttle::Book::default());
     let (mut told, mut told_back) = (0, 0);
-    here.hear(
+    here.observe(
         &endpoint,
         start(1),
         Some(limit("2.5")),
@@ -105,7 +105,7 @@
         second(1),
     );
     let tell = |from: &throttle::Book, to: &mut throttle::Book, told: &mut u64, now| {
-        let rows = from.news(told, now);
+        let rows = from.updates(told, now);
         // On its way.
         let now = now + millis(30);
         rows.iter().filter(|row| to.merge(row, now)).count()
@@ -117,10 +117,10 @@
     }
     // There it ends, and here it is named again later.
     assert_eq!(
-        there.hear(&endpoint, start(1), None, second(11), second(12)),
-        Heard::Ended
+        there.observe(&endpoint, start(1), None, second(11), second(12)),
+        Change::Ended
     );
-    here.hear(
+    here.observe(
         &endpoint,
         start(1),
         Some(limit("4")),
@@ -136,11 +136,11 @@
 fn a_permit_is_for_one_request_and_runs_out() {
     let two = limit("2");
     let mut permits = Permits::default();
-    assert!(!permits.permits(two, second(0)));
+    assert!(!permits.may_send(two, second(0)));
     permits.add(2, second(2));
     permits.take(two, second(1));
-    assert!(permits.permits(two, second(1)));
-    assert!(!permits.permits(two, second(2)));
+    assert!(permits.may_send(two, second(1)));
+    assert!(!permits.may_send(two, second(2)));
 }
 
 /// Where no voter issues permits, this box has one of its own for each of its parts of the limit.
@@ -148,22 +148,22 @@
 fn own_permits_come_one_by_one_and_run_out() {
     let two = limit("2");
     let mut permits = Permits::default();
-    permits.set_alone(Some(Alone {
+    permits.set_fallback(Some(Fallback {
         since: second(10),
         boxes: 4,
         phase: 0.0,
     }));
-    assert!(!permits.permits(two, second(11)));
-    assert!(permits.permits(two, second(12)));
+    assert!(!permits.may_send(two, second(11)));
+    assert!(permits.may_send(two, second(12)));
     permits.take(two, second(12));
-    assert!(!permits.permits(two, second(13)));
+    assert!(!permits.may_send(two, second(13)));
     // What was not used for long does not come together.
-    assert!(!permits.permits(two, millis(31_800)));
-    assert!(permits.permits(two, second(32)));
+    assert!(!permits.may_send(two, millis(31_800)));
+    assert!(permits.may_send(two, second(32)));
     permits.take(two, second(32));
-    assert!(!permits.permits(two, second(33)));
-    permits.set_alone(None);
-    assert!(!permits.permits(two, second(60)));
+    assert!(!permits.may_send(two, second(33)));
+    permits.set_fallback(None);
+    assert!(!permits.may_send(two, second(60)));
 }
 
 /// The window of the bound.
@@ -285,21 +285,21 @@
             limit: Some(self.limit),
             age: Duration::ZERO,
         };
-        let news = throttle::News {
+        let news = throttle::Message {
             limits: if asking.told { Vec::new() } else { vec![row] },
             wanted: vec![Wanted { endpoint, count: 6 }],
         };
         let issuer = &mut self.voters[voter].issuer;
-        let answer = issuer.ask(&asking.name, !asking.told, news, now);
+        let answer = issuer.handle_box(&asking.name, !asking.told, news, now);
         if lost {
             asking.told = false;
             return;
         }
         asking.told = true;
         asking.issued = self.now;
-        asking.permits.set_alone(None);
+        asking.permits.set_fallback(None);
         for issued in answer.issued {
-            asking.permits.add(issued.count, now + issued.left);
+            asking.permits.add(issued.count, now + issued.remaining);
         }
     }
 
@@ -314,13 +314,15 @@
         let names = (self.voters[from].name.clone(), self.voters[to].name.clone());
         let teller = &mut self.voters[from];
         let anew = teller.anew.remove(&to);
-        let news = teller.issuer.news_for(&names.1, anew, now);
-        let answer = self.voters[to].issuer.ask_for(&names.0, news, now);
+        let news = teller.issuer.message_for(&names.1, anew, now);
+        let answer = self.voters[to].issuer.handle_voter(&names.0, news, now);
         let teller = &mut self.voters[from];
         if lost {
             teller.anew.insert(to);
         } else {
-            teller.issuer.take(&names.1, Some(answer), now, now);
+            teller
+                .issuer
+                .handle_answer(&names.1, Some(answer), now, now);
         }
     }
 
@@ -333,13 +335,13 @@
                 continue;
             }
             if self.now >= asking.issued + 1000 {
-                asking.permits.set_alone(Some(Alone {
+                asking.permits.set_fallback(Some(Fallback {
                     since: millis(asking.issued + 1000),
                     boxes,
                     phase: asking.phase,
                 }));
             }
-            while asking.permits.permits(self.limit, now) {
+            while asking.permits.may_send(self.limit, now) {
                 asking.permits.take(self.limit, now);
                 // A connection takes its time.
                 let late = self.random.random_range(0..250);
--- a/tests/testsuite/usage.rs
+++ b/tests/testsuite/usage.rs
@@ -74,7 +74,7 @@
                 let told = random.random_bool(0.7) || step == 299;
                 if told {
                     let page = boxes[i].page(now_ms);
-                    books[boxes[i].voter].take(page);
+                    books[boxes[i].voter].merge(page);
                     // An answer is lost: the box tells the same once more.
                     if random.random_bool(0.8) {
                         boxes[i].told = boxes[i].tally.windows().clone();
@@ -98,7 +98,7 @@
         for _ in 0..2 {
             for book in &books {
                 for page in book.changed_since(0).pages {
-                    all.take(page);
+                    all.merge(page);
                 }
             }
         }
@@ -134,18 +134,18 @@
         heard_ms,
         rows: Vec::new(),
     };
-    book.take(page("e1", 1, end + 10));
-    book.take(page("e2", 1, end - 200));
-    book.take(page("e3", 1, end - 60_000));
+    book.merge(page("e1", 1, end + 10));
+    book.merge(page("e2", 1, end - 200));
+    book.merge(page("e3", 1, end - 60_000));
     let behind = |book: &Book| -> Vec<_> {
-        let behind = book.behind(end - 10_000, end);
+        let behind = book.lagging(end - 10_000, end);
         behind
             .into_iter()
             .map(|(source, _)| source.name.to_string())
             .collect()
     };
     assert_eq!(behind(&book), ["e2"], "e3 has long gone");
-    book.take(page("e2", 2, end + 500));
+    book.merge(page("e2", 2, end + 500));
     assert_eq!(behind(&book), Vec::<String>::new());
 }
 
@@ -155,12 +155,12 @@
     let mut book = Book::default();
     teller.tally.count(&team(1), START_MS);
     teller.tally.count(&team(2), START_MS);
-    book.take(teller.page(START_MS));
+    book.merge(teller.page(START_MS));
     let first = book.changed_since(0);
     assert_eq!(first.pages[0].rows[0].counts, counts(&[(1, 1), (2, 1)]));
     assert!(book.changed_since(first.stamp).pages.is_empty());
     teller.tally.count(&team(2), START_MS);
-    book.take(teller.page(START_MS));
+    book.merge(teller.page(START_MS));
     let second = book.changed_since(first.stamp);
     assert_eq!(second.pages[0].rows[0].counts, counts(&[(2, 2)]));
 }
@@ -208,7 +208,7 @@
         }
         let page = teller.page(START_MS);
         told += serde_json::to_vec(&page.rows).unwrap().len();
-        book.take(page);
+        book.merge(page);
     }
     let totals = book.totals(window);
     assert_eq!(totals.values().sum::<u64>(), 390 * 75);
@@ -228,12 +228,18 @@
     let names: Vec<name::Box> = ["c1", "c2"].map(|name| name.parse().unwrap()).into();
     let at = Duration::from_secs;
     let mut voters = Voters::default();
-    assert_eq!(voters.unheard_since(at(10)), None);
-    voters.note([(&names[0], true), (&names[1], false)].into_iter(), at(11));
-    assert_eq!(voters.unheard_since(at(10)), Some(vec![names[1].clone()]));
+    assert_eq!(voters.unanswered_since(at(10)), None);
+    voters.record_round([(&names[0], true), (&names[1], false)].into_iter(), at(11));
+    assert_eq!(
+        voters.unanswered_since(at(10)),
+        Some(vec![names[1].clone()])
+    );
     // It is taken off the members meanwhile, and is still waited for.
-    voters.note([(&names[0], true)].into_iter(), at(20));
-    assert_eq!(voters.unheard_since(at(15)), Some(vec![names[1].clone()]));
-    voters.note([(&names[0], true)].into_iter(), at(27));
-    assert_eq!(voters.unheard_since(at(25)), Some(vec![]));
+    voters.record_round([(&names[0], true)].into_iter(), at(20));
+    assert_eq!(
+        voters.unanswered_since(at(15)),
+        Some(vec![names[1].clone()])
+    );
+    voters.record_round([(&names[0], true)].into_iter(), at(27));
+    assert_eq!(voters.unanswered_since(at(25)), Some(vec![]));
 }
--- a/tests/testsuite/wall.rs
+++ b/tests/testsuite/wall.rs
@@ -5,7 +5,7 @@
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use scalewood::core::{
     name,
-    wall::{Follower, Readings},
+    wall_clock::{Follower, Readings},
 };
 
 const VOTERS: usize = 6;
@@ -36,7 +36,7 @@
         let told = |i: usize| true_ms.saturating_add_signed(skews[i] + jumped(i));
         for i in 1..VOTERS {
             if random.random_bool(0.5) {
-                readings.note(&voter(i), told(i), now, now);
+                readings.record(&voter(i), told(i), now, now);
             }
         }
         let agreed = readings.agree(told(0), VOTERS, now).unix_ms(now);
@@ -61,7 +61,7 @@
 fn a_voter_that_hears_no_majority_keeps_what_was_agreed() {
     let mut readings = Readings::default();
     for i in 1..VOTERS {
-        readings.note(&voter(i), EPOCH_MS, Duration::ZERO, Duration::ZERO);
+        readings.record(&voter(i), EPOCH_MS, Duration::ZERO, Duration::ZERO);
     }
     let agreed = readings.agree(EPOCH_MS, VOTERS, Duration::ZERO);
     // Cut off from the others, its own clock jumps.
@@ -78,7 +78,7 @@
     // The answer was slow; then one came fast, and one slow again.
     for (way_ms, shown_ms) in [(400, 390), (2, 1), (300, 20)] {
         let answered = asked + Duration::from_millis(way_ms);
-        follower.note(EPOCH_MS + shown_ms, asked, answered);
+        follower.record(EPOCH_MS + shown_ms, asked, answered);
     }
     let now = asked + Duration::from_secs(1);
     let off = follower.unix_ms(5, now).abs_diff(EPOCH_MS + 1000);
@@ -93,19 +93,19 @@
     let mut readings = Readings::default();
     let agreed = {
         for i in 1..VOTERS {
-            readings.note(&voter(i), EPOCH_MS, Duration::ZERO, Duration::ZERO);
+            readings.record(&voter(i), EPOCH_MS, Duration::ZERO, Duration::ZERO);
         }
         readings.agree(EPOCH_MS, VOTERS, Duration::ZERO)
     };
     let asked = Duration::from_millis(100);
     let thawed = Duration::from_millis(7700);
     for i in 1..VOTERS {
-        readings.note(&voter(i), EPOCH_MS + 101, asked, thawed);
+        readings.record(&voter(i), EPOCH_MS + 101, asked, thawed);
     }
     let now_ms = EPOCH_MS + 7700;
     assert_eq!(readings.agree(now_ms, VOTERS, thawed), agreed);
     let mut follower = Follower::default();
-    follower.note(EPOCH_MS, Duration::ZERO, Duration::ZERO);
-    follower.note(EPOCH_MS + 101, asked, thawed);
+    follower.record(EPOCH_MS, Duration::ZERO, Duration::ZERO);
+    follower.record(EPOCH_MS + 101, asked, thawed);
     assert_eq!(follower.unix_ms(0, thawed), now_ms);
 }
--- a/tests/testsuite/warm_up.rs
+++ b/tests/testsuite/warm_up.rs
@@ -6,11 +6,13 @@
 };
 
 use scalewood::core::{
-    dispatch::{Dispatcher, End, Input, Order, Report, Settings, Spec, Standing},
+    dispatch::{Admission, Dispatcher, End, Input, Order, Report, Settings, Spec},
     name,
     registry::{Merged, Record, Registry, State},
     unit,
-    warm_up::{Belief, Leases, Leeway, Left, Pass, Rate, Source, Uncordoned, Warming, LEASE},
+    warm_up::{
+        self, Leases, Leeway, Pass, Rate, Remaining, Source, Uncordoned, Warming, LEASE_DURATION,
+    },
 };
 
 use crate::placement::{ask, START};
@@ -39,14 +41,14 @@
         sequence,
         interruptible: false,
         incarnation: None,
-        warm_up: left.map(Left),
+        warm_up: left.map(Remaining),
     }
 }
 
 /// What is left of the warm-up of the registry's endpoint, in milliseconds.
 fn left(registry: &Registry, now: Duration) -> u128 {
     let belief = registry.warm_up(&"i".parse().unwrap()).unwrap();
-    let until = belief.until(&RATE, None, now);
+    let until = belief.ends_at(&RATE, None, now);
     until.map_or(0, |(until, _)| (until - now).as_millis())
 }
 
@@ -62,8 +64,8 @@
     );
     assert_eq!(voter.stamp(), stamp);
     // A box that starts in the middle hears what is left then.
-    let told = voter.told_since(0, START + ms(2000));
-    assert_eq!(told[0].warm_up, Some(Left(1000)));
+    let told = voter.records_since(0, START + ms(2000));
+    assert_eq!(told[0].warm_up, Some(Remaining(1000)));
     let mut started = Registry::default();
     let own = Duration::from_secs(7);
     started.merge(told[0].clone(), own);
@@ -110,13 +112,13 @@
     registry.merge(first, START);
     let until = |registry: &Registry, name: &str, now| {
         let belief = *registry.warm_up(&name.parse().unwrap()).unwrap();
-        belief.until(&RATE, None, now)
+        belief.ends_at(&RATE, None, now)
     };
     assert_eq!(until(&registry, "first", START), None);
     let now = START + ms(20_000);
     registry.merge(record(1, None), now);
     let believed = until(&registry, "i", now);
-    assert_eq!(believed, Some((now + ms(3000), Source::Begun)));
+    assert_eq!(believed, Some((now + ms(3000), Source::Started)));
     assert_eq!(until(&registry, "i", now + ms(3000)), None);
 }
 
@@ -124,18 +126,18 @@
 fn after_an_uncordon_endpoints_are_taken_for_cold_until_they_say_otherwise() {
     let zone: name::Zone = "z".parse().unwrap();
     let mut zones = Uncordoned::default();
-    zones.note(&BTreeSet::from([zone.clone()]), START);
-    assert_eq!(zones.at(&zone), None);
-    zones.note(&BTreeSet::new(), START + ms(100));
-    let at = zones.at(&zone);
+    zones.update(&BTreeSet::from([zone.clone()]), START);
+    assert_eq!(zones.uncordoned_at(&zone), None);
+    zones.update(&BTreeSet::new(), START + ms(100));
+    let at = zones.uncordoned_at(&zone);
     assert_eq!(at, Some(START + ms(100)));
-    let mut belief = Belief::new(false, START);
-    belief.hear(Some(Left(0)), START);
+    let mut belief = warm_up::State::new(false, START);
+    belief.observe(Some(Remaining(0)), START);
     let now = START + ms(500);
-    let believed = belief.until(&RATE, at, now);
+    let believed = belief.ends_at(&RATE, at, now);
     assert_eq!(believed, Some((START + ms(3100), Source::Uncordoned)));
-    belief.hear(Some(Left(0)), now);
-    assert_eq!(belief.until(&RATE, at, now), None);
+    belief.observe(Some(Remaining(0)), now);
+    assert_eq!(belief.ends_at(&RATE, at, now), None);
 }
 
 fn names(endpoints: &[&str]) -> Vec<name::Endpoint> {
@@ -148,20 +150,24 @@
     let wanted = names(&["a", "b", "c"]);
     let mut hub = Leases::default();
     // What was given before its start may hold still.
-    assert!(hub.give(&one, &wanted, 2, START).is_empty());
-    assert!(hub.give(&one, &wanted, 2, START + LEASE).is_empty());
-    let now = START + 2 * LEASE;
-    assert_eq!(hub.give(&one, &wanted, 2, now), names(&["a", "b"]));
-    assert_eq!(hub.give(&other, &wanted, 2, now), names(&["c"]));
+    assert!(hub.grant(&one, &wanted, 2, START).is_empty());
+    assert!(hub
+        .grant(&one, &wanted, 2, START + LEASE_DURATION)
+        .is_empty());
+    let now = START + 2 * LEASE_DURATION;
+    assert_eq!(hub.grant(&one, &wanted, 2, now), names(&["a", "b"]));
+    assert_eq!(hub.grant(&other, &wanted, 2, now), names(&["c"]));
     // It keeps what it has, though it wants others more by now.
     let wanted = names(&["c", "b", "a"]);
     let later = now + ms(500);
-    assert_eq!(hub.give(&one, &wanted, 2, later), names(&["b", "a"]));
+    assert_eq!(hub.grant(&one, &wanted, 2, later), names(&["b", "a"]));
     // It is not heard of any more.
     let wanted = names(&["a", "b"]);
-    assert!(hub.give(&other, &wanted, 1, later + LEASE).is_empty());
-    let over = later + LEASE + ms(100);
-    assert_eq!(hub.give(&other, &wanted, 1, over), wanted);
+    assert!(hub
+        .grant(&other, &wanted, 1, later + LEASE_DURATION)
+        .is_empty());
+    let over = later + LEASE_DURATION + ms(100);
+    assert_eq!(hub.grant(&other, &wanted, 1, over), wanted);
 }
 
 #[test]
@@ -175,7 +181,7 @@
             pass = Pass::default();
             pass.renew(now + ms(1000), 2, now);
         }
-        if pass.permits(&warming, now) {
+        if pass.may_send(&warming, now) {
             pass.take(&warming, now);
             granted.push(now);
         }
@@ -191,8 +197,8 @@
     let strict = Warming::new(Duration::MAX, &RATE, &Leeway::default());
     let mut pass = Pass::default();
     pass.renew(Duration::MAX, 2, START);
-    assert!(!pass.permits(&strict, START + ms(300)));
-    assert!(pass.permits(&strict, START + ms(350)));
+    assert!(!pass.may_send(&strict, START + ms(300)));
+    assert!(pass.may_send(&strict, START + ms(350)));
 }
 
 /// A dispatcher of three endpoints of one zone, with few slots, some of which warm up.
@@ -204,16 +210,16 @@
         name: format!("i-{place}").parse().unwrap(),
         slots,
         leaving: false,
-        away: false,
-        place,
+        in_other_zone: false,
+        rank: place,
         zone: "z".parse().unwrap(),
         slow: false,
         memory: None,
-        standing: Standing {
+        admission: Admission {
             warming: warming
                 .contains(&place)
                 .then(|| Warming::new(until, &RATE, &LEEWAY)),
-            ..Standing::default()
+            ..Admission::default()
         },
     });
     let class = scalewood::core::config::Class::default();
@@ -222,7 +228,7 @@
         ("long".parse().unwrap(), class),
     ]);
     dispatcher.step(Input::Configure(specs.collect(), classes), START);
-    dispatcher.step(Input::Boxes(BTreeSet::from([own.clone()])), START);
+    dispatcher.step(Input::LiveBoxes(BTreeSet::from([own.clone()])), START);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
     dispatcher.step(Input::Report(own, Report::Announced), START);
     dispatcher
@@ -264,10 +270,17 @@
     let orders = step(&mut all, Report::Ask(ask(1, "short", 1)), START);
     assert!(orders.is_empty(), "{orders:?}");
     assert_eq!(all.waiting(), 1);
-    let wanted: BTreeSet<_> = all.wants(START).into_iter().map(|(_, name)| name).collect();
+    let wanted: BTreeSet<_> = all
+        .wanted_leases(START)
+        .into_iter()
+        .map(|(_, name)| name)
+        .collect();
     assert_eq!(wanted, names(&["i-0", "i-1", "i-2"]).into_iter().collect());
     // A lease lets it go, a moment later.
-    all.step(Input::Leases(names(&["i-1"]), START + LEASE, 2), START);
+    all.step(
+        Input::Leases(names(&["i-1"]), START + LEASE_DURATION, 2),
+        START,
+    );
     assert_eq!(all.step(Input::Tick, START + ms(100)), []);
     let orders = all.step(Input::Tick, START + ms(160));
     let orders: Vec<_> = orders.into_iter().map(|(_, order)| order).collect();
@@ -289,7 +302,10 @@
     for at in (0..1000).step_by(10) {
         let now = START + ms(at);
         let leased = names(&["i-0"]);
-        assert_eq!(one.step(Input::Leases(leased, now + LEASE, 2), now), []);
+        assert_eq!(
+            one.step(Input::Leases(leased, now + LEASE_DURATION, 2), now),
+            []
+        );
         let orders = step(&mut one, Report::Ask(ask(at, "short", at)), now);
         for (request, endpoint) in grants(&orders) {
             *sent.entry(endpoint).or_default() += 1;
@@ -316,7 +332,7 @@
         let orders = step(&mut one, Report::Ask(ask(request, class, request)), START);
         assert!(orders.is_empty(), "{orders:?}");
     }
-    let leased = Input::Leases(names(&["i-0"]), START + LEASE, 2);
+    let leased = Input::Leases(names(&["i-0"]), START + LEASE_DURATION, 2);
     one.step(leased, START);
     let mut begun = Vec::new();
     for at in (20..900).step_by(20) {
