--- a/src/scalewood/board/entry.rs
+++ b/src/scalewood/board/entry.rs
@@ -15,8 +15,8 @@
 use crate::{
     board::{feed, view},
     core::{
-        attempt, catchup, claim, config, crash, dispatch, limit, member, name, pace, region,
-        registry, residency, rest, retry, throttle, unit, usage, wall, warm_up,
+        attempt, backoff, catchup, claim, config, crash, dispatch, limit, member, name, pace,
+        region, registry, residency, retry, throttle, unit, usage, wall_clock, warm_up,
     },
     util::{
         clock::Clock,
@@ -165,7 +165,7 @@
     /// The speeds of endpoints as this box measures them.
     pub paces: Mutex<pace::Meters>,
     /// The endpoints that want no requests from this box for a time.
-    pub rests: Mutex<rest::Book>,
+    pub rests: Mutex<backoff::Book>,
     /// The limits that endpoints set on the requests from all boxes together.
     pub throttles: Mutex<throttle::Book>,
     /// The requests during which endpoints have crashed.
@@ -181,7 +181,7 @@
     /// The number of requests that endpoints have begun for this box, by team and window.
     pub usage: Mutex<usage::Tally>,
     /// This box's estimate of the time of day that the voters agree on.
-    pub wall: Mutex<wall::Follower>,
+    pub wall: Mutex<wall_clock::Follower>,
     /// A random number that distinguishes this start of the process from others of the same box.
     pub start: u64,
     /// The number of voters whose registries this box follows.
@@ -229,7 +229,7 @@
             rand::random(),
         );
         let claims = claim::Holder::new(own.name.clone(), retention, now);
-        let rests = rest::Book::new(own.name.clone());
+        let rests = backoff::Book::new(own.name.clone());
         Self {
             own,
             clock,
@@ -318,16 +318,16 @@
     /// Returns how much longer an endpoint wants no requests from this box, if it asked for that.
     pub fn rest_left(&self, endpoint: &name::Endpoint) -> Option<Duration> {
         let start = self.start_of(endpoint);
-        lock(&self.rests).left(endpoint, start, self.clock.now())
+        lock(&self.rests).remaining(endpoint, start, self.clock.now())
     }
 
     /// Updates a rest to the known start of its endpoint and the time that is left; returns whether
     /// the rest still applies.
-    pub fn renew_rest(&self, told: &mut rest::Told) -> bool {
+    pub fn renew_rest(&self, told: &mut backoff::Notice) -> bool {
         let Some(left) = self.rest_left(&told.endpoint) else {
             return false;
         };
-        told.left = left;
+        told.remaining = left;
         told.start = self.start_of(&told.endpoint);
         true
     }
--- a/src/scalewood/ops/control/cordon.rs
+++ b/src/scalewood/ops/control/cordon.rs
@@ -25,7 +25,7 @@
     /// Commits an order to cordon or uncordon a zone if this voter leads.
     pub async fn cordon_here(&self, order: cordon::Order) -> Passed<change::Answer> {
         // An answer in the ledger is committed, so any voter that has it may repeat it.
-        if let Some(answer) = self.published().ledger.cordon_answered(&order) {
+        if let Some(answer) = self.published().ledger.previous_cordon_answer(&order) {
             return Passed::Answer(answer);
         }
         self.propose(ledger::Command::Cordon(order)).await
--- a/src/scalewood/ops/control/guarded.rs
+++ b/src/scalewood/ops/control/guarded.rs
@@ -15,7 +15,7 @@
 use socket2::SockRef;
 use tokio::{net::TcpStream, task::JoinHandle};
 
-use crate::{core::rest, ops};
+use crate::{core::backoff, ops};
 
 /// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -57,7 +57,7 @@
     /// The HTTP status.
     pub(super) status: StatusCode,
     /// How long the receiver wants no more calls, if it refused this one.
-    pub(super) rest: rest::Asked,
+    pub(super) rest: backoff::Parsed,
 }
 
 /// A connection that only the holder of a lease writes to. Dropping it resets the connection.
@@ -119,7 +119,7 @@
             let rest = if ops::rest::is_meant(status, true) {
                 ops::rest::asked(response.headers(), unix_ms)
             } else {
-                rest::Asked::Nothing
+                backoff::Parsed::Absent
             };
             // Once the body is read whole the connection can be reused; else it is closed.
             let _ = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
--- a/src/scalewood/ops/control/link.rs
+++ b/src/scalewood/ops/control/link.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    core::{agree, change, cordon, ledger, name},
+    core::{change, cordon, ledger, name, raft},
     event,
     ops::rpc,
     util::lock::lock,
@@ -30,7 +30,7 @@
 /// network partition closes no connection, and a new one is made.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-type Message = agree::Message<ledger::Ledger>;
+type Message = raft::Message<ledger::Ledger>;
 
 /// The queue of messages to one voter, which a task sends.
 #[derive(Debug)]
@@ -48,8 +48,8 @@
     own_address: SocketAddr,
     runtime: tokio::runtime::Handle,
     log: slog::Logger,
-    addresses: Arc<Mutex<HashMap<agree::Node, SocketAddr>>>,
-    links: Arc<Mutex<HashMap<agree::Node, Link>>>,
+    addresses: Arc<Mutex<HashMap<raft::Node, SocketAddr>>>,
+    links: Arc<Mutex<HashMap<raft::Node, Link>>>,
     leader: Arc<Mutex<Option<Connection>>>,
 }
 
@@ -68,13 +68,13 @@
 
     /// Records the address that a node named in a message. The membership takes precedence, but
     /// a new learner is not in it yet.
-    pub(super) fn learn(&self, node: &agree::Node, address: SocketAddr) {
+    pub(super) fn learn(&self, node: &raft::Node, address: SocketAddr) {
         lock(&self.addresses).insert(node.clone(), address);
     }
 
     /// Queues messages for their receivers; drops those without a known address or whose queue is
     /// full.
-    pub(super) fn send(&self, status: &agree::Status, sends: Vec<(agree::Node, Message)>) {
+    pub(super) fn send(&self, status: &raft::Status, sends: Vec<(raft::Node, Message)>) {
         if sends.is_empty() {
             return;
         }
@@ -98,7 +98,7 @@
 
     /// Returns the queue of the link to a node, which is created if the node has none at this
     /// address.
-    fn link(&self, to: &agree::Node, address: SocketAddr) -> mpsc::Sender<Envelope> {
+    fn link(&self, to: &raft::Node, address: SocketAddr) -> mpsc::Sender<Envelope> {
         let mut links = lock(&self.links);
         if let Some(link) = links.get(to).filter(|link| link.address == address) {
             return link.sender.clone();
@@ -117,7 +117,7 @@
     }
 
     /// Returns a connection to the leader, which is kept between calls.
-    async fn leader(&self, leader: Option<agree::Node>) -> Option<Arc<WsClient>> {
+    async fn leader(&self, leader: Option<raft::Node>) -> Option<Arc<WsClient>> {
         let address = lock(&self.addresses).get(&leader?).copied()?;
         let kept = lock(&self.leader)
             .clone()
@@ -133,7 +133,7 @@
     /// Calls the leader. On a timeout the outcome is unknown, and the connection is dropped.
     async fn call<T, F>(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         call: impl FnOnce(Arc<WsClient>) -> F,
     ) -> Passed<T>
     where
@@ -157,7 +157,7 @@
     /// Forwards a routing to the leader.
     pub(super) async fn forward_publication(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         publication: ledger::Publication,
     ) -> Passed<change::Answer> {
         let call = |client: Arc<WsClient>| async move { client.publish(publication).await };
@@ -167,7 +167,7 @@
     /// Reads the routing from the leader.
     pub(super) async fn forward_read(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
     ) -> Passed<Option<Arc<str>>> {
         let call = |client: Arc<WsClient>| async move { client.read().await };
         self.call(leader, call).await
@@ -176,7 +176,7 @@
     /// Forwards a change to the leader.
     pub(super) async fn forward_change(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         change: change::Change,
         operator: name::Operator,
     ) -> Passed<change::Answer> {
@@ -187,7 +187,7 @@
     /// Forwards an order to cordon or uncordon a zone to the leader.
     pub(super) async fn forward_cordon(
         &self,
-        leader: Option<agree::Node>,
+        leader: Option<raft::Node>,
         order: cordon::Order,
     ) -> Passed<change::Answer> {
         let call = |client: Arc<WsClient>| async move { client.cordon(order).await };
@@ -197,8 +197,8 @@
     /// Forwards a membership change to the leader.
     pub(super) async fn forward_members(
         &self,
-        leader: Option<agree::Node>,
-        request: agree::MembersRequest,
+        leader: Option<raft::Node>,
+        request: raft::MembersRequest,
     ) -> Passed<()> {
         let call = |client: Arc<WsClient>| async move { client.members(request).await };
         self.call(leader, call).await
@@ -207,7 +207,7 @@
 
 /// Sends the queued messages to one node until the link is dropped.
 async fn send_queued(
-    to: agree::Node,
+    to: raft::Node,
     address: SocketAddr,
     mut receiver: mpsc::Receiver<Envelope>,
     log: slog::Logger,
--- a/src/scalewood/ops/control/membership.rs
+++ b/src/scalewood/ops/control/membership.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    core::{agree, name},
+    core::{name, raft},
     event,
     ops::{control::Handle, rpc},
     util::clock::{self, Clock as _},
@@ -20,19 +20,19 @@
 
 /// The identity of all voters that form a new cluster. Each has to know the others' identities
 /// before their data folders exist, so it is fixed; every later folder gets a random one.
-pub(super) const FOUNDER_IDENTITY: agree::Identity = agree::Identity(1);
+pub(super) const FOUNDER_IDENTITY: raft::Identity = raft::Identity(1);
 
 /// Returns the members of a new cluster with voters at these addresses. Boxes are named after their
 /// IP addresses, since nothing else is known of them.
-pub(super) fn founders(addresses: &[SocketAddr]) -> agree::Members {
+pub(super) fn founders(addresses: &[SocketAddr]) -> raft::Members {
     let founders = addresses.iter().map(|address| {
-        let node = agree::Node {
+        let node = raft::Node {
             name: box_at(*address),
             identity: FOUNDER_IDENTITY,
         };
         (node, *address)
     });
-    agree::Members::of_all(founders)
+    raft::Members::with_voters(founders)
 }
 
 /// Returns the name of the box at an address.
@@ -55,7 +55,7 @@
 
 impl Monitor {
     /// Returns whether the node is no member, or has known of no leader for too long.
-    fn must_join(&mut self, status: &agree::Status, now: Duration) -> bool {
+    fn must_join(&mut self, status: &raft::Status, now: Duration) -> bool {
         if status.leader.is_some() {
             self.leaderless_since = None;
         } else {
@@ -110,7 +110,7 @@
 }
 
 /// Asks one voter to add this node. Returns the leader's address if that is another voter.
-async fn request_join(to: SocketAddr, node: agree::Node, own: SocketAddr) -> Option<SocketAddr> {
+async fn request_join(to: SocketAddr, node: raft::Node, own: SocketAddr) -> Option<SocketAddr> {
     let response = async {
         let client: Arc<WsClient> = rpc::connect(to).await.ok()?;
         client.join(node, own).await.ok()?
--- a/src/scalewood/ops/control/metric.rs
+++ b/src/scalewood/ops/control/metric.rs
@@ -135,7 +135,8 @@
         self.term.set(gauge_value(status.term.0));
         self.revision
             .set(gauge_value(published.ledger.revision().0));
-        self.version.set(gauge_value(published.ledger.version()));
+        self.version
+            .set(gauge_value(published.ledger.routing_version()));
         let cordoned = published.ledger.document().cordoned.len();
         self.cordoned
             .set(i64::try_from(cordoned).unwrap_or(i64::MAX));
--- a/src/scalewood/ops/control/provider/client.rs
+++ b/src/scalewood/ops/control/provider/client.rs
@@ -9,7 +9,7 @@
 
 use super::{Authority, Hold, Said, Settings};
 use crate::{
-    core::{limit, rest, unit},
+    core::{backoff, limit, unit},
     event,
     ops::control::guarded,
     util::clock::{self, Clock as _},
@@ -110,8 +110,8 @@
     }
 
     /// Records the time for which the provider wants no calls.
-    fn note_rest(&mut self, asked: rest::Asked) {
-        if let rest::Asked::For(length) = asked {
+    fn note_rest(&mut self, asked: backoff::Parsed) {
+        if let backoff::Parsed::For(length) = asked {
             self.rest_until = self.clock.now() + length.min(MAX_REST);
         }
     }
--- a/src/scalewood/ops/control/provider/mod.rs
+++ b/src/scalewood/ops/control/provider/mod.rs
@@ -2,7 +2,7 @@
 //! demand.
 //!
 //! A [`Dialect`] defines the paths, headers and bodies of its API. Only one holder at a time may
-//! call it (`core::tenure`), over one persistent connection.
+//! call it (`core::fencing`), over one persistent connection.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr};
 
@@ -11,7 +11,7 @@
 use hyper::{header, Request, StatusCode};
 
 use crate::{
-    core::{name, scaling, tenure, usage},
+    core::{fencing, name, scaling, usage},
     event,
 };
 
@@ -29,7 +29,7 @@
     /// The name of the calling process, which is the holder.
     pub caller: String,
     /// Its fencing token.
-    pub token: tenure::Token,
+    pub token: fencing::Token,
 }
 
 /// The outcome of a call to the provider.
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    core::{agree, load, name, pace, registry, throttle, unit, usage, wall},
+    core::{load, name, pace, raft, registry, throttle, unit, usage, wall_clock},
     event,
     ops::control::Handle,
     store::hints,
@@ -73,7 +73,7 @@
     /// The usage windows that this voter has reported to the provider.
     reported: Arc<Mutex<BTreeSet<usage::Window>>>,
     /// The times of day that voters reported.
-    readings: Arc<Mutex<wall::Readings>>,
+    readings: Arc<Mutex<wall_clock::Readings>>,
     /// Notifies the subscriptions that there is something new to send.
     changed: watch::Sender<u64>,
     /// The number of the next subscription.
@@ -135,7 +135,7 @@
         let service = record.service.clone();
         let incarnation = record.incarnation;
         let now = self.clock.now();
-        let is_new_here = lock(&self.own).merge(record.clone(), now).is_news();
+        let is_new_here = lock(&self.own).merge(record.clone(), now).must_propagate();
         let merged = lock(&self.registry).merge(record, now);
         if merged == registry::Merged::Restarted {
             // The reported paces are those of an earlier start.
@@ -144,11 +144,11 @@
             event!(self.log, EndpointRestarted, "endpoint" => %name,
                 "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
         }
-        if merged.is_news() {
+        if merged.must_propagate() {
             event!(self.log, EndpointAnnounced, "endpoint" => %name, "service" => %service,
                 "state" => ?state, "sequence" => sequence);
         }
-        if is_new_here || merged.is_news() {
+        if is_new_here || merged.must_propagate() {
             self.notify();
         }
     }
@@ -166,10 +166,10 @@
             Some(start) => lock(&self.own).end(name, start),
             None => lock(&self.own).leave(name),
         };
-        if merged.is_news() {
+        if merged.must_propagate() {
             event!(self.log, EndpointGone, "endpoint" => %name);
         }
-        if merged.is_news() || ended.is_news() {
+        if merged.must_propagate() || ended.must_propagate() {
             self.notify();
         }
     }
@@ -177,8 +177,8 @@
     /// Records the endpoints that, as a box reports, announced in responses that they are leaving.
     fn record_leaving(&self, from: &name::Box, leaving: &[registry::Leaving]) {
         for report in leaving {
-            let noted = lock(&self.registry).note_leaving(&report.name, report.start);
-            if noted.is_news() {
+            let noted = lock(&self.registry).record_leaving(&report.name, report.start);
+            if noted.must_propagate() {
                 self.forward_leaving(report);
                 event!(self.log, EndpointLeaving, "endpoint" => %report.name, "by" => %from,
                     "incarnation" => report.start.map(|start| start.0));
@@ -195,7 +195,7 @@
         if let Some(record) = known.filter(|_| own.get(&report.name).is_none()) {
             own.merge(record, self.clock.now());
         }
-        own.note_leaving(&report.name, report.start);
+        own.record_leaving(&report.name, report.start);
     }
 
     /// Records the paces that a box measured. Followers are sent the medians with the next message,
@@ -211,7 +211,7 @@
             }
             for paced in paces {
                 let reports = measured.entry(paced.endpoint.clone()).or_default();
-                let median = reports.take(from.clone(), paced.pace);
+                let median = reports.record(from.clone(), paced.pace);
                 news |= registry.set_pace(&paced.endpoint, median);
                 medians.push((paced.endpoint, median));
             }
@@ -271,7 +271,7 @@
     }
 
     /// Returns what a later start of this process should know.
-    fn hints(&self, committed: agree::Index) -> hints::Hints {
+    fn hints(&self, committed: raft::Index) -> hints::Hints {
         let held_back = lock(&self.hub).crashes().held_back_rows();
         let registry = lock(&self.registry);
         let since = self
@@ -303,7 +303,7 @@
             registry.set_pace(&paced.endpoint, paced.pace);
         }
         registry.regrade();
-        let until = self.clock.now() + registry.timing().restored();
+        let until = self.clock.now() + registry.timing().restored_timeout();
         *lock(&self.restored) = registry::Remembered::new(hints.endpoints.clone(), until);
     }
 
@@ -333,7 +333,7 @@
                 registry: registry.stamp(),
             },
             usage: usage.pages,
-            changed: registry.told_since(after.registry, self.clock.now()),
+            changed: registry.records_since(after.registry, self.clock.now()),
             gone: registry.gone_since(after.registry),
             ended: registry.ended_since(after.registry),
             left: left_since_stamp(&registry, after.registry.into()),
@@ -390,7 +390,7 @@
     /// Records another voter's time of day, from its answer to a call made at `asked`.
     pub(super) fn record_time(&self, from: &name::Box, unix_ms: u64, asked: Duration) {
         let answered = self.clock.now();
-        lock(&self.readings).note(from, unix_ms, asked, answered);
+        lock(&self.readings).record(from, unix_ms, asked, answered);
     }
 
     /// Returns the time of day on which that many voters agree, in milliseconds since the Unix
@@ -415,5 +415,5 @@
     if span.after == 0 {
         return Vec::new();
     }
-    registry.left_since(span)
+    registry.left_without_start_since(span)
 }
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -127,8 +127,8 @@
         &self,
         who: name::Box,
         full: bool,
-        report: load::News,
-        usage: usage::Told,
+        report: load::Update,
+        usage: usage::Report,
     ) -> RpcResult<Option<Exchanged>> {
         let now = self.endpoints.clock.now();
         let mut report = report;
@@ -142,9 +142,9 @@
         let Some(load) = load else {
             return Ok(None);
         };
-        let throttle = self.issuer().ask(&who, full, throttled, now);
+        let throttle = self.issuer().handle_box(&who, full, throttled, now);
         let unix_ms = self.unix_ms();
-        lock(&self.endpoints.book).take(usage::Page {
+        lock(&self.endpoints.book).merge(usage::Page {
             source: usage::Source {
                 name: who,
                 start: usage.start,
@@ -159,14 +159,14 @@
         }))
     }
 
-    async fn share(&self, who: name::Box, full: bool, report: load::News) -> RpcResult<Shared> {
+    async fn share(&self, who: name::Box, full: bool, report: load::Update) -> RpcResult<Shared> {
         let now = self.endpoints.clock.now();
         let mut report = report;
         let throttled = std::mem::take(&mut report.throttle);
         Ok(Shared {
-            known: lock(&self.endpoints.hub).take(&who, full, report, now),
+            known: lock(&self.endpoints.hub).apply(&who, full, report, now),
             unix_ms: self.endpoints.clock.unix_ms(),
-            throttle: Some(self.issuer().ask_for(&who, throttled, now)),
+            throttle: Some(self.issuer().handle_voter(&who, throttled, now)),
         })
     }
 
@@ -317,7 +317,7 @@
     span: registry::Span,
     now: Duration,
 ) {
-    news.changed = registry.told_since(span, now);
+    news.changed = registry.records_since(span, now);
     news.gone = registry.gone_since(span);
     news.ended = registry.ended_since(span);
     news.left = left_since_stamp(registry, span);
--- a/src/scalewood/ops/control/share.rs
+++ b/src/scalewood/ops/control/share.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinHandle;
 
 use crate::{
-    core::{agree, name},
+    core::{name, raft},
     event,
     ops::{
         control::{registry::Endpoints, Handle},
@@ -54,7 +54,7 @@
     clock: clock::System,
     log: slog::Logger,
 ) {
-    let mut peers: BTreeMap<agree::Node, (SocketAddr, JoinHandle<()>)> = BTreeMap::new();
+    let mut peers: BTreeMap<raft::Node, (SocketAddr, JoinHandle<()>)> = BTreeMap::new();
     loop {
         let status = handle.published().status;
         let members: BTreeMap<_, _> = status.members.addresses().collect();
@@ -62,7 +62,7 @@
             let stays = members.get(node) == Some(&&*address);
             if !stays {
                 task.abort();
-                lock(endpoints.hub()).unlink(&node.name);
+                lock(endpoints.hub()).forget_sent(&node.name);
             }
             stays
         });
@@ -107,7 +107,7 @@
                 event!(self.log, LoadsPassedOn, "voter" => %self.name);
                 self.report(&client).await;
                 event!(self.log, LoadsHeldBack, "voter" => %self.name);
-                lock(self.endpoints.hub()).unlink(&self.name);
+                lock(self.endpoints.hub()).forget_sent(&self.name);
             }
             tokio::time::sleep(RECONNECT_DELAY).await;
         }
@@ -164,8 +164,8 @@
         let mut period = MIN_PERIOD;
         loop {
             let now = self.clock.now();
-            let mut news = lock(self.endpoints.hub()).news_for(&self.name, full, now);
-            news.throttle = lock(self.endpoints.issuer()).news_for(&self.name, full, now);
+            let mut news = lock(self.endpoints.hub()).update_for(&self.name, full, now);
+            news.throttle = lock(self.endpoints.issuer()).message_for(&self.name, full, now);
             if full || !news.is_empty() || now >= reported_at + KEEPALIVE {
                 let call = client.share(self.own.clone(), full, news);
                 match tokio::time::timeout(ANSWER_TIMEOUT, call).await {
@@ -173,7 +173,7 @@
                         full = !shared.known;
                         self.endpoints.record_time(&self.name, shared.unix_ms, now);
                         let answered = self.clock.now();
-                        lock(self.endpoints.issuer()).take(
+                        lock(self.endpoints.issuer()).handle_answer(
                             &self.name,
                             shared.throttle,
                             now,
--- a/src/scalewood/ops/control/usage.rs
+++ b/src/scalewood/ops/control/usage.rs
@@ -77,7 +77,7 @@
         let running = end.saturating_sub(2 * millis(self.settings.window));
         let (missing, counts) = {
             let mut book = lock(self.endpoints.book());
-            let missing = book.behind(running, after(CLOCK_MARGIN));
+            let missing = book.lagging(running, after(CLOCK_MARGIN));
             let counts = book.totals(window);
             book.forget(
                 usage::Window(window.0.saturating_sub(RETAINED_WINDOWS)),
@@ -88,7 +88,7 @@
         let wait = self.settings.due.mul_f64(MAX_WAIT_RATIO);
         let ago = Duration::from_millis(now.saturating_sub(after(CLOCK_MARGIN)));
         let since = self.clock.now().saturating_sub(ago);
-        let Some(unheard) = lock(self.gathering.voters()).unheard_since(since) else {
+        let Some(unheard) = lock(self.gathering.voters()).unanswered_since(since) else {
             return;
         };
         let is_complete = missing.is_empty() && unheard.is_empty();
--- a/src/scalewood/ops/entry/crash.rs
+++ b/src/scalewood/ops/entry/crash.rs
@@ -107,7 +107,7 @@
         at_unix_ms: unix_ms,
         ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
     };
-    update(board, |book| book.ended(fingerprint, end, broke_at));
+    update(board, |book| book.record_end(fingerprint, end, broke_at));
 }
 
 /// Merges the rows that a voter sent about requests under which endpoints ended.
@@ -143,7 +143,7 @@
     let mut book = lock(&board.crashes);
     let is_held_back = book.is_held_back(&fingerprint);
     if is_held_back {
-        book.came(&fingerprint, now);
+        book.record_arrival(&fingerprint, now);
     }
     is_held_back
 }
@@ -161,7 +161,7 @@
         return false;
     }
     let head = content.head();
-    lock(&board.crashes).knows(head)
+    lock(&board.crashes).knows_head(head)
 }
 
 /// Applies a change to the book, logs the requests that it holds back from now on, and if there
--- a/src/scalewood/ops/entry/desk.rs
+++ b/src/scalewood/ops/entry/desk.rs
@@ -62,9 +62,9 @@
 ) {
     if let dispatch::Report::Ask(ask) = &mut report {
         let failed_at = ask.avoid.as_ref();
-        ask.rests = lock(&board.rests).news(to, service, failed_at, now(board));
+        ask.backoffs = lock(&board.rests).updates(to, service, failed_at, now(board));
         // Each rest goes with the current start of its endpoint; those that are over are left out.
-        ask.rests.retain_mut(|told| board.renew_rest(told));
+        ask.backoffs.retain_mut(|told| board.renew_rest(told));
     }
     if *to == board.own.name {
         take(board, &board.own.name.clone(), service, vec![report]);
@@ -111,7 +111,7 @@
     let mut dispatcher = dispatch::Dispatcher::new(settings, now);
     let view = board.view.load();
     let mut outputs = dispatcher.step(configuration(board, &view, service), now);
-    outputs.extend(dispatcher.step(dispatch::Input::Boxes(alive(board)), now));
+    outputs.extend(dispatcher.step(dispatch::Input::LiveBoxes(alive(board)), now));
     let sharers = board.sharers.load(Ordering::Relaxed);
     outputs.extend(dispatcher.step(dispatch::Input::Sharers(sharers), now));
     (dispatcher, outputs)
@@ -185,13 +185,13 @@
 ) -> Duration {
     let shard = board.dispatchers.shard(service);
     let dispatcher = shard.get(service);
-    dispatcher.map_or(least, |d| d.patience(endpoint, least, now(board)))
+    dispatcher.map_or(least, |d| d.max_silence(endpoint, least, now(board)))
 }
 
 /// Removes the requests of a box that is gone.
 pub(super) fn forget(board: &Shared, gone: &name::Box) {
     for service in held(board) {
-        input(board, &service, dispatch::Input::Gone(gone.clone()));
+        input(board, &service, dispatch::Input::BoxGone(gone.clone()));
     }
 }
 
@@ -315,7 +315,7 @@
             .set(i64::try_from(state.revision.0).unwrap_or(i64::MAX));
         lock(&self.board.claims).configure(view.box_zones(), now(&self.board));
         let cordoned = &view.document.cordoned;
-        lock(&self.board.uncordoned).note(cordoned, now(&self.board));
+        lock(&self.board.uncordoned).update(cordoned, now(&self.board));
         self.configure(&view);
         self.renew_residency(&view);
         self.log_unknown_regions(&view);
@@ -341,8 +341,11 @@
 
     /// Logs the items of the configuration that no known region may serve.
     fn log_unknown_regions(&self, view: &View) {
-        let unknown =
-            residency::unknown(&view.document, &self.board.own.regions, MAX_UNKNOWN_LOGGED);
+        let unknown = residency::items_with_unknown_regions(
+            &view.document,
+            &self.board.own.regions,
+            MAX_UNKNOWN_LOGGED,
+        );
         for item in unknown {
             event!(self.board.log, RegionUnknown, "item" => item, "revision" => %view.revision);
         }
@@ -357,7 +360,7 @@
         }
         let count = i64::try_from(cordoned.len()).unwrap_or(i64::MAX);
         board.metrics.cordoned.set(count);
-        let behind = lock(&board.catchup).behind(now(board));
+        let behind = lock(&board.catchup).lag(now(board));
         let names: Vec<_> = cordoned.iter().map(name::Zone::as_str).collect();
         event!(board.log, CordonsInForce, "zones" => names.join(" "),
             "revision" => %view.revision, "behind_ms" => behind.as_millis());
@@ -368,7 +371,7 @@
     fn refresh_registry(&mut self) {
         let (layout, stamp, count) = {
             let registry = lock(&self.board.registry);
-            (registry.layout(), registry.stamp(), registry.len())
+            (registry.dispatch_stamp(), registry.stamp(), registry.len())
         };
         if self.layout == layout {
             return;
@@ -418,7 +421,11 @@
             let boxes = self::alive(&self.board);
             let dead = self.alive.iter().filter(|name| !boxes.contains(*name));
             for service in held(&self.board) {
-                input(&self.board, &service, dispatch::Input::Boxes(boxes.clone()));
+                input(
+                    &self.board,
+                    &service,
+                    dispatch::Input::LiveBoxes(boxes.clone()),
+                );
                 // A box that was declared dead by mistake reports all its requests again.
                 dead.clone()
                     .for_each(|name| notify_gone(&self.board, name, &service));
@@ -574,7 +581,7 @@
 /// Reports to a dispatcher all requests that this box holds or waits for.
 pub(super) fn announce(board: &Shared, service: &name::Service, dispatcher: &name::Box) {
     let now = now(board);
-    lock(&board.rests).tell_anew(dispatcher, service);
+    lock(&board.rests).reset_dispatcher(dispatcher, service);
     tell(board, dispatcher, service, dispatch::Report::Hello);
     let mut reports = Vec::new();
     board.tickets.each(|shard| {
--- a/src/scalewood/ops/entry/directory.rs
+++ b/src/scalewood/ops/entry/directory.rs
@@ -173,7 +173,7 @@
     let mut registry = lock(&board.registry);
     let mut forgotten = registry.expire_restored(now);
     let linked_since = *lock(&board.linked_since);
-    let silence = registry.timing().silence();
+    let silence = registry.timing().max_silence();
     if linked_since.is_some_and(|since| now >= since + silence) {
         forgotten.extend(registry.expire_silent(now));
     }
@@ -204,7 +204,7 @@
             note_client(&followed, voter, Some(client.clone()));
             follow(&board, &followed, voter, &client).await;
             note_client(&followed, voter, None);
-            lock(&board.catchup).lost(voter);
+            lock(&board.catchup).remove_voter(voter);
             note_link(&board, false);
             event!(board.log, RegistryLost, "voter" => %voter);
         }
@@ -253,7 +253,7 @@
     let near = lock(followed)
         .get(&voter)
         .is_some_and(|v| v.is_in(&board.own.zone));
-    lock(&board.catchup).told(voter, revision, near, now(board));
+    lock(&board.catchup).record_announced(voter, revision, near, now(board));
     if revision > board.feed.current().revision {
         board.told.notify_one();
     }
@@ -293,7 +293,7 @@
         }
     };
     let by: name::Box = voucher_name(voter);
-    let voucher = lock(&board.registry).voucher(&by);
+    let voucher = lock(&board.registry).register_voucher(&by);
     let mut sent_stamp = 0;
     let mut heard_at = now(board);
     loop {
@@ -361,25 +361,25 @@
     }
     for leaving in news.leaving {
         if registry
-            .note_leaving(&leaving.name, leaving.start)
-            .is_news()
+            .record_leaving(&leaving.name, leaving.start)
+            .must_propagate()
         {
             event!(board.log, EndpointLeaving, "endpoint" => %leaving.name, "by" => "a voter",
                 "incarnation" => leaving.start.map(|start| start.0));
         }
     }
-    for name in registry.take_ends(&news.gone, &news.ended, &news.left) {
+    for name in registry.apply_ends(&news.gone, &news.ended, &news.left) {
         event!(board.log, EndpointGone, "endpoint" => %name);
     }
     for name in news.heard {
-        registry.hear(&name, now);
+        registry.record_heard(&name, now);
     }
     if let Some(voucher) = voucher {
         for name in &news.silent {
-            registry.withdraw(name, voucher);
+            registry.withdraw_vouch(name, voucher);
         }
         if news.vouches {
-            registry.vouched(voucher, now);
+            registry.record_vouch(voucher, now);
         }
     }
     for paced in news.paces {
@@ -410,7 +410,7 @@
             "incarnation" => incarnation.map(|i| i.0), "before" => before.map(|i| i.0),
             "sequence" => sequence);
     }
-    if !merged.is_news() {
+    if !merged.must_propagate() {
         return;
     }
     event!(board.log, EndpointAnnounced, "endpoint" => %name, "state" => ?state,
--- a/src/scalewood/ops/entry/exchange.rs
+++ b/src/scalewood/ops/entry/exchange.rs
@@ -15,7 +15,7 @@
 use jsonrpsee::ws_client::WsClient;
 
 use crate::{
-    core::{self, crash::Part, crash::Told, dispatch, follow, load, name, usage, warm_up},
+    core::{self, crash::Cursor, crash::Scope, dispatch, follow, load, name, usage, warm_up},
     event,
     ops::entry::{crash, desk, directory::Followed, now, throttle, Shared},
     util::{lock::lock, metric},
@@ -112,7 +112,7 @@
     /// The usage counts of this box as last sent to the voter.
     sent_usage: BTreeMap<usage::Window, usage::Counts>,
     /// How far the voter has been sent the requests during which endpoints crashed.
-    crashes: Told,
+    crashes: Cursor,
     /// The registry's stamp up to which the voter has been sent the endpoints that leave.
     leaving: u64,
     /// How far the voter has been sent the rate limits of endpoints.
@@ -134,7 +134,7 @@
             others: load::Loads::new(),
             bounds: Vec::new(),
             sent_usage: BTreeMap::new(),
-            crashes: Told::default(),
+            crashes: Cursor::default(),
             leaving: 0,
             limits: 0,
             issued_at,
@@ -195,12 +195,12 @@
         };
         let mut limits = self.limits;
         // The lock is released before `wanted` locks the dispatchers, which take it in turn.
-        let new_limits = lock(&self.board.throttles).news(&mut limits, now(&self.board));
-        let throttle = core::throttle::News {
+        let new_limits = lock(&self.board.throttles).updates(&mut limits, now(&self.board));
+        let throttle = core::throttle::Message {
             limits: new_limits,
             wanted: throttle::wanted(&self.board),
         };
-        let mut report = load::News {
+        let mut report = load::Update {
             loads: load::difference(&self.sent_loads, &own),
             placements: taken(&self.board, dispatch::Dispatcher::take_placements),
             outcomes: taken(&self.board, dispatch::Dispatcher::take_outcomes),
@@ -210,14 +210,14 @@
             } else {
                 Vec::new()
             },
-            crashes: lock(&self.board.crashes).news(&mut crashes, Part::Own),
+            crashes: lock(&self.board.crashes).updates(&mut crashes, Scope::Local),
             leaving,
             throttle,
-            ..load::News::default()
+            ..load::Update::default()
         };
         count_requests(&self.board, &mut report);
         let counted = lock(&self.board.usage).windows().clone();
-        let usage = usage::Told {
+        let usage = usage::Report {
             start: self.board.start,
             rows: usage::difference(&self.sent_usage, &counted),
         };
@@ -237,14 +237,14 @@
                 self.board.exchanged.send_replace(begun);
                 self.boxes = answer.load.boxes;
                 let answered = now(&self.board);
-                lock(&self.board.wall).note(answer.unix_ms, asked, answered);
-                self.apply(answer.load.news, full);
+                lock(&self.board.wall).record(answer.unix_ms, asked, answered);
+                self.apply(answer.load.update, full);
                 if let Some(throttle) = answer.throttle {
                     self.apply_permits(throttle, voter, asked);
                 }
                 self.board.held_back_known.store(true, Ordering::Relaxed);
                 if !answer.load.leased.is_empty() {
-                    let until = asked + warm_up::LEASE;
+                    let until = asked + warm_up::LEASE_DURATION;
                     let leased = answer.load.leased;
                     self.tell(&dispatch::Input::Leases(leased, until, hubs));
                 }
@@ -262,7 +262,7 @@
         throttle::merge(&self.board, &answer.limits, from);
         throttle::take(&self.board, answer.issued, asked);
         if now(&self.board) >= self.issued_at + PERMIT_TIMEOUT {
-            self.tell(&dispatch::Input::Alone(None));
+            self.tell(&dispatch::Input::PermitsUnavailable(None));
         }
         self.issued_at = now(&self.board);
     }
@@ -271,16 +271,16 @@
     fn fall_back(&self) {
         let since = self.issued_at + PERMIT_TIMEOUT;
         if now(&self.board) >= since {
-            self.tell(&dispatch::Input::Alone(Some(since)));
+            self.tell(&dispatch::Input::PermitsUnavailable(Some(since)));
         }
     }
 
-    fn apply(&mut self, news: load::News, full: bool) {
+    fn apply(&mut self, news: load::Update, full: bool) {
         if !news.placements.is_empty() {
-            self.tell(&dispatch::Input::Placed(news.placements));
+            self.tell(&dispatch::Input::Placements(news.placements));
         }
         if !news.prompts.is_empty() {
-            self.tell(&dispatch::Input::Prompts(news.prompts));
+            self.tell(&dispatch::Input::PromptSizes(news.prompts));
         }
         if !news.risks.is_empty() {
             let risk = |risk: &load::Risk| format!("{}:{}", risk.endpoint, risk.chance.0);
@@ -295,10 +295,10 @@
         }
         if full {
             load::merge(&mut self.others, news.loads);
-            self.tell(&dispatch::Input::Others(Some(self.others.clone())));
+            self.tell(&dispatch::Input::OtherLoads(Some(self.others.clone())));
             return;
         }
-        self.tell(&dispatch::Input::OthersChanged(news.loads.clone()));
+        self.tell(&dispatch::Input::OtherLoadsChanged(news.loads.clone()));
         load::merge(&mut self.others, news.loads);
     }
 
@@ -333,13 +333,13 @@
     fn reset(&mut self) {
         if let Some(voter) = self.voter.take() {
             event!(self.board.log, LoadsGuessed, "voter" => %voter);
-            self.tell(&dispatch::Input::Others(None));
+            self.tell(&dispatch::Input::OtherLoads(None));
         }
         self.set_bounds(Vec::new());
         self.sent_loads.clear();
         self.others.clear();
         self.sent_usage.clear();
-        self.crashes = Told::default();
+        self.crashes = Cursor::default();
         self.leaving = 0;
         self.limits = 0;
     }
@@ -354,7 +354,7 @@
 /// Returns the warming endpoints that the dispatchers here would send to, the most wanted first.
 fn wanted(board: &Shared) -> Vec<name::Endpoint> {
     let now = now(board);
-    let mut wanted = taken(board, |dispatcher| dispatcher.wants(now));
+    let mut wanted = taken(board, |dispatcher| dispatcher.wanted_leases(now));
     wanted.sort_by_key(|(count, _)| Reverse(*count));
     wanted.into_iter().map(|(_, name)| name).collect()
 }
@@ -375,7 +375,7 @@
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
             for row in dispatcher.take_precedence() {
-                for (outcome, count) in [("held", row.met.held), ("begun", row.met.begun)] {
+                for (outcome, count) in [("held", row.tally.held), ("begun", row.tally.begun)] {
                     let label = metric::PrecedenceLabel {
                         service: service.to_string(),
                         refused: row.refused.to_string(),
@@ -391,11 +391,11 @@
 }
 
 /// Adds to a report the requests that arrived, started or were refused here since the last call.
-fn count_requests(board: &Shared, report: &mut load::News) {
+fn count_requests(board: &Shared, report: &mut load::Update) {
     board.dispatchers.each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
             for (class, counts) in dispatcher.take_counts() {
-                report.count(service, &class, counts);
+                report.add_counts(service, &class, counts);
             }
         }
     });
--- a/src/scalewood/ops/entry/fetch.rs
+++ b/src/scalewood/ops/entry/fetch.rs
@@ -71,7 +71,7 @@
             () = board.told.notified() => {}
             changed = feed.changed() => if changed.is_err() { return },
             Some((voter, succeeded)) = fetches.next() => {
-                lock(&board.catchup).answered(voter, succeeded, now(&board));
+                lock(&board.catchup).record_answer(voter, succeeded, now(&board));
             }
             () = tokio::time::sleep(wait) => {}
         }
@@ -81,8 +81,8 @@
 /// Records the revision in force, and returns whether no voter announced a newer one.
 fn record_revision(board: &Shared, own: unit::Revision) -> bool {
     let mut catchup = lock(&board.catchup);
-    let caught_up = catchup.reached(own);
-    let behind = catchup.behind(now(board));
+    let caught_up = catchup.record_applied(own);
+    let behind = catchup.lag(now(board));
     board.metrics.behind.set(behind.as_secs_f64());
     caught_up
 }
@@ -92,7 +92,7 @@
     let now = now(board);
     let (behind, newest) = {
         let catchup = lock(&board.catchup);
-        (catchup.behind(now), catchup.newest())
+        (catchup.lag(now), catchup.newest())
     };
     if behind < BEHIND_CHECK_INTERVAL || now < *logged_at + BEHIND_CHECK_INTERVAL {
         return;
@@ -114,7 +114,7 @@
     let took = now(&board).saturating_sub(asked_at);
     match &taken {
         Ok(revision) => {
-            let behind = lock(&board.catchup).behind(now(&board));
+            let behind = lock(&board.catchup).lag(now(&board));
             event!(board.log, RevisionInForce, "revision" => %revision, "voter" => %voter,
                 "took_ms" => took.as_millis(), "behind_ms" => behind.as_millis());
         }
--- a/src/scalewood/ops/entry/reply.rs
+++ b/src/scalewood/ops/entry/reply.rs
@@ -86,7 +86,7 @@
                       ask an operator to permit it again"
                 .into(),
             verdict,
-            retry_after: Some(crash::REMEMBERED),
+            retry_after: Some(crash::RETENTION),
         }
     }
 
--- a/src/scalewood/ops/entry/routed/again.rs
+++ b/src/scalewood/ops/entry/routed/again.rs
@@ -27,7 +27,7 @@
 /// Records a request of a service, which earns its budget a fraction of a retry.
 pub(super) fn earn<D>(context: &Context<D>, service: &name::Service) {
     let board = &context.board;
-    let share = context.retries.part(board.sharers.load(Ordering::Relaxed));
+    let share = context.retries.share(board.sharers.load(Ordering::Relaxed));
     let mut shard = board.budgets.shard(service);
     let budget = budget(&mut shard, service, share);
     budget.set(share);
@@ -97,8 +97,8 @@
     (earned, most): (f64, f64),
 ) -> &'a mut retry::Budget {
     let settings = retry::Settings {
-        earned,
-        most,
+        earned_per_request: earned,
+        capacity: most,
         base: MAX_FIRST_WAIT,
         cap: MAX_WAIT,
         attempts: MAX_ATTEMPTS,
--- a/src/scalewood/ops/rest.rs
+++ b/src/scalewood/ops/rest.rs
@@ -2,17 +2,17 @@
 
 use hyper::{header, HeaderMap, StatusCode};
 
-use crate::core::rest;
+use crate::core::backoff;
 
 /// Returns the rest that an answer asks for. A date in `Retry-After` is compared with the answer's
 /// `Date`, or with `unix_ms`, the time of day here, if it has none.
-pub(in crate::ops) fn asked(headers: &HeaderMap, unix_ms: u64) -> rest::Asked {
+pub(in crate::ops) fn asked(headers: &HeaderMap, unix_ms: u64) -> backoff::Parsed {
     let values = headers.get_all(header::RETRY_AFTER).into_iter();
     // A value that is not text is passed on as one that can't be parsed as a time.
     let values = values.map(|value| value.to_str().unwrap_or("?"));
     let date = headers.get(header::DATE);
     let date = date.and_then(|date| date.to_str().ok());
-    rest::read(values, date, unix_ms)
+    backoff::parse(values, date, unix_ms)
 }
 
 /// Returns whether `Retry-After` in an answer with this status applies to every request from its
--- a/src/scalewood/store/hints.rs
+++ b/src/scalewood/store/hints.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::{agree, crash, pace, registry};
+use crate::core::{crash, pace, raft, registry};
 
 /// The name of the file in the data folder.
 const FILE_NAME: &str = "hints.json";
@@ -30,7 +30,7 @@
     /// endpoints after a loss of power on all machines.
     pub held_back: Vec<crash::Row>,
     /// The index of the last entry of the journal that was known to be committed.
-    pub committed: agree::Index,
+    pub committed: raft::Index,
 }
 
 /// The file that holds a voter's hints.
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::agree::{self, Kept, State, Write},
+    core::raft::{self, Persisted, State, Write},
     store::media,
 };
 
@@ -67,7 +67,7 @@
     /// The journal.
     pub journal: Journal<M>,
     /// The state that its records add up to.
-    pub kept: Kept<S>,
+    pub kept: Persisted<S>,
     /// The size in bytes of the torn last record, which was dropped.
     pub dropped: usize,
 }
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// Fails if the file can't be written.
-    pub fn create<S: State>(mut media: M, kept: Kept<S>) -> Result<Self, Error> {
+    pub fn create<S: State>(mut media: M, kept: Persisted<S>) -> Result<Self, Error> {
         let bytes = encode_state(&kept)?;
         media.replace(FILE_NAME, &bytes)?;
         Ok(Self {
@@ -115,7 +115,7 @@
     /// Fails if the journal is missing or damaged.
     pub fn open<S: State>(mut media: M) -> Result<Opened<M, S>, Error> {
         let bytes = media.read(FILE_NAME)?.ok_or(Error::Missing)?;
-        let mut kept = Kept::default();
+        let mut kept = Persisted::default();
         let mut offset = 0;
         let mut records = 0;
         while offset < bytes.len() {
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// Fails if the file can't be written; the old journal then remains.
-    pub fn compact<S: State>(&mut self, kept: &Kept<S>) -> Result<(), Error> {
+    pub fn compact<S: State>(&mut self, kept: &Persisted<S>) -> Result<(), Error> {
         let bytes = encode_state(kept)?;
         self.media.replace(FILE_NAME, &bytes)?;
         self.length = bytes.len();
@@ -192,7 +192,7 @@
 }
 
 /// Encodes a state as a journal of a single record.
-fn encode_state<S: State>(kept: &Kept<S>) -> Result<Vec<u8>, Error> {
+fn encode_state<S: State>(kept: &Persisted<S>) -> Result<Vec<u8>, Error> {
     let mut writes = vec![
         Write::Restart(kept.snapshot.clone()),
         Write::Vote(kept.term, kept.voted.clone()),
@@ -265,17 +265,17 @@
 #[derive(Debug)]
 pub struct Keeper<M, S: State> {
     journal: Journal<M>,
-    kept: Kept<S>,
+    kept: Persisted<S>,
 }
 
 impl<M: media::Media, S: State> Keeper<M, S> {
     /// Returns a keeper of a journal, which holds the given state.
-    pub fn new(journal: Journal<M>, kept: Kept<S>) -> Self {
+    pub fn new(journal: Journal<M>, kept: Persisted<S>) -> Self {
         Self { journal, kept }
     }
 
     /// Returns the state that the journal holds.
-    pub fn kept(&self) -> &Kept<S> {
+    pub fn kept(&self) -> &Persisted<S> {
         &self.kept
     }
 
@@ -289,7 +289,7 @@
     /// # Errors
     ///
     /// Fails if they can't be written; the voter must then stop.
-    pub fn keep(&mut self, writes: Vec<agree::Write<S>>) -> Result<bool, Error> {
+    pub fn keep(&mut self, writes: Vec<raft::Write<S>>) -> Result<bool, Error> {
         if !compacts(&writes) {
             for write in &writes {
                 self.kept.replay(write.clone());
--- a/src/scalewood/wire/admin.rs
+++ b/src/scalewood/wire/admin.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    agree, audit, change, config, cordon, fingerprint, name, tenure, unit, usage, verdict,
+    audit, change, config, cordon, fencing, fingerprint, name, raft, unit, usage, verdict,
 };
 
 /// The prefix of all paths of the API.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// The voter's own status.
-    pub voter: agree::Status,
+    pub voter: raft::Status,
     /// The revision in force.
     pub revision: unit::Revision,
     /// The entry boxes that have reported to this voter.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Provider {
     /// The process that carries out the tasks, if there is one.
-    pub holder: Option<tenure::Holder>,
+    pub holder: Option<fencing::Holder>,
     /// The usage windows that are retained.
     pub usage: BTreeMap<usage::Window, usage::Agreed>,
     /// The number of endpoints in the last order, by service, zone and kind.
@@ -78,7 +78,7 @@
     /// The zone.
     pub zone: name::Zone,
     /// Whether the zone is to be cordoned or uncordoned.
-    pub act: cordon::Act,
+    pub act: cordon::Action,
     /// The reason, which is recorded in the audit trail.
     pub why: String,
 }
--- a/src/scalewood/wire/control.rs
+++ b/src/scalewood/wire/control.rs
@@ -6,19 +6,19 @@
 use jsonrpsee::{core::RpcResult, proc_macros::rpc};
 use serde::{Deserialize, Serialize};
 
-use crate::core::{agree, change, cordon, ledger, name, throttle, unit};
+use crate::core::{change, cordon, ledger, name, raft, throttle, unit};
 
 /// A message between voters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
-    pub from: agree::Node,
+    pub from: raft::Node,
     /// The address at which the sender receives answers.
     pub address: SocketAddr,
     /// The node that the message is for; any other node must discard it.
-    pub to: agree::Node,
+    pub to: raft::Node,
     /// The message.
-    pub message: agree::Message<ledger::Ledger>,
+    pub message: raft::Message<ledger::Ledger>,
 }
 
 /// An entry box's report about itself.
@@ -90,9 +90,9 @@
 
     /// Adds a node to the members. Returns the leader's address if another voter is the leader.
     #[method(name = "join")]
-    async fn join(&self, node: agree::Node, address: SocketAddr) -> RpcResult<Option<SocketAddr>>;
+    async fn join(&self, node: raft::Node, address: SocketAddr) -> RpcResult<Option<SocketAddr>>;
 
     /// Proposes a membership change that another voter forwards for an operator.
     #[method(name = "members")]
-    async fn members(&self, request: agree::MembersRequest) -> RpcResult<Passed<()>>;
+    async fn members(&self, request: raft::MembersRequest) -> RpcResult<Passed<()>>;
 }
--- a/src/scalewood/wire/registry.rs
+++ b/src/scalewood/wire/registry.rs
@@ -186,13 +186,13 @@
         &self,
         who: name::Box,
         anew: bool,
-        told: load::News,
-        usage: usage::Told,
+        told: load::Update,
+        usage: usage::Report,
     ) -> RpcResult<Option<Exchanged>>;
 
     /// Records the loads of another voter's boxes: the changed ones, or all if `anew`.
     #[method(name = "share")]
-    async fn share(&self, who: name::Box, anew: bool, told: load::News) -> RpcResult<Shared>;
+    async fn share(&self, who: name::Box, anew: bool, told: load::Update) -> RpcResult<Shared>;
 
     /// Returns what boxes and endpoints have reported to this voter since some stamps.
     #[method(name = "gather")]
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -11,16 +11,16 @@
 use scalewood::{
     board::feed::Feed,
     core::{
-        agree::State as _,
-        change::{Answer, Change, Edit, Item, Step, What},
+        change::{Answer, Change, Delta, Edit, Item, Step},
         config,
-        cordon::{Act, Mark, Order, MAX_ZONES},
+        cordon::{Action, Mark, Order, MAX_ZONES},
         dispatch::{
-            Ask, Dispatcher, Input, Order as DispatchOrder, Reason, Report, Settings, Spec,
-            Standing,
+            Admission, Ask, Dispatcher, Input, Order as DispatchOrder, Reason, Report, Settings,
+            Spec,
         },
         ledger::{Command, Ledger, Proposal, Publication},
         name,
+        raft::State as _,
         registry::State,
         unit,
     },
@@ -42,14 +42,14 @@
 /// The longest that an order may take to be acknowledged while a leader can be elected.
 const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(5);
 
-fn mark(act: Act, zone: &str) -> Mark {
+fn mark(act: Action, zone: &str) -> Mark {
     Mark {
         zone: zone.parse().unwrap(),
         act,
     }
 }
 
-fn order(act: Act, zone: &str, id: Option<&str>) -> Order {
+fn order(act: Action, zone: &str, id: Option<&str>) -> Order {
     Order {
         mark: mark(act, zone),
         operator: "nara".parse().unwrap(),
@@ -59,7 +59,7 @@
     }
 }
 
-fn apply_order(ledger: &mut Ledger, act: Act, zone: &str, id: Option<&str>) -> Answer {
+fn apply_order(ledger: &mut Ledger, act: Action, zone: &str, id: Option<&str>) -> Answer {
     ledger.apply(&Command::Cordon(order(act, zone, id)))
 }
 
@@ -106,24 +106,24 @@
 fn an_order_makes_a_revision_and_a_record_only_if_it_changes_something() {
     let mut ledger = Ledger::default();
     assert_eq!(
-        apply_order(&mut ledger, Act::Uncordon, "a", None),
+        apply_order(&mut ledger, Action::Uncordon, "a", None),
         accepted(0)
     );
     assert_eq!(
-        apply_order(&mut ledger, Act::Cordon, "a", None),
+        apply_order(&mut ledger, Action::Cordon, "a", None),
         accepted(1)
     );
     assert_eq!(
-        apply_order(&mut ledger, Act::Cordon, "a", None),
+        apply_order(&mut ledger, Action::Cordon, "a", None),
         accepted(1)
     );
     assert_eq!(
-        apply_order(&mut ledger, Act::Cordon, "b", None),
+        apply_order(&mut ledger, Action::Cordon, "b", None),
         accepted(2)
     );
     assert_eq!(cordoned(ledger.document()), ["a", "b"]);
     assert_eq!(
-        apply_order(&mut ledger, Act::Uncordon, "a", None),
+        apply_order(&mut ledger, Action::Uncordon, "a", None),
         accepted(3)
     );
     assert_eq!(cordoned(ledger.document()), ["b"]);
@@ -139,11 +139,11 @@
 #[test]
 fn a_resend_under_an_id_gets_its_first_answer_and_does_nothing() {
     let mut ledger = Ledger::default();
-    let first = apply_order(&mut ledger, Act::Cordon, "a", Some("one"));
+    let first = apply_order(&mut ledger, Action::Cordon, "a", Some("one"));
     assert_eq!(first, accepted(1));
-    apply_order(&mut ledger, Act::Uncordon, "a", Some("two"));
+    apply_order(&mut ledger, Action::Uncordon, "a", Some("two"));
     assert_eq!(
-        apply_order(&mut ledger, Act::Cordon, "a", Some("one")),
+        apply_order(&mut ledger, Action::Cordon, "a", Some("one")),
         first
     );
     assert!(
@@ -151,14 +151,14 @@
         "the resend was applied again"
     );
     // The answer to an order that changed nothing is kept too.
-    let idle = apply_order(&mut ledger, Act::Uncordon, "b", Some("idle"));
-    apply_order(&mut ledger, Act::Cordon, "b", None);
+    let idle = apply_order(&mut ledger, Action::Uncordon, "b", Some("idle"));
+    apply_order(&mut ledger, Action::Cordon, "b", None);
     assert_eq!(
-        apply_order(&mut ledger, Act::Uncordon, "b", Some("idle")),
+        apply_order(&mut ledger, Action::Uncordon, "b", Some("idle")),
         idle
     );
     assert_eq!(cordoned(ledger.document()), ["b"]);
-    let other = apply_order(&mut ledger, Act::Cordon, "c", Some("one"));
+    let other = apply_order(&mut ledger, Action::Cordon, "c", Some("one"));
     assert!(matches!(other, Answer::NotApplied { .. }), "{other:?}");
     assert_eq!(cordoned(ledger.document()), ["b"]);
 }
@@ -167,23 +167,23 @@
 fn a_routing_that_is_published_and_a_change_keep_the_cordons() {
     let mut ledger = Ledger::default();
     publish(&mut ledger, 1);
-    apply_order(&mut ledger, Act::Cordon, "a", None);
+    apply_order(&mut ledger, Action::Cordon, "a", None);
     publish(&mut ledger, 2);
     set_service(&mut ledger, "parts");
     assert_eq!(cordoned(ledger.document()), ["a"]);
-    assert_eq!(ledger.version(), 2);
+    assert_eq!(ledger.routing_version(), 2);
 }
 
 #[test]
 fn names_that_are_no_zones_can_not_make_the_document_grow_for_ever() {
     let mut ledger = Ledger::default();
     for number in 0..MAX_ZONES {
-        let answer = apply_order(&mut ledger, Act::Cordon, &format!("z{number}"), None);
+        let answer = apply_order(&mut ledger, Action::Cordon, &format!("z{number}"), None);
         assert!(matches!(answer, Answer::Accepted { .. }), "{answer:?}");
     }
-    let answer = apply_order(&mut ledger, Act::Cordon, "more", None);
+    let answer = apply_order(&mut ledger, Action::Cordon, "more", None);
     assert!(matches!(answer, Answer::NotApplied { .. }), "{answer:?}");
-    let again = apply_order(&mut ledger, Act::Cordon, "z0", None);
+    let again = apply_order(&mut ledger, Action::Cordon, "z0", None);
     assert!(matches!(again, Answer::Accepted { .. }), "{again:?}");
 }
 
@@ -226,8 +226,8 @@
                     operator: "publisher".parse().unwrap(),
                     at_unix_ms: 1,
                 }),
-                1..=3 => Command::Cordon(order(Act::Cordon, &zone, id.as_deref())),
-                _ => Command::Cordon(order(Act::Uncordon, &zone, id.as_deref())),
+                1..=3 => Command::Cordon(order(Action::Cordon, &zone, id.as_deref())),
+                _ => Command::Cordon(order(Action::Uncordon, &zone, id.as_deref())),
             };
             let answer = ledger.apply(&command);
             if let Some(joined) = &mut joined {
@@ -255,7 +255,7 @@
     if ledger.revision() <= have {
         return;
     }
-    match ledger.since(have) {
+    match ledger.steps_since(have) {
         Some(steps) if have.0 > 0 => {
             for step in steps {
                 assert!(feed.publish_step(step));
@@ -279,13 +279,13 @@
         let feed = Feed::default();
         update_feed(&feed, &ledger);
         let from = feed.current().revision;
-        apply_order(&mut ledger, Act::Cordon, "a", None);
+        apply_order(&mut ledger, Action::Cordon, "a", None);
         update_feed(&feed, &ledger);
         let steps = feed.current().since(from).unwrap();
-        assert!(matches!(&steps[0].what, What::Cordons(d) if d.len() == 1));
+        assert!(matches!(&steps[0].what, Delta::Cordons(d) if d.len() == 1));
         // A voter that receives several revisions at once publishes them as one step.
-        apply_order(&mut ledger, Act::Uncordon, "a", None);
-        apply_order(&mut ledger, Act::Cordon, "b", None);
+        apply_order(&mut ledger, Action::Uncordon, "a", None);
+        apply_order(&mut ledger, Action::Cordon, "b", None);
         if routed {
             publish(&mut ledger, 2);
         }
@@ -307,14 +307,14 @@
         name: format!("m-{zone}").parse().unwrap(),
         slots: 1,
         leaving: false,
-        away: false,
-        place: 0,
+        in_other_zone: false,
+        rank: 0,
         zone: zone.parse().unwrap(),
         slow: false,
         memory: None,
-        standing: Standing {
+        admission: Admission {
             cordoned: cordoned.contains(&zone),
-            ..Standing::default()
+            ..Admission::default()
         },
     };
     ["a", "b"].map(spec).into()
@@ -369,7 +369,7 @@
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = Dispatcher::new(Settings::default(), now);
     configure(&mut dispatcher, &[], now);
-    dispatcher.step(Input::Boxes([own.clone()].into()), now);
+    dispatcher.step(Input::LiveBoxes([own.clone()].into()), now);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), now);
     dispatcher.step(Input::Report(own, Report::Announced), now);
     let mut at = Vec::new();
@@ -405,7 +405,7 @@
     let own: name::Box = "e1".parse().unwrap();
     let mut dispatcher = Dispatcher::new(Settings::default(), now);
     configure(&mut dispatcher, &[], now);
-    dispatcher.step(Input::Boxes([own.clone()].into()), now);
+    dispatcher.step(Input::LiveBoxes([own.clone()].into()), now);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), now);
     dispatcher.step(Input::Report(own, Report::Announced), now);
     for number in [1, 2] {
@@ -564,7 +564,7 @@
     let order = admin::Cordon {
         id: "odd".parse().unwrap(),
         zone: "nowhere".parse().unwrap(),
-        act: Act::Cordon,
+        act: Action::Cordon,
         why: "a test".into(),
     };
     let refused = system.operator().cordon(&order).await.unwrap_err();
@@ -724,7 +724,7 @@
     let order = admin::Cordon {
         id: "first".parse().unwrap(),
         zone: "zone0".parse().unwrap(),
-        act: Act::Cordon,
+        act: Action::Cordon,
         why: "a test".into(),
     };
     let first = deployment.operator().cordon(&order).await.unwrap();
--- a/tests/testsuite/placement.rs
+++ b/tests/testsuite/placement.rs
@@ -32,7 +32,7 @@
     let own: name::Box = "e1".parse().unwrap();
     let (specs, classes) = configuration(slow);
     dispatcher.step(Input::Configure(specs, classes), START);
-    dispatcher.step(Input::Boxes(BTreeSet::from([own.clone()])), START);
+    dispatcher.step(Input::LiveBoxes(BTreeSet::from([own.clone()])), START);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
     dispatcher.step(Input::Report(own, Report::Announced), START);
     dispatcher
@@ -44,12 +44,12 @@
         name: format!("i-{place}").parse().unwrap(),
         slots: 64,
         leaving: false,
-        away: place % 3 != 0,
-        place,
+        in_other_zone: place % 3 != 0,
+        rank: place,
         zone: format!("z{}", place % 3).parse().unwrap(),
         slow: slow.contains(&place),
         memory: Some(unit::Tokens(100_000)),
-        standing: Default::default(),
+        admission: Default::default(),
     });
     let class = config::Class {
         target: Duration::from_millis(250),
@@ -93,7 +93,7 @@
         preemptible: false,
         preempted: 0,
         avoid: None,
-        rests: Vec::new(),
+        backoffs: Vec::new(),
         hold: None,
     }
 }
@@ -166,7 +166,7 @@
 
 /// Returns an input that sets the load of the other boxes at one endpoint.
 fn others_load(endpoint: &str, load: Load) -> Input {
-    Input::Others(Some(Loads::from([(endpoint.parse().unwrap(), load)])))
+    Input::OtherLoads(Some(Loads::from([(endpoint.parse().unwrap(), load)])))
 }
 
 #[test]
@@ -174,14 +174,14 @@
     let mut dispatcher = dispatcher();
     let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: MAX_UNREAD_TOKENS + 1000,
+        pending_prefill: MAX_UNREAD_TOKENS + 1000,
         ..Load::default()
     };
     dispatcher.step(others_load(&home, busy), START);
     let next = grant(&mut dispatcher, ask(2, "short", 7), true, START);
     assert_ne!(next, home, "the other boxes' load there is too high");
     let calm = Load {
-        unread: MAX_UNREAD_TOKENS / 2,
+        pending_prefill: MAX_UNREAD_TOKENS / 2,
         ..Load::default()
     };
     dispatcher.step(others_load(&home, calm), START);
@@ -194,7 +194,7 @@
     );
     // Once the voters report nothing any more, only this box's own load counts.
     dispatcher.step(others_load(&next, busy), START);
-    dispatcher.step(Input::Others(None), START);
+    dispatcher.step(Input::OtherLoads(None), START);
     let much_later = START + Duration::from_secs(60);
     assert_eq!(
         grant(&mut dispatcher, ask(4, "short", 7), true, much_later),
@@ -207,7 +207,7 @@
     let (mut one, mut other) = (dispatcher(), dispatcher());
     let home = grant(&mut one, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: MAX_UNREAD_TOKENS + 1000,
+        pending_prefill: MAX_UNREAD_TOKENS + 1000,
         ..Load::default()
     };
     one.step(others_load(&home, busy), START);
@@ -221,9 +221,9 @@
         "a placement is reported once"
     );
     // The other box chooses the second endpoint as soon as it is better by any amount.
-    other.step(Input::Placed(placed), START);
+    other.step(Input::Placements(placed), START);
     let little = Load {
-        unread: 100,
+        pending_prefill: 100,
         ..Load::default()
     };
     other.step(others_load(&home, little), START);
@@ -235,7 +235,7 @@
         endpoint: "i-8".parse().unwrap(),
     };
     grant(&mut other, ask(4, "long", 100), true, START);
-    other.step(Input::Placed(vec![foreign]), START);
+    other.step(Input::Placements(vec![foreign]), START);
     let found = grant(&mut other, ask(5, "short", 8), true, START);
     assert_ne!(found, "i-8");
 }
@@ -244,7 +244,7 @@
 fn an_endpoint_whose_memory_or_slots_others_fill_is_left() {
     for load in [
         Load {
-            held: 99_000,
+            cached: 99_000,
             ..Load::default()
         },
         Load {
@@ -455,7 +455,7 @@
     let now = START + Duration::from_secs(30);
     let home = grant(&mut dispatcher, ask(1, "short", 7), true, now);
     let busy = Load {
-        unread: MAX_UNREAD_TOKENS / 2,
+        pending_prefill: MAX_UNREAD_TOKENS / 2,
         ..Load::default()
     };
     dispatcher.step(others_load(&home, busy), now);
@@ -469,11 +469,11 @@
     let own: name::Box = "e1".parse().unwrap();
     // Each endpoint has unread tokens that take ten seconds to prefill.
     let busy = Load {
-        unread: 10_000 * PREFILL_TOKENS_PER_MS,
+        pending_prefill: 10_000 * PREFILL_TOKENS_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
-    dispatcher.step(Input::Others(Some(everywhere.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(everywhere.collect())), START);
     let impatient = Ask {
         patience: Some(Duration::from_secs(2)),
         ..ask(1, "short", 7)
@@ -505,11 +505,11 @@
     let mut dispatcher = dispatcher();
     // Each endpoint has unread tokens that take one and a half times the target to prefill.
     let busy = Load {
-        unread: 375 * PREFILL_TOKENS_PER_MS,
+        pending_prefill: 375 * PREFILL_TOKENS_PER_MS,
         ..Load::default()
     };
     let everywhere = (0..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), busy));
-    dispatcher.step(Input::Others(Some(everywhere.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(everywhere.collect())), START);
     let orders = |dispatcher: &mut Dispatcher, asked| {
         dispatcher.step(Input::Report(own.clone(), Report::Ask(asked)), START)
     };
@@ -557,14 +557,14 @@
     // own endpoints.
     let number = |name: &str| name[2..].parse::<usize>().unwrap();
     let unread = Load {
-        unread: 700 * PREFILL_TOKENS_PER_MS,
+        pending_prefill: 700 * PREFILL_TOKENS_PER_MS,
         ..Load::default()
     };
     let loads = (0..ENDPOINTS).map(|place| {
         let load = if place < 3 { running(20) } else { unread };
         (format!("i-{place}").parse().unwrap(), load)
     });
-    dispatcher.step(Input::Others(Some(loads.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(loads.collect())), START);
     let found = grant(&mut dispatcher, ask(3, "long", 101), false, START);
     assert!(
         number(&found) >= 3,
@@ -572,7 +572,7 @@
     );
     // An endpoint without streams may prefill a long prompt.
     let loads = (3..ENDPOINTS).map(|place| (format!("i-{place}").parse().unwrap(), unread));
-    dispatcher.step(Input::Others(Some(loads.collect())), START);
+    dispatcher.step(Input::OtherLoads(Some(loads.collect())), START);
     let found = grant(&mut dispatcher, ask(4, "long", 102), false, START);
     assert!(
         number(&found) < 3,
@@ -598,12 +598,12 @@
     let full = |unread| {
         let loads = (0..3).map(|place| {
             let load = Load {
-                unread,
+                pending_prefill: unread,
                 ..Load::default()
             };
             (format!("i-{place}").parse().unwrap(), load)
         });
-        Input::Others(Some(loads.collect()))
+        Input::OtherLoads(Some(loads.collect()))
     };
     dispatcher.step(full(10 * MAX_UNREAD_TOKENS), later);
     for request in 10..30 {
@@ -622,11 +622,11 @@
     let mut dispatcher = dispatcher();
     let least = Duration::from_millis(1000);
     let endpoint: name::Endpoint = "i-4".parse().unwrap();
-    let patience = |dispatcher: &Dispatcher| dispatcher.patience(&endpoint, least, START);
+    let patience = |dispatcher: &Dispatcher| dispatcher.max_silence(&endpoint, least, START);
     assert_eq!(patience(&dispatcher), least, "the endpoint has no load");
     let load = Load {
-        unread: 40_000,
-        held: 40_000,
+        pending_prefill: 40_000,
+        cached: 40_000,
         running: 9,
         ..Load::default()
     };
@@ -737,7 +737,7 @@
         prefix: Prefix(7),
         endpoint: elsewhere.parse().unwrap(),
     };
-    fresh.step(Input::Placed(vec![placement]), START);
+    fresh.step(Input::Placements(vec![placement]), START);
     let (specs, classes) = configuration(&[]);
     let specs = specs.into_iter().filter(|spec| spec.name.as_str() != gone);
     fresh.step(Input::Configure(specs.collect(), classes), START);
@@ -760,7 +760,7 @@
     let place = |endpoint: String| endpoint[2..].parse::<usize>().unwrap();
     for prefix in 0..40 {
         let mut fresh = dispatcher();
-        fresh.step(Input::Prompts(prompts.clone()), START);
+        fresh.step(Input::PromptSizes(prompts.clone()), START);
         let placed = grant(&mut fresh, ask(1, "short", prefix), true, START);
         assert!(at["short"].contains(&place(placed)), "its first prompt");
         let small = Ask {
@@ -781,7 +781,7 @@
     let mut dispatcher = dispatcher();
     let home = grant(&mut dispatcher, ask(1, "short", 7), true, START);
     let busy = Load {
-        unread: MAX_UNREAD_TOKENS + 1000,
+        pending_prefill: MAX_UNREAD_TOKENS + 1000,
         ..Load::default()
     };
     dispatcher.step(others_load(&home, busy), START);
@@ -795,7 +795,7 @@
     let mut started = |number: u64| {
         let (mut specs, classes) = configuration(&[]);
         let spec = specs.iter_mut().find(|spec| spec.name.as_str() == home);
-        spec.unwrap().standing.incarnation = Some(unit::Incarnation(number));
+        spec.unwrap().admission.incarnation = Some(unit::Incarnation(number));
         dispatcher.step(Input::Configure(specs, classes), START);
         let loads: BTreeMap<_, _> = dispatcher.loads().collect();
         loads.contains_key(&home.parse().unwrap())
--- a/tests/testsuite/random/warm_up.rs
+++ b/tests/testsuite/random/warm_up.rs
@@ -10,7 +10,7 @@
 use rand::{rngs::SmallRng, Rng as _};
 use scalewood::core::{
     name,
-    warm_up::{Leases, Leeway, Pass, Rate, Warming, LEASE},
+    warm_up::{Leases, Leeway, Pass, Rate, Warming, LEASE_DURATION},
 };
 
 use super::{random, runs};
@@ -122,7 +122,7 @@
         if exchange.arrives == now && exchange.answer.is_none() {
             let hub = &mut self.hubs[exchange.hub];
             let at = Duration::from_millis(now + 5_000_000);
-            let given = hub.give(&entry.name, &self.endpoints, 4, at);
+            let given = hub.grant(&entry.name, &self.endpoints, 4, at);
             exchange.answer = Some((now + delay, given));
         }
     }
@@ -184,7 +184,7 @@
             let entry = &mut self.boxes[i];
             let own = Duration::from_millis(now + entry.ahead);
             let pass = &mut entry.passes[endpoint];
-            if pass.permits(&self.warming, own) {
+            if pass.may_send(&self.warming, own) {
                 pass.take(&self.warming, own);
                 entry.sending.push((now + wait, endpoint));
             }
@@ -200,7 +200,7 @@
         let answered = exchange.answer.filter(|(arrives, _)| *arrives <= now);
         if let Some((_, leased)) = answered {
             entry.exchange = None;
-            let until = Duration::from_millis(exchange.asked + entry.ahead) + LEASE;
+            let until = Duration::from_millis(exchange.asked + entry.ahead) + LEASE_DURATION;
             let own = Duration::from_millis(now + entry.ahead);
             for (pass, name) in entry.passes.iter_mut().zip(&self.endpoints) {
                 if leased.contains(name) {
--- a/tests/testsuite/size.rs
+++ b/tests/testsuite/size.rs
@@ -16,7 +16,7 @@
     dispatch::{
         Ask, Dispatcher, End, Input, Order, Output, Placed, Prefix, Report, Settings, Spec,
     },
-    load::{self, Hub, Loads, News},
+    load::{self, Hub, Loads, Update},
     name, unit,
 };
 
@@ -113,7 +113,7 @@
             };
             let name = box_name(i);
             let mut dispatcher = Dispatcher::new(settings, START);
-            dispatcher.step(Input::Boxes([name.clone()].into()), START);
+            dispatcher.step(Input::LiveBoxes([name.clone()].into()), START);
             for report in [Report::Hello, Report::Announced] {
                 dispatcher.step(Input::Report(name.clone(), report), START);
             }
@@ -155,12 +155,12 @@
                 name: self.endpoint_name(i),
                 slots: 64,
                 leaving: false,
-                away: false,
-                place: i,
+                in_other_zone: false,
+                rank: i,
                 zone: format!("z{}", i % ZONES).parse().unwrap(),
                 slow: false,
                 memory: None,
-                standing: Default::default(),
+                admission: Default::default(),
             })
             .collect();
         for i in 0..BOXES {
@@ -243,7 +243,7 @@
             preempted: 0,
             avoid,
             hold: None,
-            rests: Vec::new(),
+            backoffs: Vec::new(),
         }
     }
 
@@ -317,21 +317,21 @@
             let entry = &mut self.boxes[i];
             entry.next += self.plan.period;
             let own: Loads = entry.dispatcher.loads().collect();
-            let report = News {
+            let report = Update {
                 loads: load::difference(&entry.reported, &own),
                 placements: entry.dispatcher.take_placements(),
                 outcomes: entry.dispatcher.take_outcomes(),
                 prompts: entry.dispatcher.take_prompts(),
-                ..News::default()
+                ..Update::default()
             };
             let news = self.hubs[hub].exchange(&entry.name, entry.anew, report, self.now);
             entry.anew = false;
             entry.reported = own;
-            load::merge(&mut entry.others, news.news.loads);
+            load::merge(&mut entry.others, news.update.loads);
             let others = entry.others.clone();
-            self.step(i, Input::Placed(news.news.placements));
-            self.step(i, Input::Risks(news.news.risks));
-            self.step(i, Input::Others(Some(others)));
+            self.step(i, Input::Placements(news.update.placements));
+            self.step(i, Input::Risks(news.update.risks));
+            self.step(i, Input::OtherLoads(Some(others)));
         }
         if self.now >= self.hubs_exchanged_at + SHARE_PERIOD {
             let anew = self.hubs_exchanged_at == START;
@@ -343,8 +343,8 @@
     fn exchange_between_hubs(&mut self, anew: bool) {
         for from in 0..self.plan.hubs {
             for to in (0..self.plan.hubs).filter(|to| *to != from) {
-                let news = self.hubs[from].news_for(&hub_name(to), anew, self.now);
-                assert!(self.hubs[to].take(&hub_name(from), anew, news, self.now));
+                let news = self.hubs[from].update_for(&hub_name(to), anew, self.now);
+                assert!(self.hubs[to].apply(&hub_name(from), anew, news, self.now));
             }
         }
     }
--- a/tests/testsuite/throttle_issuer.rs
+++ b/tests/testsuite/throttle_issuer.rs
@@ -7,7 +7,7 @@
 
 use scalewood::core::{
     name,
-    throttle::{self, Alone, Heard, Issuer, Limit, Permits, Said, Wanted},
+    throttle::{self, Change, Fallback, Issuer, Limit, Parsed, Permits, Wanted},
     unit,
 };
 
@@ -33,19 +33,19 @@
 
 #[test]
 fn a_limit_is_read_in_all_its_forms() {
-    let read = |values: &[&str]| throttle::read(values.iter().copied());
-    assert_eq!(read(&[]), Said::Nothing);
-    assert_eq!(read(&[" 2.5 "]), Said::Limit(limit("2.5")));
-    assert_eq!(read(&["0"]), Said::Limit(limit("0")));
-    assert_eq!(read(&["1e9"]), Said::Limit(limit("1000000000")));
+    let read = |values: &[&str]| throttle::parse(values.iter().copied());
+    assert_eq!(read(&[]), Parsed::Absent);
+    assert_eq!(read(&[" 2.5 "]), Parsed::Limit(limit("2.5")));
+    assert_eq!(read(&["0"]), Parsed::Limit(limit("0")));
+    assert_eq!(read(&["1e9"]), Parsed::Limit(limit("1000000000")));
     for unreadable in ["", "nan", "inf", "-1", "soon", "2.5/s", "-0"] {
-        assert_eq!(read(&[unreadable]), Said::Unreadable, "{unreadable}");
+        assert_eq!(read(&[unreadable]), Parsed::Invalid, "{unreadable}");
     }
     // If the header is repeated, or its values are joined by a proxy, the lowest limit counts.
-    assert_eq!(read(&["4", "2.5"]), Said::Limit(limit("2.5")));
-    assert_eq!(read(&["2.5, 4"]), Said::Limit(limit("2.5")));
-    assert_eq!(read(&["soon", "4"]), Said::Limit(limit("4")));
-    assert_eq!(read(&["4", "soon"]), Said::Limit(limit("4")));
+    assert_eq!(read(&["4", "2.5"]), Parsed::Limit(limit("2.5")));
+    assert_eq!(read(&["2.5, 4"]), Parsed::Limit(limit("2.5")));
+    assert_eq!(read(&["soon", "4"]), Parsed::Limit(limit("4")));
+    assert_eq!(read(&["4", "soon"]), Parsed::Limit(limit("4")));
     assert_eq!(limit("2.5").to_string(), "2.5");
     // A limit of zero still lets an occasional request through, to find out whether it still holds.
     assert!(limit("0").per_second() > 0.0);
@@ -59,17 +59,17 @@
     let mut book = throttle::Book::default();
     let mut hear = |said: Option<&str>, sent_at, now| {
         let said = said.map(limit);
-        book.hear(&endpoint, start(1), said, millis(sent_at), millis(now))
+        book.observe(&endpoint, start(1), said, millis(sent_at), millis(now))
     };
-    assert_eq!(hear(None, 0, 50), Heard::Nothing);
-    assert_eq!(hear(Some("2.5"), 50, 100), Heard::Named(limit("2.5")));
-    assert_eq!(hear(None, 60, 110), Heard::Nothing);
+    assert_eq!(hear(None, 0, 50), Change::Unchanged);
+    assert_eq!(hear(Some("2.5"), 50, 100), Change::Set(limit("2.5")));
+    assert_eq!(hear(None, 60, 110), Change::Unchanged);
     // A higher limit may be from an older answer; a lower one applies at once.
-    assert_eq!(hear(Some("9"), 60, 120), Heard::Nothing);
-    assert_eq!(hear(Some("2"), 60, 130), Heard::Named(limit("2")));
-    assert_eq!(hear(Some("9"), 140, 150), Heard::Named(limit("9")));
-    assert_eq!(hear(None, 160, 200), Heard::Ended);
-    assert_eq!(hear(Some("3"), 210, 220), Heard::Named(limit("3")));
+    assert_eq!(hear(Some("9"), 60, 120), Change::Unchanged);
+    assert_eq!(hear(Some("2"), 60, 130), Change::Set(limit("2")));
+    assert_eq!(hear(Some("9"), 140, 150), Change::Set(limit("9")));
+    assert_eq!(hear(None, 160, 200), Change::Ended);
+    assert_eq!(hear(Some("3"), 210, 220), Change::Set(limit("3")));
 }
 
 #[test]
@@ -77,16 +77,16 @@
     let endpoint: name::Endpoint = name("i-1");
     let mut book = throttle::Book::default();
     let said = Some(limit("2.5"));
-    book.hear(&endpoint, start(2), said, second(1), second(2));
+    book.observe(&endpoint, start(2), said, second(1), second(2));
     assert_eq!(book.limit(&endpoint, start(2)), said);
     assert_eq!(book.limit(&endpoint, start(3)), None);
     // A late answer of the earlier start.
-    let late = book.hear(&endpoint, start(1), Some(limit("1")), second(1), second(3));
+    let late = book.observe(&endpoint, start(1), Some(limit("1")), second(1), second(3));
     assert_eq!(
         (late, book.limit(&endpoint, start(1))),
-        (Heard::Nothing, None)
+        (Change::Unchanged, None)
     );
-    book.hear(&endpoint, start(3), Some(limit("7")), second(3), second(4));
+    book.observe(&endpoint, start(3), Some(limit("7")), second(3), second(4));
     assert_eq!(book.limit(&endpoint, start(3)), Some(limit("7")));
     assert_eq!(book.limit(&endpoint, start(2)), None);
 }
@@ -98,7 +98,7 @@
     let endpoint: name::Endpoint = name("i-1");
     let (mut here, mut there) = (throttle::Book::default(), throttle::Book::default());
     let (mut stamp, mut stamp_back) = (0, 0);
-    here.hear(
+    here.observe(
         &endpoint,
         start(1),
         Some(limit("2.5")),
@@ -106,7 +106,7 @@
         second(1),
     );
     let tell = |from: &throttle::Book, to: &mut throttle::Book, stamp: &mut u64, now| {
-        let rows = from.news(stamp, now);
+        let rows = from.updates(stamp, now);
         // The time in transit.
         let now = now + millis(30);
         rows.iter().filter(|row| to.merge(row, now)).count()
@@ -118,10 +118,10 @@
     }
     // The limit ends at one book, and is named again later at the other.
     assert_eq!(
-        there.hear(&endpoint, start(1), None, second(11), second(12)),
-        Heard::Ended
+        there.observe(&endpoint, start(1), None, second(11), second(12)),
+        Change::Ended
     );
-    here.hear(
+    here.observe(
         &endpoint,
         start(1),
         Some(limit("4")),
@@ -137,11 +137,11 @@
 fn a_permit_is_for_one_request_and_runs_out() {
     let two = limit("2");
     let mut permits = Permits::default();
-    assert!(!permits.permits(two, second(0)));
+    assert!(!permits.may_send(two, second(0)));
     permits.add(2, second(2));
     permits.take(two, second(1));
-    assert!(permits.permits(two, second(1)));
-    assert!(!permits.permits(two, second(2)));
+    assert!(permits.may_send(two, second(1)));
+    assert!(!permits.may_send(two, second(2)));
 }
 
 /// If no voter issues permits, a box issues its own at its share of the limit.
@@ -149,22 +149,22 @@
 fn own_permits_come_one_by_one_and_run_out() {
     let two = limit("2");
     let mut permits = Permits::default();
-    permits.set_alone(Some(Alone {
+    permits.set_fallback(Some(Fallback {
         since: second(10),
         boxes: 4,
         phase: 0.0,
     }));
-    assert!(!permits.permits(two, second(11)));
-    assert!(permits.permits(two, second(12)));
+    assert!(!permits.may_send(two, second(11)));
+    assert!(permits.may_send(two, second(12)));
     permits.take(two, second(12));
-    assert!(!permits.permits(two, second(13)));
+    assert!(!permits.may_send(two, second(13)));
     // Permits that were not used for a long time don't accumulate.
-    assert!(!permits.permits(two, millis(31_800)));
-    assert!(permits.permits(two, second(32)));
+    assert!(!permits.may_send(two, millis(31_800)));
+    assert!(permits.may_send(two, second(32)));
     permits.take(two, second(32));
-    assert!(!permits.permits(two, second(33)));
-    permits.set_alone(None);
-    assert!(!permits.permits(two, second(60)));
+    assert!(!permits.may_send(two, second(33)));
+    permits.set_fallback(None);
+    assert!(!permits.may_send(two, second(60)));
 }
 
 /// The sliding window for which the number of requests is bounded.
@@ -287,21 +287,21 @@
             limit: Some(self.limit),
             age: Duration::ZERO,
         };
-        let news = throttle::News {
+        let news = throttle::Message {
             limits: if asking.synced { Vec::new() } else { vec![row] },
             wanted: vec![Wanted { endpoint, count: 6 }],
         };
         let issuer = &mut self.voters[voter].issuer;
-        let answer = issuer.ask(&asking.name, !asking.synced, news, now);
+        let answer = issuer.handle_box(&asking.name, !asking.synced, news, now);
         if lost {
             asking.synced = false;
             return;
         }
         asking.synced = true;
         asking.issued = self.now;
-        asking.permits.set_alone(None);
+        asking.permits.set_fallback(None);
         for issued in answer.issued {
-            asking.permits.add(issued.count, now + issued.left);
+            asking.permits.add(issued.count, now + issued.remaining);
         }
     }
 
@@ -316,13 +316,15 @@
         let names = (self.voters[from].name.clone(), self.voters[to].name.clone());
         let sender = &mut self.voters[from];
         let anew = sender.anew.remove(&to);
-        let news = sender.issuer.news_for(&names.1, anew, now);
-        let answer = self.voters[to].issuer.ask_for(&names.0, news, now);
+        let news = sender.issuer.message_for(&names.1, anew, now);
+        let answer = self.voters[to].issuer.handle_voter(&names.0, news, now);
         let sender = &mut self.voters[from];
         if lost {
             sender.anew.insert(to);
         } else {
-            sender.issuer.take(&names.1, Some(answer), now, now);
+            sender
+                .issuer
+                .handle_answer(&names.1, Some(answer), now, now);
         }
     }
 
@@ -335,13 +337,13 @@
                 continue;
             }
             if self.now >= asking.issued + 1000 {
-                asking.permits.set_alone(Some(Alone {
+                asking.permits.set_fallback(Some(Fallback {
                     since: millis(asking.issued + 1000),
                     boxes,
                     phase: asking.phase,
                 }));
             }
-            while asking.permits.permits(self.limit, now) {
+            while asking.permits.may_send(self.limit, now) {
                 asking.permits.take(self.limit, now);
                 // The request is sent late by the time that a connection takes.
                 let late = self.random.random_range(0..250);
