--- a/src/scalewood/ops/entry/routed/mod.rs
+++ b/src/scalewood/ops/entry/routed/mod.rs
@@ -146,7 +146,7 @@
     ) -> Result<Routed, Refusal> {
         let view = self.board.view.load_full();
         let Some(routing) = view.document.routing.clone() else {
-            let why = "this box has no routes yet; try again in a moment";
+            let why = "this box has no routes yet; retry later";
             let refusal = Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "not-ready", why);
             let uptime = arrived.saturating_sub(self.started);
             return Err(refusal.after(STARTUP_TIME.saturating_sub(uptime).max(MIN_RETRY_AFTER)));
@@ -296,7 +296,7 @@
         Ok(Err(_)) => Err(Refusal::not_run(
             StatusCode::BAD_REQUEST,
             "broken-body",
-            "the body broke off; send it whole",
+            "the body was incomplete; send all of it",
         )),
     }
 }
--- a/src/scalewood/ops/entry/routed/reply.rs
+++ b/src/scalewood/ops/entry/routed/reply.rs
@@ -52,10 +52,10 @@
         dispatch::End::Unreachable => ("endpoint-unreachable", "no endpoint could be reached"),
         dispatch::End::Unused => (
             "endpoint-barred",
-            "it may not be sent to its endpoint any more",
+            "it may no longer be sent to its endpoint",
         ),
-        dispatch::End::Refused => ("endpoint-full", "the endpoint took no more requests"),
-        _ => ("endpoint-broke", "the endpoint's answer was broken off"),
+        dispatch::End::Refused => ("endpoint-full", "the endpoint accepted no more requests"),
+        _ => ("endpoint-broke", "the endpoint broke the connection"),
     };
     let not_run = verdict == verdict::Verdict::NotRun;
     let status = match (not_run, end) {
@@ -64,9 +64,9 @@
         (false, _) => StatusCode::BAD_GATEWAY,
     };
     let advice = if not_run {
-        "it did not run; ask again later"
+        "it did not run; retry later"
     } else {
-        "it may have run; ask again only if it may run twice"
+        "it may have run; retry only if it may run twice"
     };
     Refusal {
         status,
@@ -88,13 +88,13 @@
         return failed(dispatch::End::Broken, verdict);
     }
     let message = match reason {
-        dispatch::Reason::Deadline => "it would wait past its deadline; come back later",
-        dispatch::Reason::Full => "too many requests wait; come back later",
-        dispatch::Reason::Overload => "all endpoints have too much to read; come back later",
-        dispatch::Reason::NoEndpoint => "the service has no endpoint here; come back later",
-        dispatch::Reason::Cordoned => "its endpoints are in cordoned zones; come back later",
+        dispatch::Reason::Deadline => "it would wait past its deadline; retry later",
+        dispatch::Reason::Full => "too many requests are waiting; retry later",
+        dispatch::Reason::Overload => "all endpoints have too many prompt tokens to process; retry later",
+        dispatch::Reason::NoEndpoint => "the service has no endpoint here; retry later",
+        dispatch::Reason::Cordoned => "the service's endpoints are in cordoned zones; retry later",
         dispatch::Reason::Residency => {
-            "no endpoint is in a region where it may be served; come back later"
+            "no endpoint is in a region that may serve the request; retry later"
         }
     };
     Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason.as_str(), message).after(retry)
