--- a/src/scalewood/ops/entry/turn.rs
+++ b/src/scalewood/ops/entry/turn.rs
@@ -11,13 +11,13 @@
     board::entry::Ticket,
     core::{attempt, dispatch, name, residency, unit},
     event,
-    ops::entry::{crash, desk, now, throttle, Shared},
+    ops::entry::{crash, dispatchers, now, throttle, Shared},
     util::{lock::lock, metric},
 };
 
 /// The result of waiting for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Got {
+pub(super) enum Decision {
     /// The request may run at the endpoint.
     Granted(name::Endpoint),
     /// The request was shed and may be retried after the given time. The cause is known if the
@@ -72,13 +72,13 @@
         let (sender, orders) = mpsc::unbounded_channel();
         let until = (now + ask.deadline + SHED_GRACE).saturating_sub(ask.age);
         let preemptible = ask.preemptible;
-        let dispatcher = desk::dispatcher_of(board, service, zone);
+        let dispatcher = dispatchers::dispatcher_of(board, service, zone);
         let ticket = Ticket {
             service: service.clone(),
             zone: zone.clone(),
             dispatcher: dispatcher.clone(),
             asked_at: now,
-            held: None,
+            held_at: None,
             tokens: unit::Tokens(0),
             orders: sender,
             ask: ask.clone(),
@@ -89,7 +89,7 @@
             .shard(&attempt.request)
             .insert(attempt.request, ticket);
         if let Some(to) = dispatcher {
-            desk::tell(board, &to, service, dispatch::Report::Ask(ask));
+            dispatchers::send_report(board, &to, service, dispatch::Report::Ask(ask));
         }
         let board = board.clone();
         Self {
@@ -105,12 +105,12 @@
     }
 
     /// Waits until the request is granted a slot, shed or held back.
-    pub(super) async fn wait(&mut self) -> Got {
+    pub(super) async fn wait(&mut self) -> Decision {
         let mut held_back = self.board.held_back.subscribe();
         loop {
             if crash::is_held_back(&self.board, &self.content) {
                 self.finish(|attempt, _| dispatch::Report::Withdraw(attempt));
-                return Got::HeldBack;
+                return Decision::HeldBack;
             }
             let left = self.until.saturating_sub(now(&self.board));
             let order = tokio::select! {
@@ -120,7 +120,7 @@
             let Ok(Some(order)) = order else {
                 // No dispatcher answered in time.
                 self.finish(|attempt, _| dispatch::Report::Withdraw(attempt));
-                return Got::Shed(dispatch::Reason::Deadline, SHED_GRACE, None);
+                return Decision::Shed(dispatch::Reason::Deadline, SHED_GRACE, None);
             };
             match order {
                 dispatch::Order::Grant(..) if self.board.may_be_stale() => self.decline(),
@@ -129,13 +129,13 @@
                     if let Some(bar) = bar {
                         self.decline_barred(&endpoint, bar).await;
                     } else if self.start(attempt, &endpoint) {
-                        return Got::Granted(endpoint);
+                        return Decision::Granted(endpoint);
                     }
                 }
                 dispatch::Order::Shed(attempt, reason, retry) => {
                     let cause = self.cause(attempt);
                     self.forget();
-                    return Got::Shed(reason, retry, cause);
+                    return Decision::Shed(reason, retry, cause);
                 }
                 dispatch::Order::Expired(_) => self.ask_again(),
                 dispatch::Order::Preempt(_) | dispatch::Order::Gone(_) => {}
@@ -148,7 +148,7 @@
     fn cause(&self, attempt: attempt::Attempt) -> Option<dispatch::Cause> {
         let named = self.with_ticket(|ticket| (ticket.service.clone(), ticket.ask.class.clone()));
         let (service, class) = named?;
-        let cause = desk::cause(&self.board, &service, attempt)?;
+        let cause = dispatchers::cause(&self.board, &service, attempt)?;
         let label = metric::CauseLabel {
             service: service.to_string(),
             class: class.to_string(),
@@ -177,13 +177,13 @@
     async fn decline_barred(&mut self, endpoint: &name::Endpoint, bar: Bar) {
         self.log_bar(endpoint, bar);
         if bar == Bar::Residency {
-            tokio::time::sleep(desk::TICK).await;
+            tokio::time::sleep(dispatchers::TICK).await;
             return self.renew_residency();
         }
         self.release();
         // A dispatcher that was not told of rests and leaving avoids the endpoint by this alone.
         self.with_ticket(|ticket| ticket.ask.avoid = Some(endpoint.clone()));
-        tokio::time::sleep(desk::TICK).await;
+        tokio::time::sleep(dispatchers::TICK).await;
         self.ask_again();
     }
 
@@ -195,7 +195,7 @@
                 event!(board.log, GrantDeclined, "request" => %self.attempt.request,
                     "endpoint" => %endpoint, "revision" => %board.feed.current().revision);
             }
-            Bar::Rest | Bar::Leaving | Bar::Limit => {
+            Bar::Backoff | Bar::Leaving | Bar::Limit => {
                 event!(board.log, GrantUnused, "request" => %self.attempt.request,
                     "endpoint" => %endpoint, "why" => bar.as_str());
             }
@@ -237,7 +237,7 @@
     /// Asks again under the next attempt number.
     fn ask_again(&mut self) {
         let now = now(&self.board);
-        let report = self.with_ticket(|ticket| ticket.tell_anew(now));
+        let report = self.with_ticket(|ticket| ticket.report_again(now));
         if let Some(report) = report {
             self.report(report);
         }
@@ -250,7 +250,7 @@
         let started = self.with_ticket(|ticket| {
             let current = ticket.ask.attempt == attempt;
             if current {
-                ticket.held = Some((endpoint.clone(), now));
+                ticket.held_at = Some((endpoint.clone(), now));
             }
             current
         });
@@ -260,7 +260,7 @@
         self.attempt = attempt;
         self.state = State::Running;
         if self.board.limit_of(endpoint).is_some() {
-            self.board.metrics.limited_sent.inc();
+            self.board.metrics.limited_sends.inc();
         }
         self.report(dispatch::Report::Started(attempt));
         true
@@ -282,18 +282,18 @@
     }
 
     /// Reports the first token to the dispatcher.
-    pub(super) fn first(&self) {
+    pub(super) fn report_first_token(&self) {
         self.report(dispatch::Report::First(self.attempt));
     }
 
     /// Reports that the stream paused for longer than its class allows.
-    pub(super) fn paused(&self) {
+    pub(super) fn report_pause(&self) {
         self.report(dispatch::Report::Paused(self.attempt));
     }
 
     /// Records the tokens that this attempt has delivered, and reports them now and then if the run
     /// may be preempted.
-    pub(super) fn progress(&mut self, tokens: unit::Tokens) {
+    pub(super) fn report_progress(&mut self, tokens: unit::Tokens) {
         /// Tokens between two reports. The reports only serve to choose which run to preempt, so
         /// they need not be exact.
         const REPORT_INTERVAL_TOKENS: u64 = 32;
@@ -319,7 +319,7 @@
     /// Releases the slot.
     pub(super) fn end(mut self, end: dispatch::End) {
         if end == dispatch::End::Done {
-            crash::finished(&self.board, &self.content);
+            crash::record_completed(&self.board, &self.content);
         }
         self.finish(|attempt, tokens| dispatch::Report::End(attempt, end, tokens));
     }
@@ -328,7 +328,7 @@
     fn report(&self, report: dispatch::Report) {
         let known = self.with_ticket(|t| (t.dispatcher.clone(), t.service.clone()));
         if let Some((Some(to), service)) = known {
-            desk::tell(&self.board, &to, &service, report);
+            dispatchers::send_report(&self.board, &to, &service, report);
         }
     }
 
@@ -349,7 +349,7 @@
         let Some(ticket) = ticket else { return };
         if let Some(to) = ticket.dispatcher {
             let report = last_report(ticket.ask.attempt, self.tokens);
-            desk::tell(&self.board, &to, &ticket.service, report);
+            dispatchers::send_report(&self.board, &to, &ticket.service, report);
         }
     }
 
@@ -369,7 +369,7 @@
     /// The endpoint's zone is cordoned.
     Cordon,
     /// It rests: it asked this box to send it nothing for a while.
-    Rest,
+    Backoff,
     /// It is leaving.
     Leaving,
     /// It has a request limit that was not known yet when the slot was granted.
@@ -382,7 +382,7 @@
     fn as_str(self) -> &'static str {
         match self {
             Self::Cordon => "cordon",
-            Self::Rest => "rest",
+            Self::Backoff => "rest",
             Self::Leaving => "leaving",
             Self::Limit => "limit",
             Self::Residency => "residency",
@@ -397,9 +397,9 @@
         board.metrics.cordon_declined.inc();
         return Some(Bar::Cordon);
     }
-    if board.rest_left(endpoint).is_some() {
+    if board.remaining_backoff(endpoint).is_some() {
         board.metrics.rest_kept_back.inc();
-        return Some(Bar::Rest);
+        return Some(Bar::Backoff);
     }
     if board.is_leaving(endpoint) {
         return Some(Bar::Leaving);
@@ -409,7 +409,7 @@
     let allowed = {
         let shard = board.tickets.shard(&attempt.request);
         let ticket = shard.get(&attempt.request);
-        let granted = ticket.and_then(|ticket| ticket.held.as_ref());
+        let granted = ticket.and_then(|ticket| ticket.held_at.as_ref());
         if granted
             .zip(limited)
             .is_some_and(|((_, granted), limited)| *granted < limited)
--- a/src/scalewood/ops/entry/upstream.rs
+++ b/src/scalewood/ops/entry/upstream.rs
@@ -43,7 +43,7 @@
         end: dispatch::End::Refused,
         verdict: verdict::Verdict::NotRun,
     };
-    pub(super) const MISTAKEN: Failure = Failure {
+    pub(super) const MISDIRECTED: Failure = Failure {
         end: dispatch::End::Mistaken,
         verdict: verdict::Verdict::NotRun,
     };
@@ -58,7 +58,7 @@
 
     /// The request may no longer be sent to the endpoint, as when its zone was cordoned or the
     /// regions that may serve the request changed. Nothing was sent.
-    pub(super) const BARRED: Failure = Failure {
+    pub(super) const NOT_PERMITTED: Failure = Failure {
         end: dispatch::End::Unused,
         verdict: verdict::Verdict::NotRun,
     };
@@ -70,7 +70,7 @@
     };
 
     /// Returns whether the request did not reach the intended endpoint.
-    pub(super) fn is_miss(self) -> bool {
+    pub(super) fn missed_endpoint(self) -> bool {
         matches!(
             self.end,
             dispatch::End::Unreachable | dispatch::End::Mistaken | dispatch::End::Unused
@@ -93,7 +93,7 @@
         stream.set_nodelay(true).ok()?;
         // Without this limit on the time without acknowledgement a dead peer is detected late; a
         // failure to set it only delays that.
-        let _ = socket::ENDPOINT.end(&stream);
+        let _ = socket::ENDPOINT.apply(&stream);
         http1::handshake(TokioIo::new(stream)).await.ok()
     };
     let opened = tokio::time::timeout(within, open).await.ok().flatten();
@@ -149,7 +149,7 @@
         // not started to write, and the next connection is tried.
         while let Some(sender) = self.take_idle(address) {
             if !is_permitted() {
-                return Err(Failure::BARRED);
+                return Err(Failure::NOT_PERMITTED);
             }
             match send_over(sender, request, silence).await {
                 Ok(answered) => return Ok(answered),
@@ -159,7 +159,7 @@
         }
         let sender = dial(address, connect).await?;
         if !is_permitted() {
-            return Err(Failure::BARRED);
+            return Err(Failure::NOT_PERMITTED);
         }
         send_over(sender, request, silence)
             .await
--- a/src/scalewood/ops/entry/warmth.rs
+++ b/src/scalewood/ops/entry/warming.rs
@@ -11,7 +11,7 @@
 };
 
 /// Marks the warming endpoints of a service in the specs that its dispatcher is configured with.
-pub(super) fn mark(
+pub(super) fn set_warming(
     board: &Shared,
     view: &View,
     service: &name::Service,
@@ -38,7 +38,11 @@
         let Some((until, source)) = belief.ends_at(&rate, uncordoned, now) else {
             continue;
         };
-        spec.admission.warming = Some(warm_up::Warming::new(until, &rate, &board.own.leeway));
+        spec.admission.warming = Some(warm_up::Warming::new(
+            until,
+            &rate,
+            &board.own.warm_up_leeway,
+        ));
         record(board, &spec.name, until, source, belief.report_age(now));
     }
 }
@@ -57,7 +61,7 @@
         return;
     }
     if let Some(age) = age {
-        board.metrics.warming_age.observe(age.as_secs_f64());
+        board.metrics.warming_report_age.observe(age.as_secs_f64());
     }
     event!(board.log, WarmUpBegun, "endpoint" => %endpoint, "source" => %source,
         "left_ms" => until.saturating_sub(now).as_millis(),
@@ -66,8 +70,8 @@
 
 /// Updates the metrics of requests that the dispatchers of this box sent to warming endpoints, and
 /// of those that they kept back from warming endpoints and from endpoints with a limit.
-pub(super) fn count(board: &Shared) {
-    board.dispatchers.each(|shard| {
+pub(super) fn update_metrics(board: &Shared) {
+    board.dispatchers.for_each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
             let limited = u64::from(dispatcher.take_limit_diversions());
             board.metrics.limit_kept_back.inc_by(limited);
@@ -88,7 +92,7 @@
 }
 
 /// Removes and logs the warm-ups that have ended, and updates the metric of warming endpoints.
-pub(super) fn sweep(board: &Shared) {
+pub(super) fn remove_ended(board: &Shared) {
     let now = now(board);
     let registry = lock(&board.registry);
     lock(&board.warming).retain(|endpoint, until| {
@@ -103,5 +107,5 @@
     });
     let warming = lock(&board.warming).len();
     let warming = i64::try_from(warming).unwrap_or(i64::MAX);
-    board.metrics.warming.set(warming);
+    board.metrics.endpoints_warming.set(warming);
 }
--- a/src/scalewood/ops/mod.rs
+++ b/src/scalewood/ops/mod.rs
@@ -5,8 +5,8 @@
 pub mod entry;
 pub mod explain;
 
+mod backoff;
 pub mod operate;
 pub mod reload;
-mod rest;
 pub mod rpc;
 pub mod source;
--- a/src/scalewood/ops/operate.rs
+++ b/src/scalewood/ops/operate.rs
@@ -32,7 +32,7 @@
     /// It is unknown whether the change was accepted.
     Unknown,
     /// The answer could not be parsed, or the request could not be encoded.
-    Garbled,
+    Malformed,
 }
 
 impl fmt::Display for Error {
@@ -43,7 +43,9 @@
             Error::Unknown => {
                 "it is not known whether the change was accepted; send it again under the same id"
             }
-            Error::Garbled => "the answer could not be parsed; do both sides run the same version?",
+            Error::Malformed => {
+                "the answer could not be parsed; do both sides run the same version?"
+            }
         })
     }
 }
@@ -211,7 +213,7 @@
         body: Option<&T>,
     ) -> Result<Answer, Report<Error>> {
         let body = match body {
-            Some(body) => serde_json::to_vec(body).change_context(Error::Garbled)?,
+            Some(body) => serde_json::to_vec(body).change_context(Error::Malformed)?,
             None => Vec::new(),
         };
         for voter in &self.voters {
@@ -246,7 +248,7 @@
             .header(header::HOST, voter.to_string())
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
             .body(Full::new(Bytes::from(body)))
-            .change_context(Error::Garbled)?;
+            .change_context(Error::Malformed)?;
         let response = sender
             .send_request(request)
             .await
@@ -263,7 +265,7 @@
 }
 
 fn parse<T: DeserializeOwned>(answer: &Answer) -> Result<T, Report<Error>> {
-    serde_json::from_slice(&answer.body).change_context(Error::Garbled)
+    serde_json::from_slice(&answer.body).change_context(Error::Malformed)
 }
 
 fn failure_report(answer: &Answer) -> Report<Error> {
--- a/src/scalewood/ops/rpc.rs
+++ b/src/scalewood/ops/rpc.rs
@@ -65,7 +65,7 @@
         .attach_with(|| format!("{address} can't be listened on; is it in use?"))?;
     // Accepted connections inherit the options. Without them, messages to a silent peer would be
     // sent for ever.
-    socket::PROCESS.end(&listener).change_context(Error)?;
+    socket::PROCESS.apply(&listener).change_context(Error)?;
     let listener = listener.into_std().change_context(Error)?;
     let server = ServerBuilder::with_config(config)
         .build_from_tcp(listener)
@@ -84,7 +84,7 @@
 
 /// Returns the timeout for opening a connection after a number of failures: longer each time, so
 /// that a distant or slow box is reached too.
-pub fn patience(failures: u32) -> Duration {
+pub fn connect_timeout(failures: u32) -> Duration {
     MIN_CONNECT_TIMEOUT
         .saturating_mul(1 << failures.min(8))
         .min(MAX_CONNECT_TIMEOUT)
@@ -109,7 +109,7 @@
     let stream = TcpStream::connect(address).await;
     let stream = stream.change_context(Error).attach_with(why)?;
     stream.set_nodelay(true).change_context(Error)?;
-    socket::PROCESS.end(&stream).change_context(Error)?;
+    socket::PROCESS.apply(&stream).change_context(Error)?;
     let client = WsClientBuilder::default()
         .request_timeout(CALL_TIMEOUT)
         .max_request_size(MAX_MESSAGE_BYTES)
--- a/src/scalewood/ops/source.rs
+++ b/src/scalewood/ops/source.rs
@@ -18,7 +18,7 @@
     core::{change, config, name, rendezvous, unit},
     event,
     ops::rpc,
-    wire::source::{Piece, SourceClient as _, SourceServer, Update, PIECE},
+    wire::source::{Piece, SourceClient as _, SourceServer, Update, PIECE_BYTES},
 };
 
 /// How often a source sends a keep-alive.
@@ -93,7 +93,7 @@
     if state.revision <= from {
         return vec![Update::Alive(state.revision)];
     }
-    if let Some(recent) = state.since(from) {
+    if let Some(recent) = state.steps_since(from) {
         let step = |step: Arc<change::Step>| Update::Step(change::Step::clone(&step));
         return recent.into_iter().map(step).collect();
     }
@@ -102,13 +102,13 @@
 
 /// Returns the whole document, split into pieces.
 fn pieces(state: &feed::State) -> Vec<Update> {
-    let Some(text) = state.text() else {
+    let Some(text) = state.json() else {
         return Vec::new();
     };
     let mut rest = &*text;
     let mut pieces = Vec::new();
     while !rest.is_empty() {
-        let cut = (PIECE.min(rest.len())..=rest.len()).find(|i| rest.is_char_boundary(*i));
+        let cut = (PIECE_BYTES.min(rest.len())..=rest.len()).find(|i| rest.is_char_boundary(*i));
         let (piece, tail) = rest.split_at(cut.unwrap_or(rest.len()));
         pieces.push(Update::Piece(Piece {
             revision: state.revision,
@@ -128,7 +128,7 @@
 #[derive(Debug)]
 pub struct Follower {
     /// This box.
-    pub own: name::Box,
+    pub own_name: name::Box,
     /// The voters' addresses, the preferred one first.
     pub voters: Vec<SocketAddr>,
     /// The feed to which the configuration is published.
@@ -163,13 +163,14 @@
     pub async fn run(self) {
         self.wait_for_first().await;
         // Boxes start with different voters, so that no voter has to serve all boxes at once.
-        let mut turn = rendezvous::hash(&[self.own.as_str()]) as usize % self.voters.len().max(1);
+        let mut turn =
+            rendezvous::hash(&[self.own_name.as_str()]) as usize % self.voters.len().max(1);
         let mut failures = 0;
         loop {
             self.wait_for_voters(|heard| heard == 0).await;
             let sources = self.sources();
             let source = sources[turn % sources.len()];
-            let timeout = rpc::patience(failures / 6);
+            let timeout = rpc::connect_timeout(failures / 6);
             failures += 1;
             let followed = tokio::select! {
                 followed = self.follow(source, timeout) => followed,
@@ -195,13 +196,13 @@
         let own_zone = state
             .document
             .boxes
-            .get(&self.own)
+            .get(&self.own_name)
             .map(|own| own.zone.clone());
         let peers = state
             .document
             .boxes
             .iter()
-            .filter(|(name, _)| **name != self.own);
+            .filter(|(name, _)| **name != self.own_name);
         let mut peers: Vec<_> = peers.map(|(_, peer)| peer).collect();
         peers.sort_by_key(|peer| Some(&peer.zone) != own_zone.as_ref());
         let peers = peers.into_iter().map(|peer| peer.address);
@@ -213,7 +214,7 @@
     async fn follow(&self, source: SocketAddr, timeout: Duration) -> Option<unit::Revision> {
         let client = rpc::connect_within(source, timeout).await.ok()?;
         let from = self.feed.current().revision;
-        let mut updates = client.follow(self.own.clone(), from).await.ok()?;
+        let mut updates = client.follow(self.own_name.clone(), from).await.ok()?;
         event!(self.log, SourceFound, "source" => %source, "revision" => %from);
         self.apply_all(&mut updates).await;
         Some(self.feed.current().revision)
--- a/src/scalewood/store/hints.rs
+++ b/src/scalewood/store/hints.rs
@@ -35,11 +35,11 @@
 
 /// The file that holds a voter's hints.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Store {
     path: PathBuf,
 }
 
-impl Place {
+impl Store {
     /// Returns the hints file of a voter's data folder.
     pub fn new(folder: &Path) -> Self {
         Self {
--- a/src/scalewood/store/identity.rs
+++ b/src/scalewood/store/identity.rs
@@ -110,7 +110,7 @@
 /// # Errors
 ///
 /// Fails if the folder was initialised before.
-pub fn make<M: media::Media>(
+pub fn create<M: media::Media>(
     media: &mut M,
     own: &name::Box,
     identity: raft::Identity,
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -255,7 +255,7 @@
 
 /// Returns whether the journal should be compacted after a step's writes: when they contain a
 /// snapshot, since the entries before it are no longer needed.
-pub fn compacts<S: State>(writes: &[Write<S>]) -> bool {
+pub fn needs_compaction<S: State>(writes: &[Write<S>]) -> bool {
     writes
         .iter()
         .any(|write| matches!(write, Write::Snapshot(_) | Write::Restart(_)))
@@ -263,12 +263,12 @@
 
 /// A voter's journal with a copy of the state that it holds, from which it is compacted.
 #[derive(Debug)]
-pub struct Keeper<M, S: State> {
+pub struct Writer<M, S: State> {
     journal: Journal<M>,
     kept: Persisted<S>,
 }
 
-impl<M: media::Media, S: State> Keeper<M, S> {
+impl<M: media::Media, S: State> Writer<M, S> {
     /// Returns a keeper of a journal, which holds the given state.
     pub fn new(journal: Journal<M>, kept: Persisted<S>) -> Self {
         Self { journal, kept }
@@ -289,8 +289,8 @@
     /// # Errors
     ///
     /// Fails if they can't be written; the voter must then stop.
-    pub fn keep(&mut self, writes: Vec<raft::Write<S>>) -> Result<bool, Error> {
-        if !compacts(&writes) {
+    pub fn write(&mut self, writes: Vec<raft::Write<S>>) -> Result<bool, Error> {
+        if !needs_compaction(&writes) {
             for write in &writes {
                 self.kept.replay(write.clone());
             }
--- a/src/scalewood/util/clock.rs
+++ b/src/scalewood/util/clock.rs
@@ -26,14 +26,14 @@
 impl System {
     /// An offset that is added to the time since boot. A request may be older than the machine's
     /// uptime, and its arrival must still be a valid time.
-    pub const HEAD_START: Duration = Duration::from_secs(24 * 3600);
+    pub const BOOT_OFFSET: Duration = Duration::from_secs(24 * 3600);
 }
 
 impl Clock for System {
     fn now(&self) -> Duration {
         let since_boot = ClockId::CLOCK_BOOTTIME.now();
         let since_boot = since_boot.expect("Linux has had this clock since 2.6.39");
-        Self::HEAD_START + Duration::from(since_boot)
+        Self::BOOT_OFFSET + Duration::from(since_boot)
     }
 
     fn unix_ms(&self) -> u64 {
--- a/src/scalewood/util/lock.rs
+++ b/src/scalewood/util/lock.rs
@@ -83,7 +83,7 @@
     }
 
     /// Calls a function on each shard in turn, while that shard is locked.
-    pub fn each(&self, mut visit: impl FnMut(&mut HashMap<K, V>)) {
+    pub fn for_each(&self, mut visit: impl FnMut(&mut HashMap<K, V>)) {
         for shard in &self.shards {
             visit(&mut lock(shard));
         }
--- a/src/scalewood/util/metric.rs
+++ b/src/scalewood/util/metric.rs
@@ -127,27 +127,27 @@
     /// Larger requests of less urgent classes that arrived while a more urgent class was refused.
     pub preceded: Family<PrecedenceLabel, Counter>,
     /// Seconds from arrival to the first token.
-    pub first: ClassHistogram,
+    pub first_token: ClassHistogram,
     /// Seconds between two tokens.
-    pub between: ClassHistogram,
+    pub between_tokens: ClassHistogram,
     /// Requests that are queued at this box's dispatchers.
     pub waiting: Family<ServiceLabel, Gauge>,
     /// Slots that this box's dispatchers have granted and not got back.
-    pub running: Family<ServiceLabel, Gauge>,
+    pub slots_granted: Family<ServiceLabel, Gauge>,
     /// Requests that were granted to endpoints that are warming up.
     pub warming_sent: Family<ServiceLabel, Counter>,
     /// Requests that were diverted from their home because it is warming up.
     pub warming_kept_back: Family<ServiceLabel, Counter>,
     /// Endpoints that are believed to be warming up.
-    pub warming: Gauge,
+    pub endpoints_warming: Gauge,
     /// The age, in seconds, of the endpoint's report from which a warm-up was assumed.
-    pub warming_age: Histogram,
+    pub warming_report_age: Histogram,
     /// Failed runs of policy programs.
     pub policy_failures: Counter,
     /// The configuration revision in force in this process.
     pub revision: Gauge,
     /// For how many seconds voters have reported a newer revision.
-    pub behind: Gauge<f64, AtomicU64>,
+    pub config_behind: Gauge<f64, AtomicU64>,
     /// Zones that are cordoned by the configuration in force in this process.
     pub cordoned: Gauge,
     /// Grants that were not used because their endpoint's zone had been cordoned meanwhile.
@@ -157,9 +157,9 @@
     /// Requests that were not sent because their endpoint had asked for a rest.
     pub rest_kept_back: Counter,
     /// Endpoints that are known to limit their requests per second.
-    pub limited: Gauge,
+    pub limited_endpoints: Gauge,
     /// Requests that were sent to endpoints with a known rate limit.
-    pub limited_sent: Counter,
+    pub limited_sends: Counter,
     /// Requests that were diverted from their home because of its rate limit.
     pub limit_kept_back: Counter,
     /// Permits that voters issued to this box for endpoints with a rate limit.
@@ -183,23 +183,23 @@
             ended: Family::default(),
             refused: Family::default(),
             preceded: Family::default(),
-            first: Family::new_with_constructor(duration_histogram),
-            between: Family::new_with_constructor(duration_histogram),
+            first_token: Family::new_with_constructor(duration_histogram),
+            between_tokens: Family::new_with_constructor(duration_histogram),
             waiting: Family::default(),
-            running: Family::default(),
+            slots_granted: Family::default(),
             warming_sent: Family::default(),
             warming_kept_back: Family::default(),
-            warming: Gauge::default(),
-            warming_age: duration_histogram(),
+            endpoints_warming: Gauge::default(),
+            warming_report_age: duration_histogram(),
             policy_failures: Counter::default(),
             revision: Gauge::default(),
-            behind: Gauge::default(),
+            config_behind: Gauge::default(),
             cordoned: Gauge::default(),
             cordon_declined: Counter::default(),
             rests_asked: Counter::default(),
             rest_kept_back: Counter::default(),
-            limited: Gauge::default(),
-            limited_sent: Counter::default(),
+            limited_endpoints: Gauge::default(),
+            limited_sends: Counter::default(),
             limit_kept_back: Counter::default(),
             permits: Counter::default(),
             held_back: Gauge::default(),
@@ -253,12 +253,12 @@
         r.register(
             "first_token_seconds",
             "Arrival to first token",
-            self.first.clone(),
+            self.first_token.clone(),
         );
         r.register(
             "between_tokens_seconds",
             "Between two tokens",
-            self.between.clone(),
+            self.between_tokens.clone(),
         );
         r.register(
             "requests_waiting",
@@ -268,7 +268,7 @@
         r.register(
             "slots_granted",
             "Slots granted by dispatchers here",
-            self.running.clone(),
+            self.slots_granted.clone(),
         );
         r.register(
             "policy_failures",
@@ -283,7 +283,7 @@
         r.register(
             "config_behind_seconds",
             "For how long a voter has told of a newer revision",
-            self.behind.clone(),
+            self.config_behind.clone(),
         );
         r.register(
             "cordoned_zones",
@@ -308,12 +308,12 @@
         r.register(
             "limited_endpoints",
             "Endpoints known to limit their requests a second",
-            self.limited.clone(),
+            self.limited_endpoints.clone(),
         );
         r.register(
             "limited_sends",
             "Requests sent to endpoints known to limit them",
-            self.limited_sent.clone(),
+            self.limited_sends.clone(),
         );
         r.register(
             "limit_kept_back",
@@ -353,12 +353,12 @@
         r.register(
             "endpoints_warming",
             "Endpoints believed to warm up",
-            self.warming.clone(),
+            self.endpoints_warming.clone(),
         );
         r.register(
             "warming_word_age_seconds",
             "Age of the word that a warm-up is believed by",
-            self.warming_age.clone(),
+            self.warming_report_age.clone(),
         );
     }
 
--- a/src/scalewood/util/socket.rs
+++ b/src/scalewood/util/socket.rs
@@ -9,27 +9,27 @@
 /// probed, and two seconds later the connection is closed. This is no longer than the three seconds
 /// after which a box counts as unreachable, and longer than the one second for which packets queue
 /// at a saturated link.
-pub const PROCESS: Silence = Silence {
+pub const PROCESS: Timeouts = Timeouts {
     unacknowledged: Duration::from_secs(3),
     probe_after: Some(Duration::from_secs(1)),
 };
 /// The timeouts towards callers. A caller that acknowledges nothing for this long is gone: the
 /// longest pause that callers tolerate is a few seconds.
-pub const CALLER: Silence = Silence {
+pub const CALLER: Timeouts = Timeouts {
     unacknowledged: Duration::from_secs(10),
     probe_after: Some(Duration::from_secs(10)),
 };
 /// The timeouts towards endpoints: sent bytes are acknowledged within the round trip and the
 /// queueing delay of a saturated link. An endpoint sends nothing while it computes, and is not
 /// probed: a response that a network partition delays may still arrive.
-pub const ENDPOINT: Silence = Silence {
+pub const ENDPOINT: Timeouts = Timeouts {
     unacknowledged: Duration::from_millis(700),
     probe_after: None,
 };
 
 /// The timeouts after which a silent connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Silence {
+pub struct Timeouts {
     /// How long sent bytes may stay unacknowledged.
     pub unacknowledged: Duration,
     /// How long a connection may be idle before its peer is probed, once a second; `None` if it is
@@ -37,14 +37,14 @@
     pub probe_after: Option<Duration>,
 }
 
-impl Silence {
+impl Timeouts {
     /// Sets the timeouts on a socket. Connections that a listening socket accepts inherit them.
     ///
     /// # Errors
     ///
     /// Fails if the operating system refuses the options. The socket works without them, but a
     /// dead connection is detected late.
-    pub fn end<'a>(&self, socket: impl Into<SockRef<'a>>) -> std::io::Result<()> {
+    pub fn apply<'a>(&self, socket: impl Into<SockRef<'a>>) -> std::io::Result<()> {
         /// The number of unanswered probes after which the connection is closed.
         const MAX_PROBES: u32 = 2;
         const PROBE_INTERVAL: Duration = Duration::from_secs(1);
--- a/src/scalewood/wire/admin.rs
+++ b/src/scalewood/wire/admin.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BoxStatus {
     /// Its last report.
-    pub beat: crate::wire::control::Beat,
+    pub beat: crate::wire::control::Heartbeat,
     /// The age of this report in milliseconds.
     pub age_ms: u64,
     /// Whether the revision in force is in force at the box too.
--- a/src/scalewood/wire/control.rs
+++ b/src/scalewood/wire/control.rs
@@ -23,7 +23,7 @@
 
 /// An entry box's report about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The box.
     pub name: name::Box,
     /// Its zone.
@@ -36,8 +36,8 @@
     pub dispatches: Vec<name::Service>,
     /// The endpoints that have asked this box for a rest, each with the remaining rest in
     /// milliseconds; a subset if there are many.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub rests: Vec<(name::Endpoint, u64)>,
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "rests")]
+    pub backoffs: Vec<(name::Endpoint, u64)>,
     /// The rate limits of endpoints that the box knows; a subset if there are many.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<(name::Endpoint, throttle::Limit)>,
@@ -46,7 +46,7 @@
 /// The answer to a proposal that was forwarded to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Passed<A> {
+pub enum Forwarded<A> {
     /// The proposal was decided, with this answer.
     Answer(A),
     /// The voter is not the leader.
@@ -66,7 +66,7 @@
 
     /// Records an entry box's report; returns the highest revision that this voter knows.
     #[method(name = "beat")]
-    async fn beat(&self, beat: Beat) -> RpcResult<unit::Revision>;
+    async fn beat(&self, beat: Heartbeat) -> RpcResult<unit::Revision>;
 
     /// Proposes a change of the configuration that another voter forwards for an operator.
     #[method(name = "change")]
@@ -74,19 +74,22 @@
         &self,
         change: change::Change,
         operator: name::Operator,
-    ) -> RpcResult<Passed<change::Answer>>;
+    ) -> RpcResult<Forwarded<change::Answer>>;
 
     /// Proposes a routing that another voter forwards for an operator.
     #[method(name = "publish")]
-    async fn publish(&self, publication: ledger::Publication) -> RpcResult<Passed<change::Answer>>;
+    async fn publish(
+        &self,
+        publication: ledger::Publication,
+    ) -> RpcResult<Forwarded<change::Answer>>;
 
     /// Proposes an order to cordon or uncordon a zone that another voter forwards for an operator.
     #[method(name = "cordon")]
-    async fn cordon(&self, order: cordon::Order) -> RpcResult<Passed<change::Answer>>;
+    async fn cordon(&self, order: cordon::Order) -> RpcResult<Forwarded<change::Answer>>;
 
     /// Returns the text of the routing in force; only the leader answers.
     #[method(name = "read")]
-    async fn read(&self) -> RpcResult<Passed<Option<Arc<str>>>>;
+    async fn read(&self) -> RpcResult<Forwarded<Option<Arc<str>>>>;
 
     /// Adds a node to the members. Returns the leader's address if another voter is the leader.
     #[method(name = "join")]
@@ -94,5 +97,5 @@
 
     /// Proposes a membership change that another voter forwards for an operator.
     #[method(name = "members")]
-    async fn members(&self, request: raft::MembersRequest) -> RpcResult<Passed<()>>;
+    async fn members(&self, request: raft::MembersRequest) -> RpcResult<Forwarded<()>>;
 }
--- a/src/scalewood/wire/registry.rs
+++ b/src/scalewood/wire/registry.rs
@@ -14,7 +14,7 @@
 
 /// An update of the registry; the first one of a subscription contains everything.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct RegistryUpdate {
     /// Endpoints that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changed: Vec<registry::Record>,
@@ -64,7 +64,7 @@
 
 /// The address of a voter or learner, and its zone if that is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Location {
     /// Its address.
     pub address: SocketAddr,
     /// Its availability zone.
@@ -84,7 +84,7 @@
 
 /// A complete document with its revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Whole {
+pub struct Snapshot {
     /// The revision.
     pub revision: unit::Revision,
     /// The document as JSON, which is serialised once for all boxes.
@@ -98,7 +98,7 @@
     /// The steps from the revision that was asked about.
     Steps(Vec<change::Step>),
     /// The complete document, if the voter no longer has these steps.
-    Whole(Whole),
+    Whole(Snapshot),
 }
 
 /// A voter's answer to a box's `exchange`.
@@ -162,17 +162,17 @@
 #[rpc(server, client, namespace = "registry")]
 pub trait Registry {
     /// Subscribes to the registry, with the names of all endpoints heard of in each update.
-    #[subscription(name = "follow" => "news", unsubscribe = "leave", item = News)]
+    #[subscription(name = "follow" => "news", unsubscribe = "leave", item = RegistryUpdate)]
     async fn follow(&self, who: name::Box) -> SubscriptionResult;
 
     /// Subscribes to changes of the registry only: the voter vouches for all endpoints that it has
     /// reported and names those whose heartbeats are overdue.
-    #[subscription(name = "track" => "tracked", unsubscribe = "untrack", item = News)]
+    #[subscription(name = "track" => "tracked", unsubscribe = "untrack", item = RegistryUpdate)]
     async fn track(&self, who: name::Box, tracker: Tracker) -> SubscriptionResult;
 
     /// Returns the addresses of voters and learners.
     #[method(name = "places")]
-    async fn places(&self) -> RpcResult<Vec<Place>>;
+    async fn places(&self) -> RpcResult<Vec<Location>>;
 
     /// Records the paces of endpoints that a box has measured.
     #[method(name = "measured")]
--- a/src/scalewood/wire/source.rs
+++ b/src/scalewood/wire/source.rs
@@ -29,7 +29,7 @@
 }
 
 /// The size of a piece in bytes. A piece ends at the first character boundary from here on.
-pub const PIECE: usize = 128 * 1024;
+pub const PIECE_BYTES: usize = 128 * 1024;
 
 /// Distributes the configuration.
 #[rpc(server, client, namespace = "source")]
--- a/tests/testsuite/clock.rs
+++ b/tests/testsuite/clock.rs
@@ -16,7 +16,7 @@
     };
     let clock = System;
     let (before, now, after) = (uptime(), clock.now(), uptime());
-    let since_boot = now.checked_sub(System::HEAD_START).unwrap();
+    let since_boot = now.checked_sub(System::BOOT_OFFSET).unwrap();
     // The kernel reports the uptime in hundredths of a second.
     let slack = Duration::from_millis(20);
     assert!(
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -281,7 +281,7 @@
         let from = feed.current().revision;
         apply_order(&mut ledger, Action::Cordon, "a", None);
         update_feed(&feed, &ledger);
-        let steps = feed.current().since(from).unwrap();
+        let steps = feed.current().steps_since(from).unwrap();
         assert!(matches!(&steps[0].what, Delta::Cordons(d) if d.len() == 1));
         // A voter that receives several revisions at once publishes them as one step.
         apply_order(&mut ledger, Action::Uncordon, "a", None);
@@ -291,7 +291,7 @@
         }
         let from = feed.current().revision;
         assert!(feed.publish_whole(ledger.revision(), ledger.document().clone()));
-        let steps = feed.current().since(from).unwrap();
+        let steps = feed.current().steps_since(from).unwrap();
         let [step] = steps.as_slice() else {
             panic!("one step: {steps:?}");
         };
--- a/tests/testsuite/feed.rs
+++ b/tests/testsuite/feed.rs
@@ -52,14 +52,14 @@
     let state = feed.current();
     assert_eq!(state.document, document(&["a", "b", "c", "d"]));
     let since: Vec<_> = state
-        .since(unit::Revision(2))
+        .steps_since(unit::Revision(2))
         .unwrap()
         .iter()
         .map(|step| step.revision.0)
         .collect();
     assert_eq!(since, [3, 4]);
     // There are no differences up to a document that was received whole.
-    assert!(state.since(unit::Revision(0)).is_none());
+    assert!(state.steps_since(unit::Revision(0)).is_none());
 }
 
 fn routed(version: u64, hosts: &[(&str, &str)]) -> Arc<config::Document> {
@@ -102,7 +102,7 @@
     let new = routed(2, &[("r1", "one"), ("r2", "other"), ("r4", "four")]);
     feed.publish_whole(unit::Revision(4), old.clone());
     feed.publish_whole(unit::Revision(7), new.clone());
-    let steps = feed.current().since(unit::Revision(4)).unwrap();
+    let steps = feed.current().steps_since(unit::Revision(4)).unwrap();
     let [step] = steps.as_slice() else {
         panic!("one step: {steps:?}");
     };
@@ -133,5 +133,5 @@
     let mut other = config::Document::clone(&routed(2, &[("r1", "one")]));
     edit("b").apply(&mut other);
     feed.publish_whole(unit::Revision(2), Arc::new(other));
-    assert!(feed.current().since(unit::Revision(1)).is_none());
+    assert!(feed.current().steps_since(unit::Revision(1)).is_none());
 }
--- a/tests/testsuite/incarnation.rs
+++ b/tests/testsuite/incarnation.rs
@@ -306,7 +306,7 @@
 #[test]
 fn news_of_processes_that_know_no_incarnations_are_read() {
     let old = r#"{"gone":["i"],"heard":["j"],"revision":3,"followers":2}"#;
-    let news: wire::registry::News = serde_json::from_str(old).unwrap();
+    let news: wire::registry::RegistryUpdate = serde_json::from_str(old).unwrap();
     assert_eq!((news.ended, news.left), (Vec::new(), Vec::new()));
     let old =
         r#"{"stamps":{"usage":0,"registry":4},"usage":[],"changed":[],"gone":["i"],"heard":[]}"#;
--- a/tests/testsuite/journal.rs
+++ b/tests/testsuite/journal.rs
@@ -12,7 +12,7 @@
     core::raft::{Entry, Identity, Index, Node, Payload, Persisted, Snapshot, Term, Write},
     store::{
         identity,
-        journal::{Error, Journal, Keeper},
+        journal::{Error, Journal, Writer},
         media::Media,
     },
 };
@@ -159,9 +159,9 @@
     }
 }
 
-fn reopen(media: &Memory) -> Keeper<Memory, Trail> {
+fn reopen(media: &Memory) -> Writer<Memory, Trail> {
     let opened = Journal::open::<Trail>(media.clone()).expect("the journal opens");
-    Keeper::new(opened.journal, opened.kept)
+    Writer::new(opened.journal, opened.kept)
 }
 
 #[test]
@@ -180,7 +180,7 @@
                     let torn = writes(Step::Append(2), &acknowledged);
                     let mut half = media.clone();
                     let before = media.read("journal").unwrap().unwrap().len();
-                    keeper.keep(torn.clone()).unwrap();
+                    keeper.write(torn.clone()).unwrap();
                     let after = media.read("journal").unwrap().unwrap();
                     half.replace("journal", &after[..before]).unwrap();
                     half.append("journal", &after[before..]).unwrap();
@@ -194,7 +194,7 @@
                 }
                 step => {
                     let writes = writes(step, &acknowledged);
-                    keeper.keep(writes.clone()).unwrap();
+                    keeper.write(writes.clone()).unwrap();
                     writes
                         .into_iter()
                         .for_each(|write| acknowledged.replay(write));
@@ -214,7 +214,7 @@
     let mut keeper = reopen(&media);
     for i in 0..5 {
         keeper
-            .keep(vec![Write::Append(vec![entry(i + 1, 1)])])
+            .write(vec![Write::Append(vec![entry(i + 1, 1)])])
             .unwrap();
     }
     let whole = media.read("journal").unwrap().unwrap();
@@ -246,9 +246,9 @@
         identity::read(&media, &own),
         Err(identity::Error::Empty)
     ));
-    let node = identity::make(&mut media, &own, Identity(7)).unwrap();
+    let node = identity::create(&mut media, &own, Identity(7)).unwrap();
     assert!(matches!(
-        identity::make(&mut media, &own, Identity(7)),
+        identity::create(&mut media, &own, Identity(7)),
         Err(identity::Error::Used(_))
     ));
     assert_eq!(identity::read(&media, &own).unwrap(), node);
--- a/tests/testsuite/pace.rs
+++ b/tests/testsuite/pace.rs
@@ -103,7 +103,7 @@
     let view = View::new(unit::Revision(1), Arc::default());
     let (service, zone) = ("lm".parse().unwrap(), "a".parse().unwrap());
     let Input::Configure(specs, _) =
-        view.dispatch_input(&service, &zone, registry, &region::Map::default())
+        view.configure_input(&service, &zone, registry, &region::Map::default())
     else {
         panic!("a configuration is expected");
     };
@@ -219,7 +219,7 @@
 #[test]
 fn measurements_outlast_a_restart_and_a_file_that_is_torn_counts_for_nothing() {
     let dir = tempfile::tempdir().unwrap();
-    let place = hints::Place::new(dir.path());
+    let place = hints::Store::new(dir.path());
     assert_eq!(place.load().unwrap(), hints::Hints::default());
     let paced = |name: &str, pace| Paced {
         endpoint: name.parse().unwrap(),
--- a/tests/testsuite/routed.rs
+++ b/tests/testsuite/routed.rs
@@ -51,7 +51,7 @@
 async fn no_reserved_header_reaches_an_endpoint_as_a_caller_sent_it() {
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = serving(1, dir.path()).await;
-    let reserved = Native::RESERVED;
+    let reserved = Native::RESERVED_HEADERS;
     let reserved = reserved.iter().filter(|name| **name != "authorization");
     let mut headers: Vec<_> = reserved.map(|name| (*name, "4000")).collect();
     headers.push(("authorization", "Bearer key-1"));
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -17,9 +17,12 @@
 fn good_settings_are_taken() {
     let settings: entry::Settings = settings::parse("entry.json", ENTRY).unwrap();
     assert_eq!(settings.name.as_str(), "e1");
-    assert_eq!(settings.limits.body.0, 2 << 20);
-    assert_eq!(settings.limits.silence.as_secs(), 20);
-    assert_eq!(settings.limits.connect, entry::Limits::default().connect);
+    assert_eq!(settings.limits.max_body.0, 2 << 20);
+    assert_eq!(settings.limits.max_silence.as_secs(), 20);
+    assert_eq!(
+        settings.limits.connect_timeout,
+        entry::Limits::default().connect_timeout
+    );
 }
 
 #[test]
@@ -80,7 +83,7 @@
                 "publish": "127.0.0.1:7102", "data": "data", "provider": {provider} }}"#
         );
         let settings = settings::parse::<Settings>("c1.json", &text).unwrap();
-        settings.provider.hindrance(Task::Usage).unwrap_or("none")
+        settings.provider.obstacle(Task::Usage).unwrap_or("none")
     };
     let whole = |window: &str, rate: &str| {
         format!(
--- a/tests/testsuite/silence.rs
+++ b/tests/testsuite/silence.rs
@@ -5,7 +5,7 @@
 use scalewood::{
     core::registry::State,
     ops::rpc,
-    wire::registry::{News, RegistryClient as _},
+    wire::registry::{RegistryClient as _, RegistryUpdate},
 };
 
 use crate::support::{
@@ -69,7 +69,7 @@
         let mut news = voter.follow("e9".parse().unwrap()).await.unwrap();
         let until = Instant::now() + Duration::from_secs(5);
         loop {
-            let News { followers, .. } = news.next().await.unwrap().unwrap();
+            let RegistryUpdate { followers, .. } = news.next().await.unwrap().unwrap();
             // The system's entry box is the other follower.
             if followers == 2 {
                 break;
--- a/tests/testsuite/support/voter.rs
+++ b/tests/testsuite/support/voter.rs
@@ -22,8 +22,8 @@
     ops::rpc,
     wire::{
         registry::{
-            Exchanged, Gathered, News, Place, RegistryServer, Shared, Stamps, Tracker, Update,
-            Whole,
+            Exchanged, Gathered, Location, RegistryServer, RegistryUpdate, Shared, Snapshot,
+            Stamps, Tracker, Update,
         },
         source::{self, SourceServer},
     },
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    async fn places(&self) -> RpcResult<Vec<Place>> {
+    async fn places(&self) -> RpcResult<Vec<Location>> {
         Err(ErrorObjectOwned::from(ErrorCode::MethodNotFound))
     }
 
@@ -118,10 +118,10 @@
         let sink = pending.accept().await?;
         let mut feed = self.feed.watch();
         loop {
-            let news = News {
+            let news = RegistryUpdate {
                 revision: feed.borrow_and_update().revision,
                 followers: 1,
-                ..News::default()
+                ..RegistryUpdate::default()
             };
             let raw = serde_json::value::to_raw_value(&news)?;
             if sink.send(SubscriptionMessage::from(raw)).await.is_err() {
@@ -168,13 +168,16 @@
             }
         }
         let state = self.feed.current();
-        if let Some(steps) = state.since(newer_than).filter(|steps| !steps.is_empty()) {
+        if let Some(steps) = state
+            .steps_since(newer_than)
+            .filter(|steps| !steps.is_empty())
+        {
             let steps = steps.iter().map(|step| Step::clone(step));
             return Ok(Some(Update::Steps(steps.collect())));
         }
-        Ok(Some(Update::Whole(Whole {
+        Ok(Some(Update::Whole(Snapshot {
             revision: state.revision,
-            document: RawValue::from_string(state.text().unwrap().to_string()).unwrap(),
+            document: RawValue::from_string(state.json().unwrap().to_string()).unwrap(),
         })))
     }
 }
