--- a/src/bin/scalewood-standin/faults.rs
+++ b/src/bin/scalewood-standin/faults.rs
@@ -20,7 +20,7 @@
     pub(crate) hang: bool,
     /// Whether the connection of a plain call is closed after the call has run.
     pub(crate) cut_after_run: bool,
-    /// If not 0, all requests are rejected and a rest of this many milliseconds is asked for.
+    /// If not 0, all requests are rejected and a backoff of this many milliseconds is asked for.
     pub(crate) rest_ms: u32,
 }
 
--- a/src/bin/scalewood-standin/record.rs
+++ b/src/bin/scalewood-standin/record.rs
@@ -23,7 +23,7 @@
     pub(crate) resumed_at: u64,
 }
 
-/// A request that was rejected because the stand-in asks for a rest.
+/// A request that was rejected because the stand-in asks for a backoff.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct TurnedAway {
     /// When it was rejected, in milliseconds since the process started.
@@ -32,7 +32,7 @@
     pub(crate) path: String,
     /// Its body.
     pub(crate) body: String,
-    /// The rest that the response asked for, in milliseconds.
+    /// The backoff that the response asked for, in milliseconds.
     pub(crate) rest_ms: u32,
 }
 
--- a/src/bin/scalewood-standin/serve.rs
+++ b/src/bin/scalewood-standin/serve.rs
@@ -175,7 +175,7 @@
     }
 }
 
-/// Rejects a request and asks for a rest.
+/// Rejects a request and asks for a backoff.
 async fn turn_away(standin: &Standin, request: Request<Incoming>) -> Response<Pieces> {
     let rest_ms = standin.faults().rest_ms;
     let path = request.uri().path().to_owned();
@@ -202,8 +202,8 @@
     let not_run = header::HeaderValue::from_static("not-run");
     headers.insert("scalewood-verdict", not_run);
     let seconds = f64::from(rest_ms) / 1000.0;
-    if let Ok(rest) = header::HeaderValue::from_str(&seconds.to_string()) {
-        headers.insert(header::RETRY_AFTER, rest);
+    if let Ok(backoff) = header::HeaderValue::from_str(&seconds.to_string()) {
+        headers.insert(header::RETRY_AFTER, backoff);
     }
     response
 }
--- a/src/scalewood/board/entry.rs
+++ b/src/scalewood/board/entry.rs
@@ -65,8 +65,8 @@
 }
 
 impl Ticket {
-    /// Applies a configuration's rules on where this request may be served, if it is waiting. Returns
-    /// the reports for its dispatcher if that changed.
+    /// Applies a configuration's rules on where this request may be served, if it is waiting.
+    /// Returns the reports for its dispatcher if that changed.
     ///
     /// The reports end the attempt, even if a grant for it is on its way, and ask again under the
     /// next attempt number, so that no grant under the previous configuration is used.
@@ -190,7 +190,8 @@
     pub registry_followed_since: Mutex<Option<Duration>>,
     /// The number of boxes that use the same endpoints, including this one; 0 if unknown.
     pub sharers: AtomicU32,
-    /// The configuration revisions that followed voters announce, and which voter was asked for one.
+    /// The configuration revisions that followed voters announce, and which voter was asked for
+    /// one.
     pub catchup: Mutex<catchup::Catchup>,
     /// Wakes the fetcher when a voter announces a newer configuration.
     pub config_announced: Notify,
@@ -229,7 +230,7 @@
             rand::random(),
         );
         let claims = claim::Holder::new(own.name.clone(), retention, now);
-        let rests = backoff::Book::new(own.name.clone());
+        let backoffs = backoff::Book::new(own.name.clone());
         Self {
             own,
             clock,
@@ -252,7 +253,7 @@
             uncordoned: Mutex::default(),
             warming: Mutex::default(),
             paces: Mutex::default(),
-            backoffs: Mutex::new(rests),
+            backoffs: Mutex::new(backoffs),
             throttles: Mutex::default(),
             crashes: Mutex::default(),
             held_back_known: AtomicBool::new(false),
@@ -292,16 +293,16 @@
         self.freezes.load(Ordering::Relaxed)
     }
 
-    /// Returns whether a message that is read now may be out of date, because the process was frozen
-    /// while it waited to be read.
+    /// Returns whether a message that is read now may be out of date, because the process was
+    /// frozen while it waited to be read.
     pub fn may_be_stale(&self) -> bool {
         let now = millis(self.clock.now());
         let gap = now.saturating_sub(self.last_beat_ms.load(Ordering::Relaxed));
         gap > millis(MIN_FREEZE) || now < self.stale_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns whether an endpoint's zone is cordoned in the newest configuration of this box, which
-    /// the dispatchers may not have received yet.
+    /// Returns whether an endpoint's zone is cordoned in the newest configuration of this box,
+    /// which the dispatchers may not have received yet.
     pub fn is_cordoned(&self, endpoint: &name::Endpoint) -> bool {
         let document = self.feed.current().document.clone();
         if document.cordoned.is_empty() {
@@ -321,14 +322,14 @@
         lock(&self.backoffs).remaining(endpoint, start, self.clock.now())
     }
 
-    /// Updates a rest to the known start of its endpoint and the time that is left; returns whether
-    /// the rest still applies.
-    pub fn renew_backoff(&self, told: &mut backoff::Notice) -> bool {
-        let Some(left) = self.remaining_backoff(&told.endpoint) else {
+    /// Updates a backoff to the known start of its endpoint and the time that is left; returns
+    /// whether the backoff still applies.
+    pub fn renew_backoff(&self, notice: &mut backoff::Notice) -> bool {
+        let Some(left) = self.remaining_backoff(&notice.endpoint) else {
             return false;
         };
-        told.remaining = left;
-        told.start = self.start_of(&told.endpoint);
+        notice.remaining = left;
+        notice.start = self.start_of(&notice.endpoint);
         true
     }
 
--- a/src/scalewood/board/view.rs
+++ b/src/scalewood/board/view.rs
@@ -117,7 +117,7 @@
                 zone: endpoint.zone.clone(),
                 slow: false,
                 memory: None,
-                admission: self.standing(&endpoint.zone, regions),
+                admission: self.admission(&endpoint.zone, regions),
             });
         let specs = specs.chain(registered);
         let classes = self.document.classes_of(service);
@@ -180,7 +180,7 @@
             memory: None,
             admission: dispatch::Admission {
                 incarnation: record.incarnation,
-                ..self.standing(&record.zone, regions)
+                ..self.admission(&record.zone, regions)
             },
         }
     }
@@ -199,7 +199,7 @@
     }
 
     /// Returns the restrictions on sending new requests to the endpoints of a zone.
-    fn standing(&self, zone: &name::Zone, regions: &region::Map) -> dispatch::Admission {
+    fn admission(&self, zone: &name::Zone, regions: &region::Map) -> dispatch::Admission {
         dispatch::Admission {
             cordoned: self.document.cordoned.contains(zone),
             region: regions.region_of(zone).cloned(),
--- a/src/scalewood/ops/backoff.rs
+++ b/src/scalewood/ops/backoff.rs
@@ -4,8 +4,8 @@
 
 use crate::core::backoff;
 
-/// Returns the rest that an answer asks for. A date in `Retry-After` is compared with the answer's
-/// `Date`, or with `unix_ms`, the time of day here, if it has none.
+/// Returns the backoff that an answer asks for. A date in `Retry-After` is compared with the
+/// answer's `Date`, or with `unix_ms`, the time of day here, if it has none.
 pub(in crate::ops) fn parse(headers: &HeaderMap, unix_ms: u64) -> backoff::Parsed {
     let values = headers.get_all(header::RETRY_AFTER).into_iter();
     // A value that is not text is passed on as one that can't be parsed as a time.
--- a/src/scalewood/ops/control/guarded.rs
+++ b/src/scalewood/ops/control/guarded.rs
@@ -116,7 +116,7 @@
             let response = sent.await.map_err(|_| Failure::Broken)?;
             let status = response.status();
             // The holder is the receiver's only caller, so a 429 applies to all calls.
-            let rest = if ops::backoff::applies_to_all(status, true) {
+            let backoff = if ops::backoff::applies_to_all(status, true) {
                 ops::backoff::parse(response.headers(), unix_ms)
             } else {
                 backoff::Parsed::Absent
@@ -125,10 +125,7 @@
             let _ = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
                 .collect()
                 .await;
-            Ok(Answer {
-                status,
-                backoff: rest,
-            })
+            Ok(Answer { status, backoff })
         };
         let ended = tokio::time::timeout(timeout, while_held(answered, holds)).await;
         let answer = ended.ok().flatten().unwrap_or(Err(Failure::Timeout));
--- a/src/scalewood/ops/control/order.rs
+++ b/src/scalewood/ops/control/order.rs
@@ -75,7 +75,7 @@
         let mut progress = Progress::default();
         let mut bucket = limit::Bucket::full(self.rate, self.clock.now());
         let own = self.handle.published().status.node.name;
-        let mut rests = backoff::Book::new(own);
+        let mut backoffs = backoff::Book::new(own);
         loop {
             tokio::time::sleep(CHECK_PERIOD).await;
             let published = self.handle.published();
@@ -90,7 +90,10 @@
             }
             for (endpoint, address, load) in due(&published, &progress) {
                 // Orders count as requests, so an endpoint's Retry-After applies to them too.
-                if rests.remaining(&endpoint, None, self.clock.now()).is_some() {
+                if backoffs
+                    .remaining(&endpoint, None, self.clock.now())
+                    .is_some()
+                {
                     continue;
                 }
                 if bucket.take(1.0, self.rate, self.clock.now()).is_err() {
@@ -108,7 +111,7 @@
                         let configured = published.ledger.document().endpoints.get(&endpoint);
                         if let Some(configured) = configured {
                             let now = self.clock.now();
-                            rests.record(&endpoint, &configured.service, None, length, now);
+                            backoffs.record(&endpoint, &configured.service, None, length, now);
                         }
                     }
                     Outcome::Failed => {}
@@ -154,13 +157,13 @@
                 Outcome::Accepted
             }
             Ok(answer) => {
-                let rest = match answer.backoff {
+                let backoff = match answer.backoff {
                     backoff::Parsed::For(length) => Some(length),
                     backoff::Parsed::Absent | backoff::Parsed::Invalid => None,
                 };
                 event!(self.log, OrderFailed, "endpoint" => %endpoint, "why" => %answer.status,
-                    "rest_ms" => rest.map(|rest| rest.as_millis()));
-                rest.map_or(Outcome::Failed, Outcome::RetryAfter)
+                    "rest_ms" => backoff.map(|backoff| backoff.as_millis()));
+                backoff.map_or(Outcome::Failed, Outcome::RetryAfter)
             }
             Err(guarded::Failure::NoLease) => {
                 event!(self.log, OrderHeldBack, "endpoint" => %endpoint, "term" => order.term);
--- a/src/scalewood/ops/control/provider/client.rs
+++ b/src/scalewood/ops/control/provider/client.rs
@@ -23,7 +23,7 @@
 /// The longest `Retry-After` that is obeyed: usage reports and orders are overdue after some
 /// minutes.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// How long a caller waits whose call the rate limit or a rest does not allow.
+/// How long a caller waits whose call the rate limit or a backoff does not allow.
 const RATE_LIMIT_WAIT: Duration = Duration::from_millis(100);
 
 /// Calls the provider, one call at a time.
@@ -85,12 +85,12 @@
         classify: fn(StatusCode) -> Outcome,
         what: &str,
     ) -> Outcome {
-        let is_resting = self.clock.now() < self.backoff_until;
-        if is_resting || self.bucket.take(1.0, self.rate, self.clock.now()).is_err() {
+        let is_backing_off = self.clock.now() < self.backoff_until;
+        if is_backing_off || self.bucket.take(1.0, self.rate, self.clock.now()).is_err() {
             tokio::time::sleep(RATE_LIMIT_WAIT).await;
             return Outcome::Busy;
         }
-        let asked = self.clock.now();
+        let asked_at = self.clock.now();
         let answer = self.send(authority, request).await;
         let (outcome, why) = match answer {
             Ok(answer) => {
@@ -99,7 +99,7 @@
             }
             Err(failure) => (Outcome::Failed, failure.as_str().to_owned()),
         };
-        let took = self.clock.now().saturating_sub(asked);
+        let took = self.clock.now().saturating_sub(asked_at);
         event!(self.log, ProviderCalled, "what" => what, "token" => authority.token.0,
             "outcome" => ?outcome, "why" => why, "took_ms" => took.as_millis());
         match outcome {
@@ -110,8 +110,8 @@
     }
 
     /// Records the time for which the provider wants no calls.
-    fn record_backoff(&mut self, asked: backoff::Parsed) {
-        if let backoff::Parsed::For(length) = asked {
+    fn record_backoff(&mut self, parsed: backoff::Parsed) {
+        if let backoff::Parsed::For(length) = parsed {
             self.backoff_until = self.clock.now() + length.min(MAX_BACKOFF);
         }
     }
--- a/src/scalewood/ops/control/provider/hold.rs
+++ b/src/scalewood/ops/control/provider/hold.rs
@@ -31,14 +31,14 @@
 impl Hold {
     pub(in crate::ops::control) fn new(
         handle: Handle,
-        rest: Duration,
+        quiet_period: Duration,
         clock: clock::System,
         log: slog::Logger,
     ) -> Self {
         Self {
             handle,
             clock,
-            tenure: Arc::new(Mutex::new(fencing::Tenure::new(rest, clock.now()))),
+            tenure: Arc::new(Mutex::new(fencing::Tenure::new(quiet_period, clock.now()))),
             log,
         }
     }
--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -277,8 +277,8 @@
     /// Refuses a heartbeat; the registry is left unchanged.
     fn refuse_record(&self, name: &name::Endpoint, refusal: &registry::Refusal) -> Reply {
         self.metrics.record_refused(refusal.reason);
-        let told = lock(&self.refusals).record(refusal.reason, self.clock.now());
-        if let Some(untold) = told {
+        let unlogged = lock(&self.refusals).record(refusal.reason, self.clock.now());
+        if let Some(untold) = unlogged {
             event!(self.log, BadAnnouncement, "endpoint" => %name,
                 "reason" => refusal.reason.as_str(), "why" => &refusal.detail, "untold" => untold);
         }
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -177,8 +177,8 @@
     /// Records the endpoints that, as a box reports, announced in responses that they are leaving.
     fn record_leaving(&self, from: &name::Box, leaving: &[registry::Leaving]) {
         for report in leaving {
-            let noted = lock(&self.registry).record_leaving(&report.name, report.start);
-            if noted.must_propagate() {
+            let recorded = lock(&self.registry).record_leaving(&report.name, report.start);
+            if recorded.must_propagate() {
                 self.forward_leaving(report);
                 event!(self.log, EndpointLeaving, "endpoint" => %report.name, "by" => %from,
                     "incarnation" => report.start.map(|start| start.0));
@@ -201,7 +201,7 @@
     /// Records the paces that a box measured. Followers are sent the medians with the next message,
     /// and at once if this changes which endpoints count as slow.
     fn record_paces(&self, from: &name::Box, paces: Vec<pace::Paced>) {
-        let mut news = false;
+        let mut changed = false;
         let mut medians = Vec::with_capacity(paces.len());
         {
             let mut registry = lock(&self.registry);
@@ -212,17 +212,17 @@
             for paced in paces {
                 let reports = measured.entry(paced.endpoint.clone()).or_default();
                 let median = reports.record(from.clone(), paced.pace);
-                news |= registry.set_pace(&paced.endpoint, median);
+                changed |= registry.set_pace(&paced.endpoint, median);
                 medians.push((paced.endpoint, median));
             }
-            news |= registry.regrade();
+            changed |= registry.regrade();
         }
         let mut own = lock(&self.own);
         for (endpoint, median) in medians {
             own.set_pace(&endpoint, median);
         }
         drop(own);
-        if news {
+        if changed {
             self.notify();
         }
     }
@@ -387,10 +387,10 @@
         });
     }
 
-    /// Records another voter's time of day, from its answer to a call made at `asked`.
-    pub(super) fn record_time(&self, from: &name::Box, unix_ms: u64, asked: Duration) {
+    /// Records another voter's time of day, from its answer to a call made at `asked_at`.
+    pub(super) fn record_time(&self, from: &name::Box, unix_ms: u64, asked_at: Duration) {
         let answered = self.clock.now();
-        lock(&self.readings).record(from, unix_ms, asked, answered);
+        lock(&self.readings).record(from, unix_ms, asked_at, answered);
     }
 
     /// Returns the time of day on which that many voters agree, in milliseconds since the Unix
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -32,18 +32,18 @@
 
 impl Endpoints {
     /// Merges a message from another voter about the endpoints that announced themselves there.
-    pub(in crate::ops::control) fn apply_news(
+    pub(in crate::ops::control) fn apply_update(
         &self,
         from: &name::Box,
         address: SocketAddr,
         voucher: Option<registry::Voucher>,
-        news: RegistryUpdate,
+        update: RegistryUpdate,
     ) {
         let now = self.clock.now();
-        self.record_peer(address, &news, now);
+        self.record_peer(address, &update, now);
         let mut registry = lock(&self.registry);
         let stamp = registry.stamp();
-        for record in news.changed {
+        for record in update.changed {
             let (name, incarnation) = (record.name.clone(), record.incarnation);
             let sequence = record.sequence;
             if registry.merge(record, now) == registry::Merged::Restarted {
@@ -56,26 +56,26 @@
                 registry.vouch_for(&name, voucher);
             }
         }
-        for report in news.leaving {
+        for report in update.leaving {
             registry.record_leaving(&report.name, report.start);
         }
-        registry.apply_ends(&news.gone, &news.ended, &news.left);
-        for name in &news.heard {
+        registry.apply_ends(&update.gone, &update.ended, &update.left);
+        for name in &update.heard {
             registry.record_heard(name, now);
         }
         if let Some(voucher) = voucher {
-            for name in &news.silent {
+            for name in &update.silent {
                 registry.withdraw_vouch(name, voucher);
             }
-            if news.vouches {
+            if update.vouches {
                 registry.record_vouch(voucher, now);
             }
         }
-        self.record_peer_paces(&mut registry, from, news.paces);
+        self.record_peer_paces(&mut registry, from, update.paces);
         registry.regrade();
-        let is_news = registry.stamp() != stamp;
+        let is_changed = registry.stamp() != stamp;
         drop(registry);
-        if lock(&self.restored).take(news.restored, now) || is_news {
+        if lock(&self.restored).take(update.restored, now) || is_changed {
             self.notify();
         }
     }
@@ -97,14 +97,14 @@
     }
 
     /// Records what a message says about the voter itself.
-    fn record_peer(&self, address: SocketAddr, news: &RegistryUpdate, now: Duration) {
+    fn record_peer(&self, address: SocketAddr, update: &RegistryUpdate, now: Duration) {
         let mut voters = lock(&self.voters);
         let peer = voters.entry(address).or_default();
         peer.heard_at = now;
-        peer.followers = news.followers;
-        peer.revision = news.revision;
-        if news.zone.is_some() {
-            peer.zone.clone_from(&news.zone);
+        peer.followers = update.followers;
+        peer.revision = update.revision;
+        if update.zone.is_some() {
+            peer.zone.clone_from(&update.zone);
         }
     }
 
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -228,8 +228,8 @@
         loop {
             endpoints.borrow_and_update();
             feed.borrow_and_update();
-            let news = self.update(follower, &mut cursor);
-            if send(sink, &news).await.is_none() {
+            let update = self.update(follower, &mut cursor);
+            if send(sink, &update).await.is_none() {
                 return;
             }
             if cursor.has_more {
@@ -258,7 +258,7 @@
             remembered.for_box(&mut cursor.restored, now)
         };
         drop(remembered);
-        let mut news = RegistryUpdate {
+        let mut update = RegistryUpdate {
             restored,
             revision: self.feed.current().revision,
             followers: if follower.is_voter() {
@@ -269,7 +269,7 @@
             ..RegistryUpdate::default()
         };
         if !std::mem::replace(&mut cursor.zone_sent, true) {
-            news.zone.clone_from(&self.zone);
+            update.zone.clone_from(&self.zone);
         }
         let registry = if follower.is_voter() {
             &self.endpoints.own
@@ -278,7 +278,7 @@
         };
         let registry = lock(registry);
         if follower == Follower::ByNames && now >= cursor.heard_until + HEARD_PERIOD {
-            news.heard = registry.heard_since(cursor.heard_until);
+            update.heard = registry.heard_since(cursor.heard_until);
             cursor.heard_until = now;
         }
         let span = registry::Span {
@@ -286,48 +286,48 @@
             to: registry.stamp_within(cursor.stamp, MAX_RECORDS),
         };
         if follower != Follower::ByNames {
-            news.vouches = true;
-            news.silent = registry.silent_since(span);
+            update.vouches = true;
+            update.silent = registry.silent_since(span);
         }
-        add_changes(&mut news, &registry, span, now);
+        add_changes(&mut update, &registry, span, now);
         cursor.stamp = span.to;
         cursor.has_more = span.to < registry.stamp();
         drop(registry);
-        self.add_members(&mut news, cursor);
-        news
+        self.add_members(&mut update, cursor);
+        update
     }
 
     /// Adds whether this voter is in touch with a majority, and the voters' addresses if they have
     /// changed.
-    fn add_members(&self, news: &mut RegistryUpdate, cursor: &mut Cursor) {
+    fn add_members(&self, update: &mut RegistryUpdate, cursor: &mut Cursor) {
         let members = self.handle.published().status.members;
-        news.in_touch = self.endpoints.is_in_touch(self.handle.voter_count())
-            && !self.endpoints.is_behind(news.revision);
+        update.in_touch = self.endpoints.is_in_touch(self.handle.voter_count())
+            && !self.endpoints.is_behind(update.revision);
         let voters: Vec<_> = members.addresses().map(|(_, address)| *address).collect();
         if cursor.voters != voters {
             cursor.voters.clone_from(&voters);
-            news.voters = voters;
+            update.voters = voters;
         }
     }
 }
 
 /// Adds the changes of endpoints within a range of stamps.
 fn add_changes(
-    news: &mut RegistryUpdate,
+    update: &mut RegistryUpdate,
     registry: &registry::Registry,
     span: registry::Span,
     now: Duration,
 ) {
-    news.changed = registry.records_since(span, now);
-    news.gone = registry.gone_since(span);
-    news.ended = registry.ended_since(span);
-    news.left = left_since_stamp(registry, span);
-    news.leaving = registry.leaving_since(span);
-    news.paces = registry.paces_since(span);
+    update.changed = registry.records_since(span, now);
+    update.gone = registry.gone_since(span);
+    update.ended = registry.ended_since(span);
+    update.left = left_since_stamp(registry, span);
+    update.leaving = registry.leaving_since(span);
+    update.paces = registry.paces_since(span);
 }
 
 /// Sends a message; returns `None` if the subscription has ended.
-async fn send(sink: &SubscriptionSink, news: &RegistryUpdate) -> Option<()> {
-    let raw = serde_json::value::to_raw_value(news).ok()?;
+async fn send(sink: &SubscriptionSink, update: &RegistryUpdate) -> Option<()> {
+    let raw = serde_json::value::to_raw_value(update).ok()?;
     sink.send(SubscriptionMessage::from(raw)).await.ok()
 }
--- a/src/scalewood/ops/control/replica.rs
+++ b/src/scalewood/ops/control/replica.rs
@@ -39,7 +39,7 @@
 const REOPEN_PERIOD: Duration = Duration::from_millis(250);
 
 type Ledger = ledger::Ledger;
-type Keeper = journal::Writer<folder::Folder, Ledger>;
+type Writer = journal::Writer<folder::Folder, Ledger>;
 type Outcome = raft::Outcome<change::Answer>;
 
 /// A command to a voter's thread.
@@ -277,7 +277,7 @@
 pub(super) fn start(
     settings: &control::Settings,
     node: raft::Node,
-    keeper: Keeper,
+    writer: Writer,
     committed: raft::Index,
     feed: Arc<feed::Feed>,
     clock: clock::System,
@@ -285,7 +285,7 @@
 ) -> (Handle, oneshot::Receiver<String>) {
     let (commands, receiver) = mpsc::sync_channel(4096);
     let (fail, failed) = oneshot::channel();
-    let kept = keeper.kept().clone();
+    let kept = writer.kept().clone();
     let mut voter = raft::Voter::new(
         settings.agree.clone(),
         node,
@@ -314,7 +314,7 @@
     let thread = Thread {
         voter,
         settings: settings.clone(),
-        keeper: Some(keeper),
+        writer: Some(writer),
         feed,
         clock,
         log,
@@ -332,7 +332,7 @@
 }
 
 /// Opens the journal again after its disk failed.
-fn reopen(path: &Path) -> Result<Keeper, journal::Error> {
+fn reopen(path: &Path) -> Result<Writer, journal::Error> {
     let folder = folder::Folder::open(path)?;
     let opened = journal::Journal::open(folder)?;
     Ok(journal::Writer::new(opened.journal, opened.kept))
@@ -343,7 +343,7 @@
     voter: raft::Voter<Ledger>,
     settings: control::Settings,
     /// The journal, or `None` while its disk can't be used.
-    keeper: Option<Keeper>,
+    writer: Option<Writer>,
     feed: Arc<feed::Feed>,
     clock: clock::System,
     log: slog::Logger,
@@ -396,7 +396,7 @@
     /// Recovers from a failed write: the voter does not take part until its disk can be used
     /// again, then restarts from what is stored there. Returns false if the process stops first.
     fn recover(&mut self, commands: &mpsc::Receiver<Command>) -> bool {
-        self.keeper = None;
+        self.writer = None;
         lock(&self.waiters).clear();
         self.publish.send_modify(|published| {
             published.status.leader = None;
@@ -419,8 +419,8 @@
                     Err(mpsc::RecvTimeoutError::Disconnected) => return false,
                 }
             }
-            if let Ok(keeper) = reopen(&self.settings.data) {
-                self.restart(keeper);
+            if let Ok(writer) = reopen(&self.settings.data) {
+                self.restart(writer);
                 return true;
             }
         }
@@ -434,21 +434,21 @@
     }
 
     /// Replaces the voter by one that starts from the stored state.
-    fn restart(&mut self, keeper: Keeper) {
+    fn restart(&mut self, writer: Writer) {
         let node = self.voter.node().clone();
-        let kept = keeper.kept().clone();
+        let kept = writer.kept().clone();
         let settings = self.settings.agree.clone();
         self.voter = raft::Voter::new(settings, node, kept, rand::random(), self.clock.now());
-        event!(self.log, StoreRecovered, "bytes" => keeper.journal().len());
-        self.keeper = Some(keeper);
+        event!(self.log, StoreRecovered, "bytes" => writer.journal().len());
+        self.writer = Some(writer);
     }
 
     /// Carries out the effects of steps: first the durable writes, then the messages and answers
     /// that depend on them.
     fn carry_out(&mut self, output: raft::Output<Ledger>) -> Result<(), journal::Error> {
-        if let Some(keeper) = &mut self.keeper {
-            if keeper.write(output.writes)? {
-                event!(self.log, StoreCompacted, "bytes" => keeper.journal().len());
+        if let Some(writer) = &mut self.writer {
+            if writer.write(output.writes)? {
+                event!(self.log, StoreCompacted, "bytes" => writer.journal().len());
             }
         }
         self.publish();
--- a/src/scalewood/ops/control/share.rs
+++ b/src/scalewood/ops/control/share.rs
@@ -128,13 +128,13 @@
     /// Follows the voter's registry until it falls silent.
     async fn track(&self, client: &Arc<WsClient>) {
         let own = self.own.clone();
-        let news = match client.track(own.clone(), Tracker::Voter).await {
-            Ok(news) => Ok(news),
+        let update = match client.track(own.clone(), Tracker::Voter).await {
+            Ok(update) => Ok(update),
             // An older build without `track` sends the same changes to subscribers of `follow`.
             Err(_) => client.follow(own).await,
         };
-        let mut news = match news {
-            Ok(news) => news,
+        let mut update = match update {
+            Ok(update) => update,
             Err(error) => {
                 event!(self.log, RegistryNotTracked, "voter" => %self.name, "why" => %error);
                 return;
@@ -142,9 +142,9 @@
         };
         event!(self.log, RegistryFound, "voter" => %self.address);
         let voucher = self.endpoints.voucher(&self.name);
-        while let Ok(Some(Ok(next))) = tokio::time::timeout(SILENCE_TIMEOUT, news.next()).await {
+        while let Ok(Some(Ok(next))) = tokio::time::timeout(SILENCE_TIMEOUT, update.next()).await {
             self.endpoints
-                .apply_news(&self.name, self.address, voucher, next);
+                .apply_update(&self.name, self.address, voucher, next);
         }
         event!(self.log, RegistryLost, "voter" => %self.address);
     }
@@ -164,10 +164,10 @@
         let mut period = MIN_PERIOD;
         loop {
             let now = self.clock.now();
-            let mut news = lock(self.endpoints.hub()).update_for(&self.name, full, now);
-            news.throttle = lock(self.endpoints.issuer()).message_for(&self.name, full, now);
-            if full || !news.is_empty() || now >= reported_at + KEEPALIVE {
-                let call = client.share(self.own.clone(), full, news);
+            let mut update = lock(self.endpoints.hub()).update_for(&self.name, full, now);
+            update.throttle = lock(self.endpoints.issuer()).message_for(&self.name, full, now);
+            if full || !update.is_empty() || now >= reported_at + KEEPALIVE {
+                let call = client.share(self.own.clone(), full, update);
                 match tokio::time::timeout(ANSWER_TIMEOUT, call).await {
                     Ok(Ok(shared)) => {
                         full = !shared.known;
--- a/src/scalewood/ops/entry/answer_head.rs
+++ b/src/scalewood/ops/entry/answer_head.rs
@@ -1,4 +1,4 @@
-//! Signals in the head of an endpoint's answer: a requested rest, a request limit, and leaving.
+//! Signals in the head of an endpoint's answer: a requested backoff, a request limit, and leaving.
 //!
 //! Routed requests, streams, plain calls and health checks all read them here, so that a signal
 //! seen by one of them applies to all.
@@ -31,49 +31,49 @@
 pub(super) fn observe<D: Dialect, B>(
     board: &Shared,
     service: &name::Service,
-    at: &Target,
+    target: &Target,
     response: &Response<B>,
     id: Option<&str>,
 ) -> Disposition {
-    let said = observe_all_but_limit::<D, B>(board, service, at, response, id);
-    if said != Disposition::Misdirected {
-        throttle::observe::<D, B>(board, at, response, said == Disposition::Answer);
+    let disposition = observe_all_but_limit::<D, B>(board, service, target, response, id);
+    if disposition != Disposition::Misdirected {
+        throttle::observe::<D, B>(board, target, response, disposition == Disposition::Answer);
     }
-    said
+    disposition
 }
 
-/// Does what [`hear`] does, but ignores the request limit.
+/// Does what [`observe`] does, but ignores the request limit.
 fn observe_all_but_limit<D: Dialect, B>(
     board: &Shared,
     service: &name::Service,
-    at: &Target,
+    target: &Target,
     response: &Response<B>,
     id: Option<&str>,
 ) -> Disposition {
     let (status, headers) = (response.status(), response.headers());
-    let said = D::classify(status, headers, id);
+    let disposition = D::classify(status, headers, id);
     // The answer came from another endpoint, so its signals don't concern this one.
-    if said == Disposition::Misdirected {
-        return said;
+    if disposition == Disposition::Misdirected {
+        return disposition;
     }
-    if ops::backoff::applies_to_all(status, said == Disposition::Refused) {
-        record_backoff(board, service, at, response);
+    if ops::backoff::applies_to_all(status, disposition == Disposition::Refused) {
+        record_backoff(board, service, target, response);
     }
     if D::is_leaving(headers) {
-        record_leaving(board, service, at);
+        record_leaving(board, service, target);
     }
-    said
+    disposition
 }
 
-/// Does what [`hear`] does for an answer to a request of scalewood's own API.
+/// Does what [`observe`] does for an answer to a request of scalewood's own API.
 pub(super) fn observe_native<B>(
     board: &Shared,
     service: &name::Service,
-    at: &Target,
+    target: &Target,
     response: &Response<B>,
 ) -> Disposition {
     // Endpoints of this API echo no id.
-    match observe::<Native, B>(board, service, at, response, None) {
+    match observe::<Native, B>(board, service, target, response, None) {
         Disposition::Refused if response.status() == StatusCode::SERVICE_UNAVAILABLE => {
             Disposition::Refused
         }
@@ -82,53 +82,58 @@
     }
 }
 
-/// Does what [`hear`] does for an answer to a health check. It may set a limit, but a missing limit
-/// does not end one: endpoints need not repeat their limit in answers to health checks.
+/// Does what [`observe`] does for an answer to a health check. It may set a limit, but a missing
+/// limit does not end one: endpoints need not repeat their limit in answers to health checks.
 pub(super) fn observe_health<B>(
     board: &Shared,
     service: &name::Service,
-    at: &Target,
+    target: &Target,
     response: &Response<B>,
 ) {
-    if observe_all_but_limit::<Native, B>(board, service, at, response, None)
+    if observe_all_but_limit::<Native, B>(board, service, target, response, None)
         != Disposition::Misdirected
     {
-        throttle::observe::<Native, B>(board, at, response, false);
+        throttle::observe::<Native, B>(board, target, response, false);
     }
 }
 
-/// Records the rest that an endpoint requests, if it does.
-fn record_backoff<B>(board: &Shared, service: &name::Service, at: &Target, response: &Response<B>) {
+/// Records the backoff that an endpoint requests, if it does.
+fn record_backoff<B>(
+    board: &Shared,
+    service: &name::Service,
+    target: &Target,
+    response: &Response<B>,
+) {
     let headers = response.headers();
     let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), now(board));
     match ops::backoff::parse(headers, unix_ms) {
         backoff::Parsed::Absent => {}
         backoff::Parsed::Invalid => {
-            event!(board.log, RestUnreadable, "endpoint" => %at.endpoint,
+            event!(board.log, RestUnreadable, "endpoint" => %target.endpoint,
                 "asked" => ops::backoff::text(headers));
         }
         backoff::Parsed::For(length) => {
             board.metrics.rests_asked.inc();
-            event!(board.log, EndpointRests, "endpoint" => %at.endpoint,
-                "incarnation" => at.start.map(|start| start.0),
+            event!(board.log, EndpointRests, "endpoint" => %target.endpoint,
+                "incarnation" => target.start.map(|start| start.0),
                 "asked" => ops::backoff::text(headers), "rest_ms" => length.as_millis());
             let now = now(board);
-            lock(&board.backoffs).record(&at.endpoint, service, at.start, length, now);
+            lock(&board.backoffs).record(&target.endpoint, service, target.start, length, now);
         }
     }
 }
 
-/// Records that an endpoint leaves. A configured endpoint, which isn't in the registry, rests
-/// instead.
-fn record_leaving(board: &Shared, service: &name::Service, at: &Target) {
-    if lock(&board.registry).get(&at.endpoint).is_none() {
+/// Records that an endpoint leaves. A configured endpoint, which isn't in the registry, gets a
+/// backoff instead.
+fn record_leaving(board: &Shared, service: &name::Service, target: &Target) {
+    if lock(&board.registry).get(&target.endpoint).is_none() {
         let now = now(board);
         let length = CONFIGURED_LEAVING_BACKOFF;
-        return lock(&board.backoffs).record(&at.endpoint, service, at.start, length, now);
+        return lock(&board.backoffs).record(&target.endpoint, service, target.start, length, now);
     }
-    let noted = lock(&board.registry).record_leaving(&at.endpoint, at.start);
-    if noted.must_propagate() {
-        event!(board.log, EndpointLeaving, "endpoint" => %at.endpoint, "by" => %board.own.name,
-            "incarnation" => at.start.map(|start| start.0));
+    let recorded = lock(&board.registry).record_leaving(&target.endpoint, target.start);
+    if recorded.must_propagate() {
+        event!(board.log, EndpointLeaving, "endpoint" => %target.endpoint, "by" => %board.own.name,
+            "incarnation" => target.start.map(|start| start.0));
     }
 }
--- a/src/scalewood/ops/entry/call.rs
+++ b/src/scalewood/ops/entry/call.rs
@@ -90,13 +90,13 @@
     team: (name::Team, config::Team),
     service: &name::Service,
     headers: &HeaderMap,
-    asked: Input,
+    input: Input,
 ) -> Result<Call, Refusal> {
     let Input {
         size,
         prefix,
         content,
-    } = asked;
+    } = input;
     let arrived = now(board);
     let (team, rights) = team;
     let key = class_key(&rights, service, headers)?;
@@ -302,12 +302,12 @@
         if self.spill {
             let document = &board.view.load().document;
             let allowed = self.source.in_force(document, &self.allowed);
-            let wanted = dispatchers::Criteria {
+            let criteria = dispatchers::Criteria {
                 allowed: &allowed,
                 tier: self.class.tier,
                 target: self.class.target,
             };
-            dispatchers::zone_for(board, &self.key.service, wanted)
+            dispatchers::zone_for(board, &self.key.service, criteria)
         } else {
             board.own.zone.clone()
         }
--- a/src/scalewood/ops/entry/caller.rs
+++ b/src/scalewood/ops/entry/caller.rs
@@ -289,12 +289,12 @@
         );
         Refusal::not_run(StatusCode::NOT_FOUND, "unknown-model", why)
     })?;
-    let asked = call::Input {
+    let input = call::Input {
         size: prompt.size(),
         prefix: Some(prompt.prefix()),
         content: crash::Content::new(&team.0, &parts, body),
     };
-    let call = call::accept(&context.board, view, team, service, &parts.headers, asked)?;
+    let call = call::accept(&context.board, view, team, service, &parts.headers, input)?;
     if prompt.stream {
         return model::serve(context, &call, path, prompt).await;
     }
@@ -322,12 +322,12 @@
         prompt: unit::Tokens(0),
         max_output: unit::Tokens(0),
     };
-    let asked = call::Input {
+    let input = call::Input {
         size,
         prefix: None,
         content: crash::Content::new(&team.0, &parts, body.clone()),
     };
-    let call = call::accept(&context.board, view, team, &service, &parts.headers, asked)?;
+    let call = call::accept(&context.board, view, team, &service, &parts.headers, input)?;
     let target = format!("/{target}");
     let outgoing = Outgoing {
         method: parts.method,
--- a/src/scalewood/ops/entry/crash.rs
+++ b/src/scalewood/ops/entry/crash.rs
@@ -91,19 +91,24 @@
 }
 
 /// Checks whether an endpoint that broke off a request has ended, and records it if so.
-pub(super) async fn record_if_ended(board: &Shared, content: &Content, request: &str, at: &Target) {
+pub(super) async fn record_if_ended(
+    board: &Shared,
+    content: &Content,
+    request: &str,
+    target: &Target,
+) {
     let broke_at = now(board);
-    if !has_ended(at.address).await {
+    if !has_ended(target.address).await {
         return;
     }
     let fingerprint = content.fingerprint();
-    event!(board.log, EndpointEnded, "endpoint" => %at.endpoint, "request" => request,
-        "incarnation" => at.start.map(|start| start.0), "fingerprint" => %fingerprint);
+    event!(board.log, EndpointEnded, "endpoint" => %target.endpoint, "request" => request,
+        "incarnation" => target.start.map(|start| start.0), "fingerprint" => %fingerprint);
     let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), broke_at);
-    let ran = broke_at.saturating_sub(at.sent_at);
+    let ran = broke_at.saturating_sub(target.sent_at);
     let end = crash::End {
-        id: crash::Id::new(&at.endpoint, at.start, unix_ms),
-        endpoint: at.endpoint.clone(),
+        id: crash::Id::new(&target.endpoint, target.start, unix_ms),
+        endpoint: target.endpoint.clone(),
         at_unix_ms: unix_ms,
         ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
     };
--- a/src/scalewood/ops/entry/dialect.rs
+++ b/src/scalewood/ops/entry/dialect.rs
@@ -84,7 +84,8 @@
     /// Parses a caller's headers.
     fn parse(headers: &HeaderMap) -> Head;
 
-    /// Writes the instruction into headers from which all [`Dialect::RESERVED`] were removed.
+    /// Writes the instruction into headers from which all [`Dialect::RESERVED_HEADERS`] were
+    /// removed.
     fn instruct(headers: &mut HeaderMap, instruction: &Instruction<'_>);
 
     /// Classifies an endpoint's answer to the request of the given id.
--- a/src/scalewood/ops/entry/directory.rs
+++ b/src/scalewood/ops/entry/directory.rs
@@ -280,13 +280,13 @@
 
 async fn follow(board: &Shared, followed: &Voters, voter: SocketAddr, client: &Arc<WsClient>) {
     let own = board.own.name.clone();
-    let news = match client.track(own.clone(), Tracker::Box).await {
-        Ok(news) => Ok(news),
+    let update = match client.track(own.clone(), Tracker::Box).await {
+        Ok(update) => Ok(update),
         // A build without `track` reports only the names of the endpoints that it heard from.
         Err(_) => client.follow(own).await,
     };
-    let mut news = match news {
-        Ok(news) => news,
+    let mut update = match update {
+        Ok(update) => update,
         Err(error) => {
             event!(board.log, RegistryNotTracked, "voter" => %voter, "why" => %error);
             return;
@@ -297,7 +297,7 @@
     let mut sent_stamp = 0;
     let mut heard_at = now(board);
     loop {
-        match tokio::time::timeout(REPORT_INTERVAL, news.next()).await {
+        match tokio::time::timeout(REPORT_INTERVAL, update.next()).await {
             Ok(Some(Ok(next))) => {
                 heard_at = now(board);
                 add_voters(followed, &next.voters);
@@ -327,8 +327,8 @@
 }
 
 /// Returns the state of a voter that sent an update.
-fn voter_state(news: &RegistryUpdate) -> follow::State {
-    match (news.vouches, news.in_touch) {
+fn voter_state(update: &RegistryUpdate) -> follow::State {
+    match (update.vouches, update.in_touch) {
         (false, _) => follow::State::Unknown,
         (true, true) => follow::State::InTouch,
         (true, false) => follow::State::CutOff,
@@ -341,26 +341,26 @@
     name.parse().expect("an address makes a valid name")
 }
 
-fn apply(board: &Shared, voucher: Option<registry::Voucher>, news: RegistryUpdate) {
+fn apply(board: &Shared, voucher: Option<registry::Voucher>, update: RegistryUpdate) {
     let now = now(board);
-    record_sharers(board, news.followers);
+    record_sharers(board, update.followers);
     let restores =
         lock(&board.registry_followed_since).is_none_or(|since| now < since + RESTORE_WINDOW);
     let mut registry = lock(&board.registry);
-    if restores && !news.restored.is_empty() {
-        event!(board.log, EndpointsRestored, "endpoints" => news.restored.len());
-        for record in news.restored {
+    if restores && !update.restored.is_empty() {
+        event!(board.log, EndpointsRestored, "endpoints" => update.restored.len());
+        for record in update.restored {
             registry.restore(record, now);
         }
     }
-    for record in news.changed {
+    for record in update.changed {
         let name = record.name.clone();
         apply_record(board, &mut registry, record, now);
         if let Some(voucher) = voucher {
             registry.vouch_for(&name, voucher);
         }
     }
-    for leaving in news.leaving {
+    for leaving in update.leaving {
         if registry
             .record_leaving(&leaving.name, leaving.start)
             .must_propagate()
@@ -369,21 +369,21 @@
                 "incarnation" => leaving.start.map(|start| start.0));
         }
     }
-    for name in registry.apply_ends(&news.gone, &news.ended, &news.left) {
+    for name in registry.apply_ends(&update.gone, &update.ended, &update.left) {
         event!(board.log, EndpointGone, "endpoint" => %name);
     }
-    for name in news.heard {
+    for name in update.heard {
         registry.record_heard(&name, now);
     }
     if let Some(voucher) = voucher {
-        for name in &news.silent {
+        for name in &update.silent {
             registry.withdraw_vouch(name, voucher);
         }
-        if news.vouches {
+        if update.vouches {
             registry.record_vouch(voucher, now);
         }
     }
-    for paced in news.paces {
+    for paced in update.paces {
         lock(&board.paces).adopt(&paced.endpoint, paced.pace, now);
         registry.set_pace(&paced.endpoint, paced.pace);
     }
--- a/src/scalewood/ops/entry/dispatchers.rs
+++ b/src/scalewood/ops/entry/dispatchers.rs
@@ -63,8 +63,10 @@
     if let dispatch::Report::Ask(ask) = &mut report {
         let failed_at = ask.avoid.as_ref();
         ask.backoffs = lock(&board.backoffs).updates(to, service, failed_at, now(board));
-        // Each rest goes with the current start of its endpoint; those that are over are left out.
-        ask.backoffs.retain_mut(|told| board.renew_backoff(told));
+        // Each backoff goes with the current start of its endpoint; those that are over are left
+        // out.
+        ask.backoffs
+            .retain_mut(|notice| board.renew_backoff(notice));
     }
     if *to == board.own.name {
         handle_reports(board, &board.own.name.clone(), service, vec![report]);
@@ -148,11 +150,11 @@
 
 /// Returns the services that this box dispatches.
 pub(super) fn services(board: &Shared) -> Vec<name::Service> {
-    let mut held = Vec::new();
+    let mut services = Vec::new();
     board
         .dispatchers
-        .for_each(|shard| held.extend(shard.keys().cloned()));
-    held
+        .for_each(|shard| services.extend(shard.keys().cloned()));
+    services
 }
 
 /// Returns the estimates by which a dispatcher here chose the endpoint of an attempt, if it did.
@@ -538,8 +540,8 @@
                 let dispatcher = dispatcher_of(&self.board, &ticket.service, &ticket.zone);
                 if dispatcher.is_some() && ticket.dispatcher != dispatcher {
                     ticket.dispatcher.clone_from(&dispatcher);
-                    let told = (ticket.service.clone(), ticket.report_again(now));
-                    moved.extend(dispatcher.map(|dispatcher| (dispatcher, told)));
+                    let report = (ticket.service.clone(), ticket.report_again(now));
+                    moved.extend(dispatcher.map(|dispatcher| (dispatcher, report)));
                 }
             }
         });
@@ -615,26 +617,26 @@
 pub(super) fn zone_for(
     board: &Shared,
     service: &name::Service,
-    wanted: Criteria<'_>,
+    criteria: Criteria<'_>,
 ) -> name::Zone {
     let own = &board.own.zone;
     let view = board.view.load();
     let permits = |zone: &name::Zone| {
         let region = board.own.regions.region_of(zone);
-        !view.document.cordoned.contains(zone) && wanted.allowed.permits(region)
+        !view.document.cordoned.contains(zone) && criteria.allowed.permits(region)
     };
     let serves = |(_, e): (_, &config::Endpoint)| !e.leaving;
     let served = permits(own) && view.endpoints(service, own).any(serves);
     let here = member::load_in_zone(board, service).map(|load| load.summary());
-    let abroad = member::loads_in_other_zones(board, service);
-    let abroad: Vec<_> = abroad
+    let other_zones = member::loads_in_other_zones(board, service);
+    let other_zones: Vec<_> = other_zones
         .into_iter()
         .filter(|load| permits(&load.zone))
         .map(|load| (load.summary(), load.zone))
         .collect();
-    let abroad = abroad.iter().map(|(summary, zone)| (zone, summary));
-    let (tier, target) = (wanted.tier, wanted.target);
-    let chosen = dispatch::spill::choose(here.as_ref(), served, abroad, tier, target);
+    let other_zones = other_zones.iter().map(|(summary, zone)| (zone, summary));
+    let (tier, target) = (criteria.tier, criteria.target);
+    let chosen = dispatch::spill::choose(here.as_ref(), served, other_zones, tier, target);
     chosen.unwrap_or(own).clone()
 }
 
--- a/src/scalewood/ops/entry/exchange.rs
+++ b/src/scalewood/ops/entry/exchange.rs
@@ -64,8 +64,8 @@
     let since = now(board);
     let mut exchanged = board.last_exchange_at.subscribe();
     board.exchange_now.notify_one();
-    let told = exchanged.wait_for(|begun| *begun >= since);
-    if tokio::time::timeout(FINAL_EXCHANGE_TIMEOUT, told)
+    let answered = exchanged.wait_for(|begun| *begun >= since);
+    if tokio::time::timeout(FINAL_EXCHANGE_TIMEOUT, answered)
         .await
         .is_err()
     {
@@ -221,7 +221,7 @@
             start: self.board.start,
             rows: usage::difference(&self.sent_usage, &counted),
         };
-        let asked = now(&self.board);
+        let asked_at = now(&self.board);
         let call = client.exchange(self.board.own.name.clone(), full, report, usage);
         match tokio::time::timeout(EXCHANGE_TIMEOUT, call).await {
             Ok(Ok(Some(answer))) => {
@@ -237,16 +237,16 @@
                 self.board.last_exchange_at.send_replace(begun);
                 self.boxes = answer.load.boxes;
                 let answered = now(&self.board);
-                lock(&self.board.wall).record(answer.unix_ms, asked, answered);
+                lock(&self.board.wall).record(answer.unix_ms, asked_at, answered);
                 self.apply(answer.load.update, full);
                 if let Some(throttle) = answer.throttle {
-                    self.apply_permits(throttle, voter, asked);
+                    self.apply_permits(throttle, voter, asked_at);
                 }
                 self.board.held_back_known.store(true, Ordering::Relaxed);
                 if !answer.load.leased.is_empty() {
-                    let until = asked + warm_up::LEASE_DURATION;
+                    let until = asked_at + warm_up::LEASE_DURATION;
                     let leased = answer.load.leased;
-                    self.tell(&dispatch::Input::Leases(leased, until, hubs));
+                    self.apply_input(&dispatch::Input::Leases(leased, until, hubs));
                 }
             }
             Ok(Ok(None)) => self.reset(),
@@ -258,11 +258,16 @@
     }
 
     /// Applies the limits that a voter reports and the permits that it issues.
-    fn apply_permits(&mut self, answer: core::throttle::Answer, from: SocketAddr, asked: Duration) {
+    fn apply_permits(
+        &mut self,
+        answer: core::throttle::Answer,
+        from: SocketAddr,
+        asked_at: Duration,
+    ) {
         throttle::merge(&self.board, &answer.limits, from);
-        throttle::apply_permits(&self.board, answer.issued, asked);
+        throttle::apply_permits(&self.board, answer.issued, asked_at);
         if now(&self.board) >= self.issued_at + PERMIT_TIMEOUT {
-            self.tell(&dispatch::Input::PermitsUnavailable(None));
+            self.apply_input(&dispatch::Input::PermitsUnavailable(None));
         }
         self.issued_at = now(&self.board);
     }
@@ -271,35 +276,35 @@
     fn fall_back(&self) {
         let since = self.issued_at + PERMIT_TIMEOUT;
         if now(&self.board) >= since {
-            self.tell(&dispatch::Input::PermitsUnavailable(Some(since)));
+            self.apply_input(&dispatch::Input::PermitsUnavailable(Some(since)));
         }
     }
 
-    fn apply(&mut self, news: load::Update, full: bool) {
-        if !news.placements.is_empty() {
-            self.tell(&dispatch::Input::Placements(news.placements));
+    fn apply(&mut self, update: load::Update, full: bool) {
+        if !update.placements.is_empty() {
+            self.apply_input(&dispatch::Input::Placements(update.placements));
         }
-        if !news.prompts.is_empty() {
-            self.tell(&dispatch::Input::PromptSizes(news.prompts));
+        if !update.prompts.is_empty() {
+            self.apply_input(&dispatch::Input::PromptSizes(update.prompts));
         }
-        if !news.risks.is_empty() {
+        if !update.risks.is_empty() {
             let risk = |risk: &load::Risk| format!("{}:{}", risk.endpoint, risk.chance.0);
-            let risks: Vec<_> = news.risks.iter().map(risk).collect();
+            let risks: Vec<_> = update.risks.iter().map(risk).collect();
             event!(self.board.log, FailureRatesChanged, "risks" => risks.join(" "));
-            self.tell(&dispatch::Input::Risks(news.risks));
+            self.apply_input(&dispatch::Input::Risks(update.risks));
         }
-        self.set_bounds(news.bounds);
-        crash::merge(&self.board, news.crashes);
-        if news.loads.is_empty() && !full {
+        self.set_bounds(update.bounds);
+        crash::merge(&self.board, update.crashes);
+        if update.loads.is_empty() && !full {
             return;
         }
         if full {
-            load::merge(&mut self.others, news.loads);
-            self.tell(&dispatch::Input::OtherLoads(Some(self.others.clone())));
+            load::merge(&mut self.others, update.loads);
+            self.apply_input(&dispatch::Input::OtherLoads(Some(self.others.clone())));
             return;
         }
-        self.tell(&dispatch::Input::OtherLoadsChanged(news.loads.clone()));
-        load::merge(&mut self.others, news.loads);
+        self.apply_input(&dispatch::Input::OtherLoadsChanged(update.loads.clone()));
+        load::merge(&mut self.others, update.loads);
     }
 
     /// Replaces the bounds on less urgent requests; each dispatcher gets those of its service.
@@ -333,7 +338,7 @@
     fn reset(&mut self) {
         if let Some(voter) = self.voter.take() {
             event!(self.board.log, LoadsUnknown, "voter" => %voter);
-            self.tell(&dispatch::Input::OtherLoads(None));
+            self.apply_input(&dispatch::Input::OtherLoads(None));
         }
         self.set_bounds(Vec::new());
         self.sent_loads.clear();
@@ -344,7 +349,7 @@
         self.limits = 0;
     }
 
-    fn tell(&self, input: &dispatch::Input) {
+    fn apply_input(&self, input: &dispatch::Input) {
         for service in dispatchers::services(&self.board) {
             dispatchers::apply_input(&self.board, &service, input.clone());
         }
--- a/src/scalewood/ops/entry/member.rs
+++ b/src/scalewood/ops/entry/member.rs
@@ -125,7 +125,7 @@
     client.probe(message(board)).await.ok()
 }
 
-/// Returns the probe message of this box: its membership news and a random choice of fresh loads.
+/// Returns the probe message of this box: its membership updates and a random choice of fresh loads.
 pub(super) fn message(board: &Shared) -> Probe {
     let now = now(board);
     let loads = lock(&board.loads);
@@ -151,7 +151,7 @@
     }
 }
 
-/// Applies another box's probe message: membership news from this zone, and newer loads.
+/// Applies another box's probe message: membership updates from this zone, and newer loads.
 pub(super) fn merge(board: &Shared, probe: Probe) {
     let now = now(board);
     if probe.zone == board.own.zone {
--- a/src/scalewood/ops/entry/mod.rs
+++ b/src/scalewood/ops/entry/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`follow`](crate::ops::source): the configuration in force.
 //! - `member`: probes peers; writes which boxes are alive, and their dispatchers' loads.
-//! - `dispatchers`: runs dispatchers, reports this box's requests to their dispatchers, delivers orders.
+//! - `dispatchers`: runs dispatchers, reports this box's requests to theirs, delivers orders.
 //! - `link`: transfers reports and orders between boxes.
 //! - `claim`: claims idempotency keys, and reads claims back after a start.
 //! - `poll`: polls the health and load of endpoints.
--- a/src/scalewood/ops/entry/model.rs
+++ b/src/scalewood/ops/entry/model.rs
@@ -367,7 +367,7 @@
     ) -> Result<Response<hyper::body::Incoming>, Failure> {
         let request = outgoing.request(address, &self.call)?;
         let board = &self.context.board;
-        let at = plain::target(board, endpoint, address);
+        let target = plain::target(board, endpoint, address);
         let limits = &self.context.limits;
         let sent = self.context.pool.send(
             address,
@@ -377,8 +377,9 @@
         );
         // The connection is not reused, because a stream is seldom read to its last byte.
         let (_, response) = sent.await?;
-        let said = answer_head::observe_native(board, &self.call.key.service, &at, &response);
-        if said == Disposition::Refused {
+        let disposition =
+            answer_head::observe_native(board, &self.call.key.service, &target, &response);
+        if disposition == Disposition::Refused {
             return Err(Failure::REFUSED);
         }
         Ok(response)
--- a/src/scalewood/ops/entry/plain.rs
+++ b/src/scalewood/ops/entry/plain.rs
@@ -279,11 +279,11 @@
     let Some(known) = view.document.endpoints.get(endpoint) else {
         return;
     };
-    let at = Target {
+    let target = Target {
         sent_at,
         ..target(board, endpoint, known.address)
     };
-    crash::record_if_ended(board, &call.content, &call.request.to_string(), &at).await;
+    crash::record_if_ended(board, &call.content, &call.request.to_string(), &target).await;
 }
 
 /// Waits until the next attempt, or returns the refusal if there may be none. A retry needs a
@@ -397,15 +397,16 @@
         max_answer: answer,
         ..
     } = context.limits;
-    let at = target(&context.board, endpoint, address);
+    let target = target(&context.board, endpoint, address);
     let (sender, response) = context
         .pool
         .send(address, request, (connect, silence), || {
             turn.permits(endpoint)
         })
         .await?;
-    let said = answer_head::observe_native(&context.board, &call.key.service, &at, &response);
-    if said == Disposition::Refused {
+    let disposition =
+        answer_head::observe_native(&context.board, &call.key.service, &target, &response);
+    if disposition == Disposition::Refused {
         return Err(Failure::REFUSED);
     }
     let (parts, body) = response.into_parts();
@@ -442,7 +443,7 @@
     }
 }
 
-/// Returns a configured endpoint's address, unless the endpoint is cordoned or rests.
+/// Returns a configured endpoint's address, unless the endpoint is cordoned or asked for a backoff.
 pub(super) fn address(board: &Shared, endpoint: &name::Endpoint) -> Result<SocketAddr, Failure> {
     if board.is_cordoned(endpoint) || board.remaining_backoff(endpoint).is_some() {
         return Err(Failure::NOT_PERMITTED);
--- a/src/scalewood/ops/entry/poll.rs
+++ b/src/scalewood/ops/entry/poll.rs
@@ -55,13 +55,14 @@
     let view = board.view.load_full();
     let asked = view
         .endpoints(service, &board.own.zone)
-        // An endpoint that rests or limits its rate is left alone: polls are requests too.
+        // An endpoint that asked for a backoff or limits its rate is left alone: polls are requests
+        // too.
         .filter(|(name, _)| {
             board.remaining_backoff(name).is_none() && board.limit_of(name).is_none()
         })
         .map(|(name, endpoint)| async move {
-            let at = plain::target(board, name, endpoint.address);
-            let state = tokio::time::timeout(ANSWER_TIMEOUT, ask(board, service, &at)).await;
+            let target = plain::target(board, name, endpoint.address);
+            let state = tokio::time::timeout(ANSWER_TIMEOUT, ask(board, service, &target)).await;
             (name, endpoint, state.ok().flatten())
         });
     for (name, endpoint, state) in futures_util::future::join_all(asked).await {
@@ -86,11 +87,11 @@
     }
 }
 
-async fn ask(board: &Shared, service: &name::Service, at: &Target) -> Option<Status> {
-    let health = get(at.address, "/health").await?;
-    answer_head::observe_health(board, service, at, &health);
-    let load = get(at.address, "/load").await?;
-    answer_head::observe_health(board, service, at, &load);
+async fn ask(board: &Shared, service: &name::Service, target: &Target) -> Option<Status> {
+    let health = get(target.address, "/health").await?;
+    answer_head::observe_health(board, service, target, &health);
+    let load = get(target.address, "/load").await?;
+    answer_head::observe_health(board, service, target, &load);
     let read: Option<Load> = serde_json::from_slice(load.body()).ok();
     Some(Status {
         leaving: health.status() == StatusCode::SERVICE_UNAVAILABLE,
--- a/src/scalewood/ops/entry/routed/attempt.rs
+++ b/src/scalewood/ops/entry/routed/attempt.rs
@@ -27,9 +27,9 @@
 
 /// The least time that a repeatable request waits for a silent endpoint before another one is
 /// tried.
-const MIN_PATIENCE: Duration = Duration::from_millis(1000);
+const MIN_HEAD_WAIT: Duration = Duration::from_millis(1000);
 /// How long a repeatable request waits for a silent endpoint, as a multiple of its target.
-const PATIENCE_IN_TARGETS: u32 = 4;
+const HEAD_WAIT_IN_TARGETS: u32 = 4;
 /// The wait after which a failure without any answer counts as silence. An endpoint that
 /// refuses or resets does so within a round trip; sent bytes stay unacknowledged for 0.7 s.
 const MIN_SILENCE: Duration = Duration::from_millis(500);
@@ -241,7 +241,7 @@
             }
             Some(Decision::HeldBack) => Err(self.refuse(&Refusal::held_back(self.verdict))),
             None => {
-                let shed = reply::shed(dispatch::Reason::Deadline, MIN_PATIENCE, self.verdict);
+                let shed = reply::shed(dispatch::Reason::Deadline, MIN_HEAD_WAIT, self.verdict);
                 Err(self.refuse(&shed))
             }
         }
@@ -256,7 +256,7 @@
     ) -> Result<(pool::Sender, Response<Incoming>), Failed> {
         self.tries += 1;
         self.last_endpoint = Some(endpoint.clone());
-        let at = lock(&self.context.board.registry)
+        let target = lock(&self.context.board.registry)
             .get(endpoint)
             .map(|record| Target {
                 endpoint: record.name.clone(),
@@ -265,7 +265,7 @@
                 sent_at: self.now(),
             })
             .ok_or(Failure::UNREACHABLE)?;
-        self.sent_to = Some(at.clone());
+        self.sent_to = Some(target.clone());
         let instruction = Instruction {
             endpoint,
             timeout: self.time_left(),
@@ -275,9 +275,9 @@
         };
         let request = self.routed.outgoing.request::<D>(&instruction)?;
         let sent_at = self.now();
-        let sent = self.send(turn, &at, request);
+        let sent = self.send(turn, &target, request);
         let sent = self
-            .unless_silent(endpoint, self.base_max_silence(), sent)
+            .unless_silent(endpoint, self.min_head_wait(), sent)
             .await;
         let sent = sent.unwrap_or(Err(Failure::SILENT));
         let silent = self.now() >= sent_at + MIN_SILENCE;
@@ -285,7 +285,7 @@
             self.context.pool.forget(endpoint, sent_at);
         }
         let (sender, response) = sent?;
-        self.check_head(&at, sender, response).await
+        self.check_head(&target, sender, response).await
     }
 
     /// Waits for data from an endpoint, for `least` or longer while the endpoint is merely busy.
@@ -305,8 +305,9 @@
                 return Some(got);
             }
             let service = &self.routed.call.key.service;
-            let patience = dispatchers::max_silence(&self.context.board, service, endpoint, least);
-            if self.time_left().is_zero() || since + patience <= self.now() {
+            let max_silence =
+                dispatchers::max_silence(&self.context.board, service, endpoint, least);
+            if self.time_left().is_zero() || since + max_silence <= self.now() {
                 return None;
             }
             until = self.now() + RECHECK_INTERVAL;
@@ -314,27 +315,27 @@
     }
 
     /// Returns the least time to wait for the head of the answer.
-    fn base_max_silence(&self) -> Duration {
+    fn min_head_wait(&self) -> Duration {
         let left = self.time_left();
         if !self.may_run_again() || !self.has_budget() {
             return left;
         }
-        let patience = self.routed.route.target() * PATIENCE_IN_TARGETS;
-        left.min(patience.max(MIN_PATIENCE))
+        let wait = self.routed.route.target() * HEAD_WAIT_IN_TARGETS;
+        left.min(wait.max(MIN_HEAD_WAIT))
     }
 
     async fn send(
         &self,
         turn: &Turn,
-        at: &Target,
+        target: &Target,
         request: hyper::Request<Full<Bytes>>,
     ) -> Result<(pool::Sender, Response<Incoming>), Failure> {
         let mut request = request;
         // The endpoint may have closed an idle connection. hyper returns a request of which it has
         // written nothing, so it can be sent on another connection.
         let pool = &self.context.pool;
-        while let Some(mut sender) = pool.take(&at.endpoint, at.start, self.now()) {
-            if !turn.permits(&at.endpoint) {
+        while let Some(mut sender) = pool.take(&target.endpoint, target.start, self.now()) {
+            if !turn.permits(&target.endpoint) {
                 return Err(Failure::NOT_PERMITTED);
             }
             match pool::send(&mut sender, request).await {
@@ -343,12 +344,12 @@
                 Err(pool::Unsent::Broken) => return Err(Failure::BROKEN),
             }
         }
-        let requests = upstream::dial(at.address, self.context.limits.connect_timeout).await?;
+        let requests = upstream::dial(target.address, self.context.limits.connect_timeout).await?;
         // Connecting takes time, and the process may have been frozen meanwhile.
-        if !turn.permits(&at.endpoint) {
+        if !turn.permits(&target.endpoint) {
             return Err(Failure::NOT_PERMITTED);
         }
-        let mut sender = pool::Sender::new(at.start, requests);
+        let mut sender = pool::Sender::new(target.start, requests);
         match pool::send(&mut sender, request).await {
             Ok(response) => Ok((sender, response)),
             Err(pool::Unsent::NotWritten(_)) => Err(Failure::UNREACHABLE),
@@ -359,16 +360,21 @@
     /// Checks whether the head of an answer belongs to an answer to this request.
     async fn check_head(
         &self,
-        at: &Target,
+        target: &Target,
         sender: pool::Sender,
         response: Response<Incoming>,
     ) -> Result<(pool::Sender, Response<Incoming>), Failed> {
-        let endpoint = &at.endpoint;
+        let endpoint = &target.endpoint;
         let id = self.routed.head.id.as_deref();
         let encoded = response.headers().contains_key(header::CONTENT_ENCODING);
         let board = &self.context.board;
-        match answer_head::observe::<D, _>(board, &self.routed.call.key.service, at, &response, id)
-        {
+        match answer_head::observe::<D, _>(
+            board,
+            &self.routed.call.key.service,
+            target,
+            &response,
+            id,
+        ) {
             Disposition::Answer if !encoded => Ok((sender, response)),
             Disposition::Answer | Disposition::Mismatched => Err(Failure::BROKEN.into()),
             Disposition::Refused => {
@@ -433,10 +439,10 @@
 
     /// Checks whether the endpoint that broke off the request has crashed, and records it if so.
     async fn check_for_crash(&self) {
-        let Some(at) = &self.sent_to else { return };
+        let Some(target) = &self.sent_to else { return };
         let call = &self.routed.call;
         let id = self.routed.head.id.as_deref().unwrap_or_default();
-        crash::record_if_ended(&self.context.board, &call.content, id, at).await;
+        crash::record_if_ended(&self.context.board, &call.content, id, target).await;
     }
 
     /// Restarts the caller's patience: it has received events, and waits for the next one.
--- a/src/scalewood/ops/entry/status.rs
+++ b/src/scalewood/ops/entry/status.rs
@@ -54,12 +54,12 @@
 
 fn backoffs(board: &Shared) -> Vec<(name::Endpoint, u64)> {
     let now = now(board);
-    let rests = lock(&board.backoffs);
-    let left = |(name, rest): (&name::Endpoint, &backoff::Backoff)| {
-        let left = rest.until.saturating_sub(now).as_millis();
+    let backoffs = lock(&board.backoffs);
+    let left = |(name, backoff): (&name::Endpoint, &backoff::Backoff)| {
+        let left = backoff.until.saturating_sub(now).as_millis();
         (name.clone(), u64::try_from(left).unwrap_or(u64::MAX))
     };
-    rests.all(now).take(MAX_LISTED).map(left).collect()
+    backoffs.all(now).take(MAX_LISTED).map(left).collect()
 }
 
 fn limits(board: &Shared) -> Vec<(name::Endpoint, throttle::Limit)> {
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -15,7 +15,7 @@
 /// is the endpoint's own to the request (`is_own`).
 pub(super) fn observe<D: Dialect, B>(
     board: &Shared,
-    at: &Target,
+    target: &Target,
     response: &Response<B>,
     is_own: bool,
 ) {
@@ -27,21 +27,27 @@
         throttle::Parsed::Absent if is_own => None,
         throttle::Parsed::Absent => return,
         throttle::Parsed::Invalid => {
-            event!(board.log, LimitUnreadable, "endpoint" => %at.endpoint,
+            event!(board.log, LimitUnreadable, "endpoint" => %target.endpoint,
                 "said" => values.join("; "));
             return;
         }
     };
-    let heard = {
+    let outcome = {
         let mut throttles = lock(&board.throttles);
-        throttles.observe(&at.endpoint, at.start, limit, at.sent_at, now(board))
+        throttles.observe(
+            &target.endpoint,
+            target.start,
+            limit,
+            target.sent_at,
+            now(board),
+        )
     };
-    if heard == throttle::Change::Unchanged {
+    if outcome == throttle::Change::Unchanged {
         return;
     }
     let change = dispatch::LimitChange {
-        endpoint: at.endpoint.clone(),
-        start: at.start,
+        endpoint: target.endpoint.clone(),
+        start: target.start,
         limit,
     };
     apply(board, vec![change], &board.own.name);
@@ -95,8 +101,8 @@
     };
     let throttles = lock(&board.throttles);
     for spec in specs {
-        let standing = &mut spec.admission;
-        standing.limit = throttles.limit(&spec.name, standing.incarnation);
+        let admission = &mut spec.admission;
+        admission.limit = throttles.limit(&spec.name, admission.incarnation);
     }
 }
 
@@ -114,7 +120,7 @@
 
 /// Gives the permits that a voter issued to the dispatchers of this box. Their validity counts
 /// from when they were asked for.
-pub(super) fn apply_permits(board: &Shared, issued: Vec<throttle::Issued>, asked: Duration) {
+pub(super) fn apply_permits(board: &Shared, issued: Vec<throttle::Issued>, asked_at: Duration) {
     if issued.is_empty() {
         return;
     }
@@ -123,7 +129,7 @@
     let passes = issued.into_iter().map(|issued| dispatch::Pass {
         endpoint: issued.endpoint,
         count: issued.count,
-        until: asked + issued.remaining,
+        until: asked_at + issued.remaining,
     });
     let passes: Vec<_> = passes.collect();
     for service in dispatchers::services(board) {
--- a/src/scalewood/ops/entry/turn.rs
+++ b/src/scalewood/ops/entry/turn.rs
@@ -181,7 +181,7 @@
             return self.renew_residency();
         }
         self.release();
-        // A dispatcher that was not told of rests and leaving avoids the endpoint by this alone.
+        // A dispatcher that was not told of backoffs and leaving avoids the endpoint by this alone.
         self.with_ticket(|ticket| ticket.ask.avoid = Some(endpoint.clone()));
         tokio::time::sleep(dispatchers::TICK).await;
         self.ask_again();
@@ -368,7 +368,7 @@
 enum Bar {
     /// The endpoint's zone is cordoned.
     Cordon,
-    /// It rests: it asked this box to send it nothing for a while.
+    /// It asked this box to send it nothing for a while.
     Backoff,
     /// It is leaving.
     Leaving,
@@ -391,7 +391,8 @@
 }
 
 /// Returns why a request may not be sent to an endpoint, if so, by the configuration in force and
-/// by what this box knows of the endpoint. Counts it if the zone is cordoned or the endpoint rests.
+/// by what this box knows of the endpoint. Counts it if the zone is cordoned or the endpoint asked
+/// for a backoff.
 fn bar(board: &Shared, attempt: attempt::Attempt, endpoint: &name::Endpoint) -> Option<Bar> {
     if board.is_cordoned(endpoint) {
         board.metrics.cordon_declined.inc();
--- a/src/scalewood/ops/entry/warming.rs
+++ b/src/scalewood/ops/entry/warming.rs
@@ -31,11 +31,11 @@
     };
     let now = now(board);
     for spec in specs {
-        let Some(belief) = registry.warm_up(&spec.name) else {
+        let Some(state) = registry.warm_up(&spec.name) else {
             continue;
         };
         let uncordoned = lock(&board.uncordoned).uncordoned_at(&spec.zone);
-        let Some((until, source)) = belief.ends_at(&rate, uncordoned, now) else {
+        let Some((until, source)) = state.ends_at(&rate, uncordoned, now) else {
             continue;
         };
         spec.admission.warming = Some(warm_up::Warming::new(
@@ -43,7 +43,7 @@
             &rate,
             &board.own.warm_up_leeway,
         ));
-        record(board, &spec.name, until, source, belief.report_age(now));
+        record(board, &spec.name, until, source, state.report_age(now));
     }
 }
 
@@ -96,14 +96,14 @@
     let now = now(board);
     let registry = lock(&board.registry);
     lock(&board.warming).retain(|endpoint, until| {
-        let belief = registry.warm_up(endpoint);
-        let lasts = now < *until && belief.is_some();
-        if !lasts {
-            let age = belief.and_then(|belief| belief.report_age(now));
+        let state = registry.warm_up(endpoint);
+        let is_active = now < *until && state.is_some();
+        if !is_active {
+            let age = state.and_then(|state| state.report_age(now));
             event!(board.log, WarmUpEnded, "endpoint" => %endpoint,
                 "age_ms" => age.map(|age| age.as_millis()));
         }
-        lasts
+        is_active
     });
     let warming = lock(&board.warming).len();
     let warming = i64::try_from(warming).unwrap_or(i64::MAX);
--- a/src/scalewood/util/metric.rs
+++ b/src/scalewood/util/metric.rs
@@ -152,9 +152,9 @@
     pub cordoned: Gauge,
     /// Grants that were not used because their endpoint's zone had been cordoned meanwhile.
     pub cordon_declined: Counter,
-    /// Responses in which an endpoint asked this box for a rest.
+    /// Responses in which an endpoint asked this box for a backoff.
     pub rests_asked: Counter,
-    /// Requests that were not sent because their endpoint had asked for a rest.
+    /// Requests that were not sent because their endpoint had asked for a backoff.
     pub rest_kept_back: Counter,
     /// Endpoints that are known to limit their requests per second.
     pub limited_endpoints: Gauge,
--- a/src/scalewood/wire/control.rs
+++ b/src/scalewood/wire/control.rs
@@ -34,7 +34,7 @@
     pub ready: bool,
     /// The services that it is the dispatcher of.
     pub dispatches: Vec<name::Service>,
-    /// The endpoints that have asked this box for a rest, each with the remaining rest in
+    /// The endpoints that have asked this box for a backoff, each with the remaining time in
     /// milliseconds; a subset if there are many.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "rests")]
     pub backoffs: Vec<(name::Endpoint, u64)>,
