--- a/src/scalewood/core/dispatch/endpoint.rs
+++ b/src/scalewood/core/dispatch/endpoint.rs
@@ -140,7 +140,7 @@
     admission: Admission,
     /// The start (incarnation) that this entry stands for, once it has been configured.
     start: Option<registry::Start>,
-    /// The boxes that it asked to back off (`Retry-After`), with the end of each back-off.
+    /// The boxes that it asked to back off (`Retry-After`), with the end of each backoff.
     backoffs: BTreeMap<name::Box, Duration>,
     /// This box's lease to send to it while it warms up.
     pass: warm_up::Pass,
--- a/src/scalewood/core/dispatch/endpoint/backoff.rs
+++ b/src/scalewood/core/dispatch/endpoint/backoff.rs
@@ -64,12 +64,12 @@
     /// box to back off; otherwise `None`.
     pub(in crate::core::dispatch) fn backoff_until(
         &self,
-        seeker: Constraints<'_>,
+        constraints: Constraints<'_>,
     ) -> Option<Duration> {
         let serving = self.endpoints.iter();
         let serving = serving.filter(|e| e.configured && e.leaving_since.is_none());
-        let serving = serving.filter(|e| e.may_serve(seeker.allowed));
-        let until = serving.map(|e| e.backoffs.get(seeker.origin).copied());
+        let serving = serving.filter(|e| e.may_serve(constraints.allowed));
+        let until = serving.map(|e| e.backoffs.get(constraints.origin).copied());
         until.collect::<Option<Vec<_>>>()?.into_iter().min()
     }
 }
--- a/src/scalewood/core/dispatch/endpoint/cost.rs
+++ b/src/scalewood/core/dispatch/endpoint/cost.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core::dispatch) struct Model<'a> {
     /// The rate at which prompts are prefilled.
-    pub(in crate::core::dispatch) reading: &'a prefill::Estimate,
+    pub(in crate::core::dispatch) prefill: &'a prefill::Estimate,
     /// The fraction of streams that pause too long.
     pub(in crate::core::dispatch) pauses: &'a pauses::Pauses,
 }
@@ -133,7 +133,7 @@
 /// late, so that prompts with the same prefix stay together.
 pub(super) fn step_cost(prompt: &Prompt<'_>, model: &Model<'_>) -> Cost {
     let again = model
-        .reading
+        .prefill
         .time(prompt.placed.shared.0)
         .mul_f64(PREFILL_AGAIN_FACTOR);
     micros(again.max(prompt.target))
@@ -146,8 +146,8 @@
     is_cached: bool,
     model: &Model<'_>,
 ) -> Duration {
-    let own = model.reading.time(prompt.unread(is_cached));
-    prefill_wait(endpoint, prompt, model.reading)
+    let own = model.prefill.time(prompt.unread(is_cached));
+    prefill_wait(endpoint, prompt, model.prefill)
         + slot_wait(endpoint, prompt)
         + own.mul_f64(slowness(endpoint))
 }
@@ -163,7 +163,7 @@
     ) -> Cost {
         let risks = [
             endpoint.risk.get(now),
-            stalled_risk(endpoint, model.reading, now),
+            stalled_risk(endpoint, model.prefill, now),
             memory_risk(endpoint, prompt.tokens),
             if missing_slots(endpoint) > 0 {
                 FULL_RISK
@@ -177,7 +177,7 @@
             .iter()
             .fold(1.0, |success, risk| success * (1.0 - risk));
         let losses = 1.0 - success + stream_harm(endpoint, prompt, model, now);
-        let wait = prefill_wait(endpoint, prompt, model.reading) + slot_wait(endpoint, prompt);
+        let wait = prefill_wait(endpoint, prompt, model.prefill) + slot_wait(endpoint, prompt);
         micros(wait + prompt.loss().mul_f64(losses))
     }
 }
@@ -213,16 +213,16 @@
         &self,
         name: &name::Endpoint,
         least: Duration,
-        reading: &prefill::Estimate,
+        prefill: &prefill::Estimate,
         now: Duration,
     ) -> Duration {
         let Some(index) = self.names.get(name) else {
             return least;
         };
         let endpoint = &self.endpoints[index.0];
-        let is_sound = endpoint.risk.get(now) == 0.0 && stalled_risk(endpoint, reading, now) == 0.0;
+        let is_sound = endpoint.risk.get(now) == 0.0 && stalled_risk(endpoint, prefill, now) == 0.0;
         if is_sound && endpoint.configured {
-            least + backlog_time(endpoint, reading) * SILENCE_BACKLOG_FACTOR
+            least + backlog_time(endpoint, prefill) * SILENCE_BACKLOG_FACTOR
         } else {
             least
         }
@@ -255,20 +255,20 @@
 }
 
 /// Returns the time until the prefill of a prompt begins.
-fn prefill_wait(endpoint: &Endpoint, prompt: &Prompt<'_>, reading: &prefill::Estimate) -> Duration {
+fn prefill_wait(endpoint: &Endpoint, prompt: &Prompt<'_>, prefill: &prefill::Estimate) -> Duration {
     let ahead = endpoint.ahead(prompt.tier);
-    reading.wait(ahead).mul_f64(slowness(endpoint))
+    prefill.wait(ahead).mul_f64(slowness(endpoint))
 }
 
 /// Returns the time to prefill everything that all boxes have waiting there.
-fn backlog_time(endpoint: &Endpoint, reading: &prefill::Estimate) -> Duration {
+fn backlog_time(endpoint: &Endpoint, prefill: &prefill::Estimate) -> Duration {
     let backlog = endpoint.unread + endpoint.others.pending_prefill;
-    reading.time(backlog).mul_f64(slowness(endpoint))
+    prefill.time(backlog).mul_f64(slowness(endpoint))
 }
 
 /// Returns the risk of losing a request because the endpoint has stalled.
-fn stalled_risk(endpoint: &Endpoint, reading: &prefill::Estimate, now: Duration) -> f64 {
-    let expected = backlog_time(endpoint, reading) * STALL_BACKLOG_FACTOR + STALL_GRACE;
+fn stalled_risk(endpoint: &Endpoint, prefill: &prefill::Estimate, now: Duration) -> f64 {
+    let expected = backlog_time(endpoint, prefill) * STALL_BACKLOG_FACTOR + STALL_GRACE;
     let stalled = endpoint.pending > 0 && now > endpoint.waiting_since + expected;
     if stalled {
         STALLED_RISK
--- a/src/scalewood/core/dispatch/endpoint/eligible.rs
+++ b/src/scalewood/core/dispatch/endpoint/eligible.rs
@@ -72,8 +72,8 @@
 
     /// Returns whether a request may be sent there now, regardless of warm-up, rate limit and
     /// slots.
-    fn is_eligible(&self, seeker: Constraints<'_>) -> bool {
-        self.may_serve(seeker.allowed) && !self.backoffs.contains_key(seeker.origin)
+    fn is_eligible(&self, constraints: Constraints<'_>) -> bool {
+        self.may_serve(constraints.allowed) && !self.backoffs.contains_key(constraints.origin)
     }
 
     /// Returns its warm-up, while that lasts.
@@ -96,7 +96,7 @@
     /// choice.
     pub(super) fn eligible<'a>(
         &'a self,
-        seeker: Constraints<'a>,
+        constraints: Constraints<'a>,
         now: Duration,
     ) -> impl Iterator<Item = Eligible> + 'a {
         let ready = self.ready.iter();
@@ -106,7 +106,7 @@
         });
         free.filter(move |free| {
             let endpoint = &self.endpoints[free.index.0];
-            endpoint.is_eligible(seeker) && endpoint.may_send(now)
+            endpoint.is_eligible(constraints) && endpoint.may_send(now)
         })
     }
 
@@ -114,12 +114,12 @@
     pub(super) fn eligible_at(
         &self,
         index: Index,
-        seeker: Constraints<'_>,
+        constraints: Constraints<'_>,
         now: Duration,
     ) -> Option<Eligible> {
         let endpoint = &self.endpoints[index.0];
         let score = endpoint.score?;
-        let may = endpoint.is_eligible(seeker) && endpoint.may_send(now);
+        let may = endpoint.is_eligible(constraints) && endpoint.may_send(now);
         may.then_some(Eligible { index, score })
     }
 
@@ -180,10 +180,10 @@
     /// Returns whether a request may be sent to some endpoint with a free slot.
     pub(in crate::core::dispatch) fn has_free_for(
         &self,
-        seeker: Constraints<'_>,
+        constraints: Constraints<'_>,
         now: Duration,
     ) -> bool {
-        self.eligible(seeker, now).next().is_some()
+        self.eligible(constraints, now).next().is_some()
     }
 
     /// Returns whether a request may be sent to an endpoint as soon as a slot becomes free there.
@@ -191,11 +191,11 @@
     pub(in crate::core::dispatch) fn permits(
         &self,
         index: Index,
-        seeker: Constraints<'_>,
+        constraints: Constraints<'_>,
         now: Duration,
     ) -> bool {
         let endpoint = &self.endpoints[index.0];
-        endpoint.is_eligible(seeker) && endpoint.is_within_limit(now)
+        endpoint.is_eligible(constraints) && endpoint.is_within_limit(now)
     }
 
     /// Returns whether no endpoint may serve a request, even once slots become free.
--- a/src/scalewood/core/dispatch/endpoint/select.rs
+++ b/src/scalewood/core/dispatch/endpoint/select.rs
@@ -102,7 +102,7 @@
 
 impl Set {
     /// Chooses the endpoint for a prompt and takes a slot there.
-    pub(in crate::core::dispatch) fn choose_home(
+    pub(in crate::core::dispatch) fn choose_endpoint(
         &mut self,
         prompt: &Prompt<'_>,
         model: &Model<'_>,
@@ -121,14 +121,14 @@
         let Best {
             chosen,
             cached: is_cached,
-            first_token: first,
-            excess: over,
+            first_token,
+            excess,
         } = best.ok_or(Unplaced::NoSlot)?;
         let index = chosen.index();
-        if !over.is_zero() {
+        if !excess.is_zero() {
             return Err(Unplaced::Overload(Overload {
-                first_token: first,
-                excess: over,
+                first_token,
+                excess,
             }));
         }
         let prefix = prompt.placed.prefix;
@@ -185,12 +185,13 @@
             ((avoided, is_suspect, cost), eligible, is_cached)
         });
         let (_, chosen, cached) = ranked.min_by_key(|(rank, ..)| *rank)?;
-        let first = cost::first_token(&self.endpoints[chosen.index().0], prompt, cached, model);
+        let first_token =
+            cost::first_token(&self.endpoints[chosen.index().0], prompt, cached, model);
         Some(Best {
             chosen,
             cached,
-            first_token: first,
-            excess: first.saturating_sub(prompt.max_first_token()),
+            first_token,
+            excess: first_token.saturating_sub(prompt.max_first_token()),
         })
     }
 
@@ -228,13 +229,13 @@
         }
     }
 
-    fn choice(&self, index: Index, prompt: &Prompt<'_>, kept: bool) -> Choice {
+    fn choice(&self, index: Index, prompt: &Prompt<'_>, cached: bool) -> Choice {
         let endpoint = &self.endpoints[index.0];
         Choice {
             endpoint: index,
-            unread: prompt.unread(kept),
+            unread: prompt.unread(cached),
             ahead: endpoint.ahead(prompt.tier),
-            cached: kept,
+            cached,
             place: Some(prompt.place(endpoint)),
         }
     }
--- a/src/scalewood/core/dispatch/grant.rs
+++ b/src/scalewood/core/dispatch/grant.rs
@@ -56,20 +56,20 @@
         now: Duration,
     ) -> Result<endpoint::Choice, endpoint::Unplaced> {
         let avoid = ask.avoid.as_ref();
-        let seeker = endpoint::Constraints {
+        let constraints = endpoint::Constraints {
             allowed: &ask.allowed,
             origin,
         };
         let Some(placed) = ask.placed else {
             let wanted = endpoint::Wanted {
-                constraints: seeker,
+                constraints,
                 prefix: ask.prefix,
                 avoid,
             };
             let chosen = self.endpoints.choose(wanted, now, &self.settings);
             return chosen.ok_or(endpoint::Unplaced::NoSlot);
         };
-        let parted = self.placement.is_partitioned(&self.prefill);
+        let is_split = self.placement.is_partitioned(&self.prefill);
         let crowding = self.endpoints.short_prompt_utilisation();
         let crowded = self.placement.update_crowding(crowding);
         let long = self.placement.is_long(&ask.class, &self.prefill);
@@ -77,7 +77,7 @@
         let hold = class.map_or(class::MIN_HOLD_S, |class| class.mean_hold_s);
         let remaining = |limit: Duration| limit.saturating_sub(ask.age);
         let prompt = endpoint::Prompt {
-            constraints: seeker,
+            constraints,
             placed,
             tokens: ask.prompt.0,
             tier: ask.tier,
@@ -89,13 +89,13 @@
             mean_length: class.and_then(|class| class.length.get()),
             long,
             for_long: long || (crowded && !self.is_most_urgent_short(&ask.class)),
-            is_split: parted,
+            is_split,
         };
         let model = endpoint::Model {
-            reading: &self.prefill,
+            prefill: &self.prefill,
             pauses: &self.pauses,
         };
-        self.endpoints.choose_home(&prompt, &model, avoid, now)
+        self.endpoints.choose_endpoint(&prompt, &model, avoid, now)
     }
 
     /// Returns whether no endpoint is ruled out for a lane that another lane may use.
--- a/src/scalewood/core/dispatch/placement.rs
+++ b/src/scalewood/core/dispatch/placement.rs
@@ -105,21 +105,21 @@
 
     /// Returns whether a class has long prompts: processing one takes much of the pause that
     /// the streams beside it allow.
-    pub(super) fn is_long(&self, class: &name::Class, reading: &Estimate) -> bool {
+    pub(super) fn is_long(&self, class: &name::Class, prefill: &Estimate) -> bool {
         let (Some(tokens), Some(gap)) = (self.mean_size(class), self.min_gap) else {
             return false;
         };
         // The size is far below 2^52, and float casts saturate.
-        reading.time(tokens as u64) >= gap.mul_f64(LONG_FRACTION)
+        prefill.time(tokens as u64) >= gap.mul_f64(LONG_FRACTION)
     }
 
     /// Returns whether the endpoints are partitioned: there are classes with short prompts and
     /// classes with long ones.
-    pub(super) fn is_partitioned(&self, reading: &Estimate) -> bool {
+    pub(super) fn is_partitioned(&self, prefill: &Estimate) -> bool {
         let shared = self.global_sizes.keys();
         let own = self.own_sizes.keys();
         let own = own.filter(|class| !self.global_sizes.contains_key(*class));
-        let long = shared.chain(own).map(|class| self.is_long(class, reading));
+        let long = shared.chain(own).map(|class| self.is_long(class, prefill));
         let (mut has_long, mut has_short) = (false, false);
         for is_long in long {
             has_long |= is_long;
--- a/src/scalewood/core/dispatch/precedence.rs
+++ b/src/scalewood/core/dispatch/precedence.rs
@@ -63,7 +63,7 @@
     unreported: BTreeMap<name::Class, load::Counts>,
     exchanges: u32,
     /// Less urgent requests that were held back or started meanwhile.
-    met: BTreeMap<ClassPair, Tally>,
+    tallies: BTreeMap<ClassPair, Tally>,
 }
 
 /// A request that must not start.
@@ -224,20 +224,20 @@
         let Some(refused) = held.as_ref().and_then(|held| held.cause.class()) else {
             return false;
         };
-        let met = self.met.entry((refused.clone(), ask.class.clone()));
-        let met = met.or_default();
-        met.held += u32::from(!begins);
-        met.begun += u32::from(begins);
+        let tally = self.tallies.entry((refused.clone(), ask.class.clone()));
+        let tally = tally.or_default();
+        tally.held += u32::from(!begins);
+        tally.begun += u32::from(begins);
         true
     }
 
     /// Returns what was done with less urgent requests since the last call.
     pub(super) fn take_precedence(&mut self) -> Vec<Precedence> {
-        let all = std::mem::take(&mut self.met).into_iter();
-        let row = |((refused, class), met)| Precedence {
+        let all = std::mem::take(&mut self.tallies).into_iter();
+        let row = |((refused, class), tally)| Precedence {
             refused,
             class,
-            tally: met,
+            tally,
         };
         all.map(row).collect()
     }
@@ -247,7 +247,7 @@
         self.own_losses.set_classes(classes);
         self.unreported
             .retain(|class, _| classes.contains_key(class));
-        self.met
+        self.tallies
             .retain(|(refused, _), _| classes.contains_key(refused));
     }
 }
--- a/src/scalewood/core/dispatch/preempt.rs
+++ b/src/scalewood/core/dispatch/preempt.rs
@@ -23,11 +23,11 @@
             return;
         }
         for (tier, lane) in self.urgent(now) {
-            let seeker = endpoint::Constraints::from(&lane);
-            if self.endpoints.has_free_for(seeker, now) {
+            let constraints = endpoint::Constraints::from(&lane);
+            if self.endpoints.has_free_for(constraints, now) {
                 continue;
             }
-            let Some(victim) = self.victim_for(tier, seeker, now) else {
+            let Some(victim) = self.victim_for(tier, constraints, now) else {
                 if self.is_unrestricted(&lane) {
                     break;
                 }
@@ -46,10 +46,10 @@
     pub(super) fn victim_for(
         &self,
         tier: unit::Tier,
-        seeker: endpoint::Constraints<'_>,
+        constraints: endpoint::Constraints<'_>,
         now: Duration,
     ) -> Option<&run::Run> {
-        let fits = |run: &run::Run| self.endpoints.permits(run.endpoint, seeker, now);
+        let fits = |run: &run::Run| self.endpoints.permits(run.endpoint, constraints, now);
         self.runs.victim_where(tier, fits)
     }
 
--- a/src/scalewood/core/dispatch/shed.rs
+++ b/src/scalewood/core/dispatch/shed.rs
@@ -241,12 +241,12 @@
             return false;
         }
         let (tier, lane) = (waiting.ask.tier, waiting.lane());
-        let seeker = endpoint::Constraints::from(&lane);
-        if self.victim_for(tier, seeker, now).is_some() {
+        let constraints = endpoint::Constraints::from(&lane);
+        if self.victim_for(tier, constraints, now).is_some() {
             // A run of a lower tier is preempted before this request is shed.
             return false;
         }
-        if self.queue.first() == Some(attempt) && self.endpoints.has_free_for(seeker, now) {
+        if self.queue.first() == Some(attempt) && self.endpoints.has_free_for(constraints, now) {
             // No request is served before it. If it were refused for its own work and for
             // predicted arrivals, its class would never run, and the estimates for the class
             // would never improve.
--- a/src/scalewood/core/load/mod.rs
+++ b/src/scalewood/core/load/mod.rs
@@ -89,15 +89,16 @@
     pub load: Load,
 }
 
-/// Endpoint, unread, held, running, and the unread tokens of less urgent requests by tier.
+/// Endpoint, pending prefill, cached, running, and the pending prefill of less urgent requests by
+/// tier.
 type LoadedRow = (name::Endpoint, u64, u64, u32, LessUrgent);
 
 impl From<LoadedRow> for Loaded {
-    fn from((endpoint, unread, held, running, later): LoadedRow) -> Self {
+    fn from((endpoint, pending_prefill, cached, running, less_urgent): LoadedRow) -> Self {
         let load = Load {
-            pending_prefill: unread,
-            less_urgent: later,
-            cached: held,
+            pending_prefill,
+            less_urgent,
+            cached,
             running,
         };
         Self { endpoint, load }
--- a/src/scalewood/core/load/refused.rs
+++ b/src/scalewood/core/load/refused.rs
@@ -83,14 +83,14 @@
     }
 }
 
-/// Service, class, tier, asked, refused, tokens.
+/// Service, class, tier, arrived, refused, tokens.
 type RefusedRow = (name::Service, name::Class, unit::Tier, u32, u32, u64);
 
 impl From<RefusedRow> for Refused {
-    fn from((service, class, tier, asked, refused, tokens): RefusedRow) -> Self {
+    fn from((service, class, tier, arrived, refused, tokens): RefusedRow) -> Self {
         let tally = Tally {
             tier,
-            arrived: asked,
+            arrived,
             refused,
             tokens,
         };
@@ -106,11 +106,11 @@
     fn from(row: Refused) -> Self {
         let Tally {
             tier,
-            arrived: asked,
+            arrived,
             refused,
             tokens,
         } = row.tally;
-        (row.service, row.class, tier, asked, refused, tokens)
+        (row.service, row.class, tier, arrived, refused, tokens)
     }
 }
 
@@ -140,7 +140,7 @@
     pub started_tokens: u64,
 }
 
-/// Service, class, tier, returned, deferred, deferred tokens, begun, begun tokens.
+/// Service, class, tier, client retries, deferred, deferred tokens, started, started tokens.
 type TrafficRow = (
     name::Service,
     name::Class,
@@ -183,16 +183,25 @@
 
 impl From<TrafficRow> for Traffic {
     fn from(row: TrafficRow) -> Self {
-        let (service, class, tier, returned, deferred, deferred_tokens, begun, begun_tokens) = row;
+        let (
+            service,
+            class,
+            tier,
+            client_retries,
+            deferred,
+            deferred_tokens,
+            started,
+            started_tokens,
+        ) = row;
         Self {
             service,
             class,
             tier,
-            client_retries: returned,
+            client_retries,
             deferred,
             deferred_tokens,
-            started: begun,
-            started_tokens: begun_tokens,
+            started,
+            started_tokens,
         }
     }
 }
--- a/src/scalewood/core/registry/refusal.rs
+++ b/src/scalewood/core/registry/refusal.rs
@@ -44,12 +44,9 @@
 
 impl Refusal {
     /// Creates a refusal.
-    pub fn new(reason: Reason, why: impl Into<String>) -> Self {
-        let why = why.into();
-        Self {
-            reason,
-            detail: why,
-        }
+    pub fn new(reason: Reason, detail: impl Into<String>) -> Self {
+        let detail = detail.into();
+        Self { reason, detail }
     }
 }
 
