--- a/src/scalewood/core/dispatch/cause.rs
+++ b/src/scalewood/core/dispatch/cause.rs
@@ -4,7 +4,8 @@
 
 use crate::core::{attempt, name};
 
-/// Causes kept at most: an entry box asks for one right after the refusal.
+/// The number of causes kept. Recent ones are enough, since an entry box asks for a cause right
+/// after the refusal.
 const MAX_CAUSES: usize = 256;
 
 /// The cause of a refusal for lack of capacity.
--- a/src/scalewood/core/dispatch/class.rs
+++ b/src/scalewood/core/dispatch/class.rs
@@ -7,7 +7,7 @@
 
 /// The time to first token assumed before any was measured.
 const FIRST_TOKEN_GUESS: Duration = Duration::from_millis(100);
-/// The quantile of the time to first token that due times leave before the target.
+/// The quantile of the time to first token by which requests have to start before their target.
 const LEAD_QUANTILE: f64 = 0.9;
 /// The shortest time that a run is assumed to hold a slot, in seconds.
 pub(super) const MIN_HOLD_S: f64 = 0.000_1;
@@ -21,7 +21,8 @@
     pub(super) tier: unit::Tier,
     /// The mean of `hold`, in seconds; cached, since each grant needs it.
     pub(super) mean_hold_s: f64,
-    /// The time to first token that due times leave before the target.
+    /// How long before its target a request has to start: a high quantile of the time to first
+    /// token, at most the target.
     pub(super) lead: Duration,
     target: Duration,
     /// Slots that lower tiers leave free for this class.
--- a/src/scalewood/core/dispatch/endpoint.rs
+++ b/src/scalewood/core/dispatch/endpoint.rs
@@ -1,8 +1,8 @@
 //! The endpoints of a service, and the choice of one for each request.
 //!
 //! Slots are counted by what was granted, which is known exactly. Load reports lag behind, so they
-//! only lower the preference for an endpoint that is slower than its peers. Endpoints with a free
-//! slot are kept in an ordered index, so that a choice takes logarithmic time in their number.
+//! only lower the preference for an endpoint by the requests that queue inside it. Endpoints with a
+//! free slot are kept in an ordered index, so that the least used one is found in logarithmic time.
 //!
 //! An endpoint that fails repeatedly is ejected for a while, then probed with a single request,
 //! then given more requests as it succeeds. Only a bounded fraction of the endpoints is ejected at
@@ -57,8 +57,8 @@
 /// The prompt of a run as it is counted at its endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Prefill {
-    /// The tokens to be prefilled there: those that are not cached.
-    pub(super) unread: u64,
+    /// The prompt's tokens to be prefilled there: those that are not cached.
+    pub(super) tokens: u64,
     /// The tier of the request.
     pub(super) tier: unit::Tier,
 }
@@ -68,7 +68,7 @@
 pub(super) struct Choice {
     pub(super) endpoint: Index,
     /// The tokens of the prompt to be prefilled there.
-    pub(super) unread: u64,
+    pub(super) prefill_tokens: u64,
     /// The tokens of other prompts waiting for prefill there when the prompt was placed.
     pub(super) ahead: prefill::Ahead,
     /// Whether the endpoint likely caches the prompt's shared prefix.
@@ -91,7 +91,7 @@
 pub(super) struct Overload {
     /// The predicted time to its first token.
     pub(super) first_token: Duration,
-    /// By how much that exceeds the limit, so how much later the caller should retry.
+    /// By how much that exceeds the limit.
     pub(super) excess: Duration,
 }
 
@@ -114,7 +114,7 @@
     leaving_since: Option<Duration>,
     /// Whether it is configured. Runs may continue at an endpoint that no longer is.
     configured: bool,
-    /// The sum of the weights of failures since the last success.
+    /// The sum of the weights of failures since the last success, up to a bound.
     failures: u32,
     /// The number of ejections since it last succeeded with its full number of slots.
     ejections: u32,
@@ -146,7 +146,8 @@
     pass: warm_up::Pass,
     /// This box's permits to send to it while it limits its request rate.
     permits: Permits,
-    /// Recent requests whose home it is but that went elsewhere for lack of a lease or permit.
+    /// Recent requests whose home it is but that went elsewhere for lack of a lease or permit;
+    /// halved at each request for leases or permits.
     diverted: u32,
     /// Whether it is slow compared with its peers.
     slow: bool,
@@ -155,16 +156,17 @@
     for_short: bool,
     /// The capacity of its KV cache in tokens, if known.
     memory: Option<unit::Tokens>,
-    /// The tokens of this box's prompts there that have no first token yet.
-    unread: u64,
-    /// For each tier, the part of `unread` that belongs to less urgent requests.
-    later: load::LessUrgent,
-    /// The tokens of this box's prompts that it holds in memory.
-    held: u64,
+    /// The uncached tokens of this box's prompts there that have no first token yet.
+    pending_prefill: u64,
+    /// For each tier, the part of `pending_prefill` that belongs to less urgent requests.
+    less_urgent: load::LessUrgent,
+    /// The tokens of this box's running prompts in its KV cache, without shared prefixes that were
+    /// cached before.
+    cached: u64,
     /// The load of the other boxes there.
     others: Load,
     /// The runs of this box there that have no first token yet.
-    pending: u32,
+    pending_runs: u32,
     /// The probability that the next request fails.
     risk: risk::Risk,
     /// The part of the score that is due to the risk, in thousandths of its slots.
@@ -173,7 +175,7 @@
     outcomes: load::Count,
     /// This box's constant penalty for it, in thousandths of its slots; see [`MAX_BIAS`].
     bias: u64,
-    /// When the last first token came or, if that is later, when `pending` last rose from 0.
+    /// When the last first token came or, if that is later, when `pending_runs` last rose from 0.
     waiting_since: Duration,
     /// Its key in `ready`, if it is in there.
     score: Option<Score>,
@@ -201,9 +203,9 @@
     }
 
     /// Subtracts a prompt whose first token has come or will never come.
-    fn subtract_unread(&mut self, prompt: Prefill) {
-        self.unread = self.unread.saturating_sub(prompt.unread);
-        self.later.remove(prompt.tier, prompt.unread);
+    fn subtract_pending_prefill(&mut self, prompt: Prefill) {
+        self.pending_prefill = self.pending_prefill.saturating_sub(prompt.tokens);
+        self.less_urgent.remove(prompt.tier, prompt.tokens);
     }
 
     fn score(&self) -> Option<Score> {
@@ -269,7 +271,7 @@
     other_boxes: u32,
     /// Whether the load of those boxes is known.
     others_known: bool,
-    /// Recent failures to reach other zones.
+    /// Recent failures of endpoints in other zones.
     zones: zone::Zones,
     /// Requests granted to endpoints that warm up, and requests diverted from their home because it
     /// warms up; both since they were last taken.
@@ -304,9 +306,9 @@
 /// The additional penalty of an endpoint in another region. The round trip there takes about as
 /// long as a short call's work, so nearly all slots nearby are used first.
 const OTHER_REGION_PENALTY: u64 = 700;
-/// The upper bound of a box's constant penalty for an endpoint, in thousandths of the slots. What
-/// boxes know of each other is older than many calls take, so without different preferences all of
-/// them would send to the endpoint that was least used a moment ago. It is below
+/// The upper bound of a box's constant penalty for an endpoint, in thousandths of the slots. A box
+/// learns the load of the others later than many calls take, so without different preferences all
+/// boxes would send to the endpoint that was least used a moment ago. It is below
 /// `OTHER_ZONE_PENALTY`, so that it decides only within a zone.
 const MAX_BIAS: u64 = 200;
 /// The score penalty, in thousandths of the slots, of an endpoint that is certain to fail: it is
@@ -451,11 +453,11 @@
             slow: false,
             for_short: true,
             memory: None,
-            unread: 0,
-            later: load::LessUrgent::default(),
-            held: 0,
+            pending_prefill: 0,
+            less_urgent: load::LessUrgent::default(),
+            cached: 0,
             others,
-            pending: 0,
+            pending_runs: 0,
             risk: risk::Risk::default(),
             risk_penalty: 0,
             outcomes: load::Count::default(),
@@ -467,7 +469,8 @@
         index
     }
 
-    /// Records the first sign that an endpoint leaves, or that it no longer does.
+    /// Records that an endpoint leaves, or that it no longer does. The time of the first such
+    /// report is kept.
     pub(super) fn set_leaving(&mut self, name: &name::Endpoint, leaving: bool, now: Duration) {
         let Some(index) = self.names.get(name).copied() else {
             return;
@@ -513,10 +516,10 @@
     /// token.
     pub(super) fn free(&mut self, index: Index, prompt: Prefill, answered: bool) {
         let endpoint = &mut self.endpoints[index.0];
-        endpoint.held = endpoint.held.saturating_sub(prompt.unread);
+        endpoint.cached = endpoint.cached.saturating_sub(prompt.tokens);
         if !answered {
-            endpoint.pending = endpoint.pending.saturating_sub(1);
-            endpoint.subtract_unread(prompt);
+            endpoint.pending_runs = endpoint.pending_runs.saturating_sub(1);
+            endpoint.subtract_pending_prefill(prompt);
         }
         endpoint.running = endpoint.running.saturating_sub(1);
         if endpoint.running == 0 {
--- a/src/scalewood/core/dispatch/endpoint/cost.rs
+++ b/src/scalewood/core/dispatch/endpoint/cost.rs
@@ -40,7 +40,7 @@
 const FULL_RISK: f64 = 0.5;
 /// The fraction of an endpoint's memory in use above which the risk rises: cached prefixes that
 /// later prompts need are evicted first.
-const MEMORY_RISK_FROM: f64 = 0.65;
+const RISKY_MEMORY_FRACTION: f64 = 0.65;
 /// The least risk assumed for a stream at an endpoint of the other group, so that short and long
 /// prompts are not mixed for the sake of small differences.
 const MIN_FOREIGN_RISK: f64 = 0.25;
@@ -94,7 +94,7 @@
 
 impl Prompt<'_> {
     /// Returns the tokens to be prefilled, depending on whether the shared prefix is cached.
-    pub(super) fn unread(&self, is_cached: bool) -> u64 {
+    pub(super) fn prefill_tokens(&self, is_cached: bool) -> u64 {
         let shared = if is_cached { self.placed.shared.0 } else { 0 };
         self.tokens.saturating_sub(shared)
     }
@@ -146,7 +146,7 @@
     is_cached: bool,
     model: &Model<'_>,
 ) -> Duration {
-    let own = model.prefill.time(prompt.unread(is_cached));
+    let own = model.prefill.time(prompt.prefill_tokens(is_cached));
     prefill_wait(endpoint, prompt, model.prefill)
         + slot_wait(endpoint, prompt)
         + own.mul_f64(slowness(endpoint))
@@ -191,7 +191,7 @@
     }
 }
 
-/// Returns the expected wait for a slot, if all boxes together hold all slots.
+/// Returns the expected wait for a slot; zero unless all boxes together hold all slots.
 fn slot_wait(endpoint: &Endpoint, prompt: &Prompt<'_>) -> Duration {
     prompt.mean_hold * missing_slots(endpoint) / endpoint.slots.max(1)
 }
@@ -229,13 +229,15 @@
     }
 }
 
-/// Returns the probability that the answer is not complete by the deadline, at the recent pace of
-/// the endpoint. Answer lengths are assumed to be exponentially distributed, as most are.
+/// Returns the probability that the answer is not complete by the deadline, at the recent time per
+/// token of the endpoint. Answer lengths are assumed to be exponentially distributed, as most are.
 fn deadline_risk(endpoint: &Endpoint, prompt: &Prompt<'_>) -> f64 {
-    let (Some(pace), Some(length)) = (endpoint.seconds_per_unit.get(), prompt.mean_length) else {
+    let (Some(seconds_per_unit), Some(length)) =
+        (endpoint.seconds_per_unit.get(), prompt.mean_length)
+    else {
         return 0.0;
     };
-    let expected = pace * length;
+    let expected = seconds_per_unit * length;
     if expected <= 0.0 {
         return 0.0;
     }
@@ -245,11 +247,11 @@
 impl Endpoint {
     /// Returns the tokens of all boxes waiting for prefill there when a request of a tier arrives.
     pub(super) fn ahead(&self, tier: unit::Tier) -> prefill::Ahead {
-        let later = self.later.than(tier) + self.others.less_urgent.than(tier);
-        let unread = self.unread + self.others.pending_prefill;
+        let less_urgent = self.less_urgent.than(tier) + self.others.less_urgent.than(tier);
+        let pending_prefill = self.pending_prefill + self.others.pending_prefill;
         prefill::Ahead {
-            sooner: unread.saturating_sub(later),
-            later,
+            as_urgent: pending_prefill.saturating_sub(less_urgent),
+            less_urgent,
         }
     }
 }
@@ -262,14 +264,14 @@
 
 /// Returns the time to prefill everything that all boxes have waiting there.
 fn backlog_time(endpoint: &Endpoint, prefill: &prefill::Estimate) -> Duration {
-    let backlog = endpoint.unread + endpoint.others.pending_prefill;
+    let backlog = endpoint.pending_prefill + endpoint.others.pending_prefill;
     prefill.time(backlog).mul_f64(slowness(endpoint))
 }
 
 /// Returns the risk of losing a request because the endpoint has stalled.
 fn stalled_risk(endpoint: &Endpoint, prefill: &prefill::Estimate, now: Duration) -> f64 {
     let expected = backlog_time(endpoint, prefill) * STALL_BACKLOG_FACTOR + STALL_GRACE;
-    let stalled = endpoint.pending > 0 && now > endpoint.waiting_since + expected;
+    let stalled = endpoint.pending_runs > 0 && now > endpoint.waiting_since + expected;
     if stalled {
         STALLED_RISK
     } else {
@@ -282,19 +284,19 @@
     let Some(memory) = endpoint.memory else {
         return 0.0;
     };
-    let held = endpoint.held + endpoint.others.cached + tokens;
+    let used = endpoint.cached + endpoint.others.cached + tokens;
     // Both are far below 2^52, so the casts are exact.
-    let part = held as f64 / memory.0.max(1) as f64;
-    ((part - MEMORY_RISK_FROM) / (1.0 - MEMORY_RISK_FROM)).clamp(0.0, 1.0) * FULL_RISK
+    let fraction = used as f64 / memory.0.max(1) as f64;
+    ((fraction - RISKY_MEMORY_FRACTION) / (1.0 - RISKY_MEMORY_FRACTION)).clamp(0.0, 1.0) * FULL_RISK
 }
 
 /// Returns the probability that the prompt's own stream pauses too long there.
 fn pause_risk(endpoint: &Endpoint, prompt: &Prompt<'_>, model: &Model<'_>, now: Duration) -> f64 {
-    let part = model.pauses.fraction(prompt.place(endpoint), now);
+    let fraction = model.pauses.fraction(prompt.place(endpoint), now);
     if prompt.is_foreign(endpoint) {
-        part.max(MIN_FOREIGN_RISK)
+        fraction.max(MIN_FOREIGN_RISK)
     } else {
-        part
+        fraction
     }
 }
 
@@ -303,7 +305,7 @@
     if !(prompt.long && prompt.is_foreign(endpoint)) {
         return 0.0;
     }
-    let part = |foreign| {
+    let fraction = |foreign| {
         let place = pauses::Place {
             long: false,
             foreign,
@@ -312,7 +314,7 @@
         model.pauses.fraction(place, now)
     };
     let streams = endpoint.running + endpoint.others.running;
-    f64::from(streams) * (part(true) - part(false)).max(0.0)
+    f64::from(streams) * (fraction(true) - fraction(false)).max(0.0)
 }
 
 fn micros(time: Duration) -> Cost {
--- a/src/scalewood/core/dispatch/endpoint/eligible.rs
+++ b/src/scalewood/core/dispatch/endpoint/eligible.rs
@@ -119,8 +119,8 @@
     ) -> Option<Eligible> {
         let endpoint = &self.endpoints[index.0];
         let score = endpoint.score?;
-        let may = endpoint.is_eligible(constraints) && endpoint.may_send(now);
-        may.then_some(Eligible { index, score })
+        let may_send = endpoint.is_eligible(constraints) && endpoint.may_send(now);
+        may_send.then_some(Eligible { index, score })
     }
 
     /// Returns whether any endpoint has a free slot that this box may use now.
@@ -154,7 +154,7 @@
     }
 
     /// Returns the endpoints of this zone that warm up with their recent diverted requests, the
-    /// highest count first.
+    /// highest count first. Halves the counts first, so that older requests count less.
     pub(in crate::core::dispatch) fn wanted_leases(
         &mut self,
         now: Duration,
@@ -187,8 +187,9 @@
     }
 
     /// Returns whether a request may be sent to an endpoint as soon as a slot becomes free there.
-    /// At an endpoint that limits its request rate, a free slot alone is not enough.
-    pub(in crate::core::dispatch) fn permits(
+    /// At an endpoint that limits its request rate, a free slot alone is not enough. A lease for a
+    /// warm-up is not checked.
+    pub(in crate::core::dispatch) fn may_use_freed_slot(
         &self,
         index: Index,
         constraints: Constraints<'_>,
@@ -287,13 +288,13 @@
 
     fn take(&mut self, index: Index, prompt: Prefill, now: Duration) {
         let endpoint = &mut self.endpoints[index.0];
-        if endpoint.pending == 0 {
+        if endpoint.pending_runs == 0 {
             endpoint.waiting_since = now;
         }
-        endpoint.pending += 1;
-        endpoint.unread += prompt.unread;
-        endpoint.later.add(prompt.tier, prompt.unread);
-        endpoint.held += prompt.unread;
+        endpoint.pending_runs += 1;
+        endpoint.pending_prefill += prompt.tokens;
+        endpoint.less_urgent.add(prompt.tier, prompt.tokens);
+        endpoint.cached += prompt.tokens;
         endpoint.running += 1;
         self.busy.insert(index);
         self.running += 1;
--- a/src/scalewood/core/dispatch/endpoint/health.rs
+++ b/src/scalewood/core/dispatch/endpoint/health.rs
@@ -13,8 +13,8 @@
 const EJECTION_WEIGHT: u32 = 3;
 /// The interval at which speeds are compared and risk penalties updated.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
-/// The relative speed below which an endpoint gets fewer slots; noise stays above it.
-const SLOW_BELOW: f64 = 0.67;
+/// The relative speed below which an endpoint gets fewer slots. Ordinary variation stays above it.
+const FULL_SLOTS_MIN_SPEED: f64 = 0.67;
 /// The lowest relative speed that is applied.
 const MIN_SPEED: f64 = 0.1;
 
@@ -41,7 +41,11 @@
 
 impl Set {
     /// Records the time per token, or per call of a plain service, in seconds.
-    pub(in crate::core::dispatch) fn observe_pace(&mut self, index: Index, seconds: f64) {
+    pub(in crate::core::dispatch) fn observe_seconds_per_unit(
+        &mut self,
+        index: Index,
+        seconds: f64,
+    ) {
         /// The weight of a new observation in the moving average.
         const WEIGHT: f64 = 0.2;
         self.endpoints[index.0]
@@ -70,8 +74,8 @@
         now: Duration,
     ) {
         let endpoint = &mut self.endpoints[index.0];
-        endpoint.subtract_unread(prompt);
-        endpoint.pending = endpoint.pending.saturating_sub(1);
+        endpoint.subtract_pending_prefill(prompt);
+        endpoint.pending_runs = endpoint.pending_runs.saturating_sub(1);
         endpoint.waiting_since = now;
         endpoint.lower_risk(now);
         self.unreported.insert(index);
@@ -122,7 +126,7 @@
     /// Records that a caller left before the first token: the endpoint may have lost the request or
     /// be busy.
     pub(in crate::core::dispatch) fn record_abandoned(&mut self, index: Index, now: Duration) {
-        /// The weight of this beside a failure.
+        /// The weight of an abandoned request; that of a failure is 1.
         const SUSPICION_WEIGHT: f64 = 0.75;
         self.endpoints[index.0].raise_risk(SUSPICION_WEIGHT, now);
         self.unreported.insert(index);
@@ -167,7 +171,8 @@
         outcomes
     }
 
-    /// Updates everything that depends on time.
+    /// Ends backoffs, starts to probe ejected endpoints, and periodically updates hints, risk
+    /// penalties and speeds.
     pub(in crate::core::dispatch) fn tick(&mut self, now: Duration) {
         self.end_backoffs(now);
         if self.probe_at.is_some_and(|at| at <= now) {
@@ -210,28 +215,32 @@
 
     /// Compares the time per token of each endpoint with the median.
     fn compare_speeds(&mut self) {
-        let mut paces: Vec<_> = self
+        let mut sorted: Vec<_> = self
             .endpoints
             .iter()
             .filter_map(|e| e.seconds_per_unit.get())
             .collect();
-        if paces.len() < 2 {
+        if sorted.len() < 2 {
             return;
         }
-        paces.sort_by(f64::total_cmp);
+        sorted.sort_by(f64::total_cmp);
         // The lower median, so that of two endpoints the faster one is the reference.
-        let median = paces[(paces.len() - 1) / 2];
+        let median = sorted[(sorted.len() - 1) / 2];
         for i in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[i];
-            let Some(pace) = endpoint.seconds_per_unit.get() else {
+            let Some(seconds_per_unit) = endpoint.seconds_per_unit.get() else {
                 continue;
             };
-            let speed = if pace > 0.0 {
-                (median / pace).clamp(MIN_SPEED, 1.0)
+            let speed = if seconds_per_unit > 0.0 {
+                (median / seconds_per_unit).clamp(MIN_SPEED, 1.0)
+            } else {
+                1.0
+            };
+            let speed = if speed < FULL_SLOTS_MIN_SPEED {
+                speed
             } else {
                 1.0
             };
-            let speed = if speed < SLOW_BELOW { speed } else { 1.0 };
             if (speed - endpoint.speed).abs() > f64::EPSILON {
                 endpoint.speed = speed;
                 self.rescore(Index(i));
@@ -240,8 +249,9 @@
     }
 }
 
-/// Returns how long an endpoint is ejected. The time doubles with each ejection and is extended by
-/// up to a half, so that many endpoints do not come back at once.
+/// Returns how long an endpoint is ejected. The time doubles with each ejection up to
+/// `max_ejection`, and is then extended by up to a half, so that many endpoints do not come back at
+/// once.
 fn ejection_time(endpoint: &Endpoint, settings: &Settings) -> Duration {
     let doubled = settings
         .base_ejection
--- a/src/scalewood/core/dispatch/endpoint/restart.rs
+++ b/src/scalewood/core/dispatch/endpoint/restart.rs
@@ -20,7 +20,7 @@
             .start
             .is_some_and(|known| known < start)
         {
-            self.end(index);
+            self.retire(index);
             index = self.index_or_add(name, settings);
         }
         self.endpoints[index.0].start = Some(start);
@@ -28,7 +28,7 @@
     }
 
     /// Retires a start. Its remaining runs are counted until they end.
-    fn end(&mut self, index: Index) {
+    fn retire(&mut self, index: Index) {
         self.names.remove(&self.endpoints[index.0].name);
         self.ring.remove(self.endpoints[index.0].hash);
         let configured = &mut self.endpoints[index.0].configured;
--- a/src/scalewood/core/dispatch/endpoint/select.rs
+++ b/src/scalewood/core/dispatch/endpoint/select.rs
@@ -19,14 +19,14 @@
 };
 
 /// The number of ready endpoints up to which all are compared for each prompt.
-const MAX_COMPARED: usize = 256;
+const MAX_COMPARED_ENDPOINTS: usize = 256;
 /// The number of further endpoints, in the order of choice, that are compared when the candidates
 /// of the ring have no room.
-const MAX_FURTHER: usize = 32;
+const MAX_FURTHER_ENDPOINTS: usize = 32;
 /// How long an endpoint is assumed to cache a shared prefix that was placed there.
 const CACHED_FOR: Duration = Duration::from_secs(30);
 /// The number of recorded prefixes from which on expired ones are removed more often.
-const SWEEP_FROM: usize = 4096;
+const LARGE_PREFIX_COUNT: usize = 4096;
 /// The least time between these removals, which go through all prefixes.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -34,7 +34,7 @@
 /// is assumed to cache it.
 #[derive(Debug, Default)]
 pub(super) struct Cached {
-    places: HashMap<message::Prefix, Vec<(Index, Duration)>>,
+    placements: HashMap<message::Prefix, Vec<(Index, Duration)>>,
     last_sweep: Duration,
     /// The placements of this box that are not reported to other boxes yet.
     unreported: Vec<(message::Prefix, Index)>,
@@ -42,26 +42,26 @@
 
 impl Cached {
     /// Returns the endpoints that likely cache a shared prefix.
-    fn places(&self, prefix: message::Prefix, now: Duration) -> Vec<Index> {
-        let places = self.places.get(&prefix).into_iter().flatten();
-        let valid = places.filter(|(_, until)| *until > now);
+    fn endpoints(&self, prefix: message::Prefix, now: Duration) -> Vec<Index> {
+        let placements = self.placements.get(&prefix).into_iter().flatten();
+        let valid = placements.filter(|(_, until)| *until > now);
         valid.map(|(index, _)| *index).collect()
     }
 
-    /// Records a placement. Returns whether to report it to other boxes: it is new, or the last
-    /// report is so old that they would soon forget it.
-    fn note(&mut self, prefix: message::Prefix, index: Index, now: Duration) -> bool {
-        let is_large =
-            self.places.len() >= SWEEP_FROM && now > self.last_sweep + MIN_SWEEP_INTERVAL;
+    /// Records a placement. Returns whether a placement by this box is to be reported to other
+    /// boxes: it is new, or the last report is so old that they would soon forget it.
+    fn record(&mut self, prefix: message::Prefix, index: Index, now: Duration) -> bool {
+        let is_large = self.placements.len() >= LARGE_PREFIX_COUNT
+            && now > self.last_sweep + MIN_SWEEP_INTERVAL;
         if is_large || now > self.last_sweep + CACHED_FOR {
             self.last_sweep = now;
-            self.places.retain(|_, places| {
-                places.retain(|(_, until)| *until > now);
-                !places.is_empty()
+            self.placements.retain(|_, placements| {
+                placements.retain(|(_, until)| *until > now);
+                !placements.is_empty()
             });
         }
-        let places = self.places.entry(prefix).or_default();
-        let known = places.iter_mut().find(|(at, _)| *at == index);
+        let placements = self.placements.entry(prefix).or_default();
+        let known = placements.iter_mut().find(|(at, _)| *at == index);
         match known {
             Some((_, until)) if *until > now + CACHED_FOR / 2 => false,
             Some((_, until)) => {
@@ -69,7 +69,7 @@
                 true
             }
             None => {
-                places.push((index, now + CACHED_FOR));
+                placements.push((index, now + CACHED_FOR));
                 true
             }
         }
@@ -77,11 +77,11 @@
 
     /// Changes the endpoints' indexes; placements at removed endpoints are dropped.
     pub(super) fn reindex(&mut self, new: impl Fn(Index) -> Option<Index>) {
-        for places in self.places.values_mut() {
-            let moved = places
+        for placements in self.placements.values_mut() {
+            let moved = placements
                 .iter()
                 .filter_map(|(at, until)| Some((new(*at)?, *until)));
-            *places = moved.collect();
+            *placements = moved.collect();
         }
         let unreported = self.unreported.iter();
         let moved = unreported.filter_map(|(prefix, at)| Some((*prefix, new(*at)?)));
@@ -112,9 +112,11 @@
         let candidates = self.candidates(prompt, now);
         let mut best = self.best_of(&candidates, prompt, model, avoid, now);
         let is_late = best.as_ref().is_none_or(|best| !best.excess.is_zero());
-        if is_late && self.ready.len() > MAX_COMPARED {
+        if is_late && self.ready.len() > MAX_COMPARED_ENDPOINTS {
             // Other endpoints may have room, though they do not cache the prefix.
-            let others = self.eligible(prompt.constraints, now).take(MAX_FURTHER);
+            let others = self
+                .eligible(prompt.constraints, now)
+                .take(MAX_FURTHER_ENDPOINTS);
             let wider: Vec<_> = candidates.into_iter().chain(others).collect();
             best = self.best_of(&wider, prompt, model, avoid, now);
         }
@@ -132,12 +134,12 @@
             }));
         }
         let prefix = prompt.placed.prefix;
-        if self.cached.note(prefix, index, now) {
+        if self.cached.record(prefix, index, now) {
             self.cached.unreported.push((prefix, index));
         }
         let choice = self.choice(index, prompt, is_cached);
         let taken = Prefill {
-            unread: choice.unread,
+            tokens: choice.prefill_tokens,
             tier: prompt.tier,
         };
         self.grant(chosen, taken, now);
@@ -161,7 +163,7 @@
         candidates.dedup_by_key(|(_, eligible)| eligible.index());
         let best = candidates.first().map(|(weight, _)| *weight);
         self.count_diverted(prompt, best, now);
-        let mut cached_at = self.cached.places(prompt.placed.prefix, now);
+        let mut cached_at = self.cached.endpoints(prompt.placed.prefix, now);
         // Ignores endpoints of the other group, where the prompt would disturb the streams.
         cached_at.retain(|index| !self.is_foreign(*index, prompt));
         let step_cost = cost::step_cost(prompt, model);
@@ -198,13 +200,13 @@
     /// Returns the endpoints to compare for a prompt. If few are ready, that is all eligible ones;
     /// otherwise the prefix's candidates on the ring and those that likely cache the prefix.
     fn candidates(&self, prompt: &Prompt<'_>, now: Duration) -> Vec<Eligible> {
-        if self.ready.len() <= MAX_COMPARED {
+        if self.ready.len() <= MAX_COMPARED_ENDPOINTS {
             return self.eligible(prompt.constraints, now).collect();
         }
         let prefix = prompt.placed.prefix;
         let at = |index| self.eligible_at(index, prompt.constraints, now);
         let mut candidates = self.ring.candidates(prefix.0, |index| at(index).is_some());
-        candidates.extend(self.cached.places(prefix, now));
+        candidates.extend(self.cached.endpoints(prefix, now));
         candidates.into_iter().filter_map(at).collect()
     }
 
@@ -233,7 +235,7 @@
         let endpoint = &self.endpoints[index.0];
         Choice {
             endpoint: index,
-            unread: prompt.unread(cached),
+            prefill_tokens: prompt.prefill_tokens(cached),
             ahead: endpoint.ahead(prompt.tier),
             cached,
             place: Some(prompt.place(endpoint)),
@@ -253,7 +255,7 @@
     ) {
         for placement in placements {
             if let Some(index) = self.names.get(&placement.endpoint) {
-                self.cached.note(placement.prefix, *index, now);
+                self.cached.record(placement.prefix, *index, now);
             }
         }
     }
@@ -274,9 +276,9 @@
 
     /// Returns the fraction of the slots of the endpoints for short prompts that is in use.
     pub(in crate::core::dispatch) fn short_prompt_utilisation(&self) -> f64 {
-        let parted = self.endpoints.iter();
-        let parted = parted.filter(|e| e.configured && e.for_short);
-        let (own, others, slots) = parted.fold((0, 0, 0), |(own, others, slots), e| {
+        let for_short = self.endpoints.iter();
+        let for_short = for_short.filter(|e| e.configured && e.for_short);
+        let (own, others, slots) = for_short.fold((0, 0, 0), |(own, others, slots), e| {
             (own + e.running, others + e.others.running, slots + e.slots)
         });
         let running = if self.others_known {
@@ -322,9 +324,9 @@
         loaded.map(|index| {
             let endpoint = &self.endpoints[index.0];
             let load = Load {
-                pending_prefill: endpoint.unread,
-                less_urgent: endpoint.later,
-                cached: endpoint.held,
+                pending_prefill: endpoint.pending_prefill,
+                less_urgent: endpoint.less_urgent,
+                cached: endpoint.cached,
                 running: endpoint.running,
             };
             (endpoint.name.clone(), load)
--- a/src/scalewood/core/dispatch/endpoint/slots.rs
+++ b/src/scalewood/core/dispatch/endpoint/slots.rs
@@ -53,7 +53,7 @@
         }
         Some(Choice {
             endpoint: index,
-            unread: 0,
+            prefill_tokens: 0,
             ahead: prefill::Ahead::default(),
             cached: false,
             place: None,
@@ -77,10 +77,10 @@
     ) -> Option<Eligible> {
         let hint = self.hints.get(&wanted.prefix?);
         let index = hint.filter(|hint| hint.until > now)?.index;
-        let most = best.score() + settings.hint_slack;
+        let max_score = best.score() + settings.hint_slack;
         let mut near = self.eligible(wanted.constraints, now);
         let hinted = near.find(|eligible| eligible.index() == index)?;
-        (!self.is_avoided(index, wanted) && hinted.score() <= most).then_some(hinted)
+        (!self.is_avoided(index, wanted) && hinted.score() <= max_score).then_some(hinted)
     }
 
     /// Records a cache event. Events are late and incomplete, so they are only hints.
--- a/src/scalewood/core/dispatch/endpoint/throttle.rs
+++ b/src/scalewood/core/dispatch/endpoint/throttle.rs
@@ -18,7 +18,7 @@
 const MIN_ISSUED_FACTOR: f64 = 1.5;
 /// The rate, in requests per second, below which a box asks for permits only for requests that are
 /// already waiting.
-const MIN_PREFETCH_RATE: f64 = 0.01;
+const MIN_PREFETCH_REQUESTS_PER_SECOND: f64 = 0.01;
 
 /// A changed rate limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -84,7 +84,7 @@
     }
 
     /// Adds permits that were issued.
-    pub(in crate::core::dispatch) fn take_permits(&mut self, passes: &[Pass], now: Duration) {
+    pub(in crate::core::dispatch) fn add_permits(&mut self, passes: &[Pass], now: Duration) {
         for pass in passes {
             if let Some(index) = self.names.get(&pass.endpoint) {
                 let permits = &mut self.endpoints[index.0].permits;
@@ -139,7 +139,8 @@
     }
 
     /// Returns the permits to request, given the rate of arriving requests and the number of
-    /// waiting ones. Endpoints from which most requests were diverted come first.
+    /// waiting ones. Endpoints from which most requests were diverted come first. Halves the
+    /// counts of diverted requests, so that older ones count less.
     pub(in crate::core::dispatch) fn wanted_permits(
         &mut self,
         requests_per_second: f64,
@@ -148,7 +149,9 @@
     ) -> Vec<Wanted> {
         // Endpoints may have been ejected or become active again since the last change.
         self.sum_limits();
-        if !self.any_limited || (waiting == 0 && requests_per_second < MIN_PREFETCH_RATE) {
+        if !self.any_limited
+            || (waiting == 0 && requests_per_second < MIN_PREFETCH_REQUESTS_PER_SECOND)
+        {
             return Vec::new();
         }
         // A few requests at most, so the cast is exact.
--- a/src/scalewood/core/dispatch/grant.rs
+++ b/src/scalewood/core/dispatch/grant.rs
@@ -70,8 +70,8 @@
             return chosen.ok_or(endpoint::Unplaced::NoSlot);
         };
         let is_split = self.placement.is_partitioned(&self.prefill);
-        let crowding = self.endpoints.short_prompt_utilisation();
-        let crowded = self.placement.update_crowding(crowding);
+        let utilisation = self.endpoints.short_prompt_utilisation();
+        let crowded = self.placement.update_crowding(utilisation);
         let long = self.placement.is_long(&ask.class, &self.prefill);
         let class = self.classes.get(&ask.class);
         let hold = class.map_or(class::MIN_HOLD_S, |class| class.mean_hold_s);
@@ -98,13 +98,13 @@
         self.endpoints.choose_endpoint(&prompt, &model, avoid, now)
     }
 
-    /// Returns whether no endpoint is ruled out for a lane that another lane may use.
+    /// Returns whether a lane may use every endpoint that any other lane may use.
     pub(super) fn is_unrestricted(&self, (allowed, _): &queue::Lane) -> bool {
         allowed.is_everywhere() && !self.endpoints.has_backoffs()
     }
 
     /// Returns what holds a request back while more urgent ones are refused. A request that was
-    /// sent to an endpoint before is not held back: what it has started is not taken away.
+    /// sent to an endpoint before is not held back, so that the work done for it is not lost.
     fn held_back(&self, ask: &message::Ask, now: Duration) -> Option<precedence::HeldBack> {
         if ask.attempt.number > 0 {
             return None;
@@ -158,14 +158,16 @@
     fn start(&mut self, waiting: queue::Waiting, choice: endpoint::Choice, now: Duration) {
         self.freed = self.freed.saturating_sub(1);
         let attempt = waiting.ask.attempt;
-        let preceded = self.refusals.count_precedence(&waiting.ask, true, now);
+        let is_held_back = self.refusals.count_precedence(&waiting.ask, true, now);
         let is_new = attempt.number == 0;
         if is_new {
             self.refusals.record_started(&waiting.ask, now);
         }
-        invariant::check(!(preceded && is_new), invariant::Rule::Precedence, || {
-            format!("{attempt} begins while a more urgent class is refused")
-        });
+        invariant::check(
+            !(is_held_back && is_new),
+            invariant::Rule::Precedence,
+            || format!("{attempt} begins while a more urgent class is refused"),
+        );
         let class = waiting.ask.class.clone();
         let (queue, classes) = (&self.queue, &self.classes);
         let mean = |name: &name::Class| classes.get(name).map_or(0.0, |class| class.mean_hold_s);
@@ -183,9 +185,9 @@
             ask: waiting.ask,
             endpoint: choice.endpoint,
             granted: now,
-            unread: choice.unread,
+            prefill_tokens: choice.prefill_tokens,
             ahead: choice.ahead,
-            kept: choice.cached,
+            cached: choice.cached,
             place: choice.place,
             paused: false,
             started: false,
--- a/src/scalewood/core/dispatch/message.rs
+++ b/src/scalewood/core/dispatch/message.rs
@@ -97,14 +97,15 @@
 
 impl Ask {
     /// Returns whether the caller may retry after a delay if the request is refused now: it has
-    /// not been refused before, no endpoint has had it, and the caller waits that long.
+    /// not been refused before, it was not sent to any endpoint, and the caller waits that long.
     pub fn may_return(&self, after: Duration) -> bool {
         let is_first = self.attempt.number == 0 && !self.returned;
         is_first && self.age + after < self.patience.unwrap_or(self.deadline)
     }
 
-    /// Restarts the caller's patience now, since it has received a part of its answer. Counted
-    /// from the arrival, a stream that could continue would be considered too late and cut.
+    /// Restarts the caller's patience now, since it has received a part of its answer. If the
+    /// patience still ran from the arrival, a stream that could continue at another endpoint
+    /// would be refused as too late.
     pub fn renew_patience(&mut self, patience: Option<Duration>) {
         self.patience = patience.map(|patience| patience + self.age);
     }
--- a/src/scalewood/core/dispatch/mod.rs
+++ b/src/scalewood/core/dispatch/mod.rs
@@ -6,20 +6,20 @@
 //! the endpoints themselves and report the results; the loss of a dispatcher interrupts no
 //! stream.
 //!
-//! A step takes one input and the time, and returns the orders that follow. After each input:
+//! A step takes one input and the time, and returns the orders that follow. Requests that would
+//! wait past their deadline are shed when they arrive and at each tick (`shed`). After each input:
 //!
-//! 1. While a slot is free, it is granted to the next request: one of the class that
-//!    its minimum share owes a whole run (`share`), else the first by tier and slack
+//! 1. While a slot is free, it is granted to the next request: the first of the class that is
+//!    owed a whole run by its minimum share (`share`), else the first by tier and slack
 //!    (`queue`). The endpoint with the lowest utilisation is chosen, or one that likely
 //!    caches the prompt's prefix (`endpoint`).
 //! 2. For each remaining request that has to start now, a run of a lower tier is
 //!    preempted, the one that loses the least work (`preempt`).
-//! 3. Requests that would wait past their deadline are shed at once (`shed`).
 //!
 //! A new dispatcher settles first: it adopts the runs that the entry boxes announce, and grants
 //! nothing until all live boxes have announced theirs. From its announcement on a box uses only
-//! this dispatcher's grants, so the announced runs are complete. A box that does not announce
-//! is waited for until it no longer counts as alive.
+//! this dispatcher's grants, so the announced runs are complete. The dispatcher waits for a box
+//! that does not announce until the box no longer counts as alive or the settle timeout is over.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -68,13 +68,15 @@
     pub preempt_lead: Duration,
     /// How long a run of a class is expected to hold a slot before any has ended.
     pub initial_hold: Duration,
-    /// The largest fraction of the endpoints that may be ejected at once.
+    /// The largest fraction of the endpoints that may be ejected or probed at once. One endpoint
+    /// may be, however few there are.
     pub max_ejected: f64,
     /// How long an endpoint is ejected the first time; doubled each further time.
     pub base_ejection: Duration,
-    /// The longest that an endpoint is ejected.
+    /// The longest ejection, before it is extended by up to a half so that endpoints do not come
+    /// back at once.
     pub max_ejection: Duration,
-    /// Slots that a new endpoint may use before its first success.
+    /// Slots that a new endpoint may use at first; first tokens and successes raise the number.
     pub ramp: u32,
     /// How long a prefix is assumed to stay cached.
     pub hint_ttl: Duration,
@@ -129,7 +131,8 @@
     Cached(name::Endpoint, Prefix, bool),
     /// An entry box has been disconnected for too long: its requests are void.
     BoxGone(name::Box),
-    /// The live entry boxes of the zone. The requests of all others are void.
+    /// The live entry boxes of the zone. The requests of a box that was in the last such list and
+    /// is not in this one are void.
     LiveBoxes(BTreeSet<name::Box>),
     /// How many boxes dispatch to the same endpoints, including this one.
     Sharers(u32),
@@ -147,15 +150,15 @@
     PromptSizes(Vec<load::Prompts>),
     /// All bounds on less urgent requests of this service that follow from refusals at any box.
     Bounds(Vec<load::Bound>),
-    /// The warming endpoints that this box may send to, the time until which it may, and the
-    /// number of hubs that issue such leases.
+    /// The endpoints that warm up and that this box has a lease to send to, the end of the lease,
+    /// and the number of hubs that issue such leases.
     Leases(Vec<name::Endpoint>, Duration, u32),
     /// Endpoints' limits on the requests per second from all boxes together, where they
     /// changed.
     Limits(Vec<LimitChange>),
     /// Permits of this box for requests to rate-limited endpoints.
     Permits(Vec<Pass>),
-    /// Since when no voter issues permits, if none does: this box then uses its own part of
+    /// Since when no voter issues permits, if none does: this box then uses an equal share of
     /// each limit.
     PermitsUnavailable(Option<Duration>),
     /// Time has passed.
@@ -181,6 +184,8 @@
     causes: cause::Causes,
     /// The rate of requests for a slot.
     request_rate: throttle::Meter,
+    /// The time from which the dispatcher no longer waits for boxes that have not announced their
+    /// runs.
     settled_at: Duration,
     /// The live entry boxes, and those that have announced their runs.
     alive: BTreeSet<name::Box>,
@@ -209,14 +214,14 @@
 /// What the choice of an endpoint was based on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Basis {
-    /// Tokens of the prompt that the endpoint has to process.
+    /// Tokens of the prompt to be prefilled at the endpoint: those that are not cached there.
     pub unread: unit::Tokens,
-    /// Prompt tokens of all boxes that the endpoint had not processed yet, of requests that are
-    /// no less urgent.
+    /// Prompt tokens of other requests, from all boxes, that waited for prefill there and are at
+    /// least as urgent.
     pub ahead: unit::Tokens,
-    /// The same of less urgent requests.
+    /// Prompt tokens of less urgent requests, from all boxes, that waited for prefill there.
     pub later: unit::Tokens,
-    /// Whether the endpoint likely caches the part of the prompt that others share.
+    /// Whether the endpoint likely cached the prompt's shared prefix.
     pub kept: bool,
 }
 
@@ -278,7 +283,7 @@
                 self.endpoints.set_leases(&leased, until, hubs, now);
             }
             Input::Limits(changes) => self.endpoints.set_limits(&changes),
-            Input::Permits(passes) => self.endpoints.take_permits(&passes, now),
+            Input::Permits(passes) => self.endpoints.add_permits(&passes, now),
             Input::PermitsUnavailable(since) => self.endpoints.set_permits_unavailable(since),
             Input::Tick => self.tick(now),
         }
@@ -383,7 +388,7 @@
         let waited = now.saturating_sub(run.granted);
         let (endpoint, prompt) = (run.endpoint, run.prompt());
         if !already && run.place.is_some_and(|place| !place.slow) {
-            self.prefill.observe(run.ahead, prompt.unread, waited);
+            self.prefill.observe(run.ahead, prompt.tokens, waited);
         }
         self.class(&name, tier).observe_first_token(waited);
         if !already {
@@ -418,7 +423,8 @@
                     self.pauses.observe(place, true, now);
                 }
             }
-            // A backoff that the endpoint asks for comes with the box's next request.
+            // If the endpoint asked for a backoff, the box reports it with its next request for a
+            // slot.
             End::Cancelled | End::Preempted | End::Refused | End::Unused => {}
         }
     }
@@ -431,12 +437,13 @@
         let held = now.saturating_sub(run.granted);
         let first = run.first_token.unwrap_or(run.granted);
         let streamed = now.saturating_sub(first).as_secs_f64();
-        let pace = match tokens.0 {
+        let seconds_per_unit = match tokens.0 {
             0 | 1 => held.as_secs_f64(),
             // Answers are far shorter than 2^52 tokens, so the cast is exact.
             n => streamed / (n - 1) as f64,
         };
-        self.endpoints.observe_pace(run.endpoint, pace);
+        self.endpoints
+            .observe_seconds_per_unit(run.endpoint, seconds_per_unit);
         let class = self.class(&run.ask.class, run.ask.tier);
         class.observe_hold(held);
         class.observe_length(tokens);
@@ -447,9 +454,9 @@
             return;
         }
         self.queue.remove(held.ask.attempt);
-        let unread = held.ask.prompt.0;
+        let prefill_tokens = held.ask.prompt.0;
         let prompt = endpoint::Prefill {
-            unread,
+            tokens: prefill_tokens,
             tier: held.ask.tier,
         };
         let endpoint = self.endpoints.adopt(
@@ -464,9 +471,9 @@
             ask: held.ask,
             endpoint,
             granted: now.saturating_sub(held.held),
-            unread,
+            prefill_tokens,
             ahead: prefill::Ahead::default(),
-            kept: false,
+            cached: false,
             place: None,
             paused: false,
             started: true,
@@ -487,11 +494,11 @@
     fn set_boxes(&mut self, alive: BTreeSet<name::Box>) {
         let origins = self.queue.all().map(|w| &w.origin);
         let origins = origins.chain(self.runs.all().map(|r| &r.origin));
-        let zone: BTreeSet<_> = origins
+        let were_alive: BTreeSet<_> = origins
             .filter(|name| self.alive.contains(*name))
             .cloned()
             .collect();
-        for origin in zone.difference(&alive) {
+        for origin in were_alive.difference(&alive) {
             self.drop_box(origin);
         }
         self.announced.retain(|name| alive.contains(name));
@@ -539,7 +546,8 @@
             .map_or(class::MIN_HOLD_S, |class| class.mean_hold_s)
     }
 
-    /// Returns the mean time between two slots becoming free, in seconds.
+    /// Returns the expected time between two slots becoming free, in seconds. Without rate limits
+    /// that is an upper estimate, from the class whose runs hold a slot for the longest.
     fn slot_gap(&self, now: Duration) -> f64 {
         let holds = self.classes.values().map(|class| class.mean_hold_s);
         let hold = holds.fold(0.0, f64::max);
--- a/src/scalewood/core/dispatch/pauses.rs
+++ b/src/scalewood/core/dispatch/pauses.rs
@@ -7,10 +7,10 @@
 
 use std::time::Duration;
 
-/// The fraction assumed before any stream was counted: few streams pause too long at endpoints
+/// The fraction of streams that pause too long, assumed before any was counted: few at endpoints
 /// meant for their kind of prompt, more at the others.
-const PRIOR_HOME: f64 = 0.1;
-const PRIOR_FOREIGN: f64 = 0.5;
+const PRIOR_OWN_GROUP_FRACTION: f64 = 0.1;
+const PRIOR_FOREIGN_FRACTION: f64 = 0.5;
 /// The number of streams that the assumed fraction counts for.
 const PRIOR_STREAMS: f64 = 4.0;
 /// The time, in seconds, in which counts decay to about a third (1/e): the load beside streams
@@ -46,10 +46,10 @@
 impl Count {
     fn decayed(self, now: Duration) -> Self {
         let passed = now.saturating_sub(self.updated_at).as_secs_f64();
-        let kept = (-passed / DECAY_S).exp();
+        let factor = (-passed / DECAY_S).exp();
         Self {
-            paused: self.paused * kept,
-            total: self.total * kept,
+            paused: self.paused * factor,
+            total: self.total * factor,
             updated_at: now,
         }
     }
@@ -73,9 +73,9 @@
     /// Returns the fraction of streams at a place that is expected to pause too long.
     pub(super) fn fraction(&self, place: Place, now: Duration) -> f64 {
         let prior = if place.foreign {
-            PRIOR_FOREIGN
+            PRIOR_FOREIGN_FRACTION
         } else {
-            PRIOR_HOME
+            PRIOR_OWN_GROUP_FRACTION
         };
         let Count { paused, total, .. } = self.counts[place.index()].decayed(now);
         (paused + prior * PRIOR_STREAMS) / (total + PRIOR_STREAMS)
--- a/src/scalewood/core/dispatch/placement.rs
+++ b/src/scalewood/core/dispatch/placement.rs
@@ -1,16 +1,16 @@
 //! Placement: which group of endpoints a prompt belongs to.
 //!
-//! Prompts with a shared prefix belong to one endpoint, which caches the prefix: processing it
-//! again elsewhere costs more than a longer network path. All boxes find the same home endpoint
-//! by rendezvous hashing, without communication. A prompt leaves its home only while the home
-//! is slow to answer or failing.
+//! Prompts with a shared prefix have one home endpoint, which caches the prefix: processing it
+//! again elsewhere costs more than a longer network path. All boxes find the same home by
+//! rendezvous hashing, without communication. A prompt is sent elsewhere only if that costs less
+//! (`endpoint::cost`), as when the home is busy or failing.
 //!
 //! Long prompts delay every token of the requests beside them, on slow endpoints for longer
 //! than streams tolerate. So the endpoints are partitioned: one group for the classes with long
 //! prompts, which includes all slow endpoints, and one for the others. All boxes have to agree
 //! on the boundary, or one box's long prompts delay another's short ones: it follows from the
-//! order of the endpoints and from which are slow. A boundary that followed the load as each
-//! box sees it would cause half of the repeated prefill.
+//! order of the endpoints and from which are slow. If it followed the load, which each box sees
+//! differently, that would cause half of all repeated prefill.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -32,12 +32,12 @@
 /// The weight of a new observation in the moving average of a class's prompt size.
 const SIZE_WEIGHT: f64 = 0.05;
 /// The fraction of the endpoints that short prompts get if there are long ones too: the first
-/// fast ones in the order that all boxes know.
+/// fast ones in the order that is the same at all boxes.
 const SHORT_FRACTION: f64 = 0.34;
 /// The fraction of the slots for short prompts above which they count as nearly full, and below
 /// which they no longer do.
-const CROWDED_ABOVE: f64 = 0.85;
-const CROWDED_UNTIL: f64 = 0.6;
+const CROWDED_ABOVE_FRACTION: f64 = 0.85;
+const CROWDED_UNTIL_FRACTION: f64 = 0.6;
 
 /// The partition of the endpoints between short and long prompts.
 #[derive(Debug, Default)]
@@ -129,29 +129,29 @@
     }
 
     /// Updates and returns whether the slots for short prompts, of which the fraction `used` is
-    /// taken, are nearly full. If so, the lower classes with short prompts go to the endpoints
-    /// for long ones: they would not be admitted beside the first class.
+    /// taken, are nearly full. If so, the classes with short prompts below the most urgent one go
+    /// to the endpoints for long ones: they would not be admitted beside the most urgent class.
     pub(super) fn update_crowding(&mut self, used: f64) -> bool {
         let limit = if self.crowded {
-            CROWDED_UNTIL
+            CROWDED_UNTIL_FRACTION
         } else {
-            CROWDED_ABOVE
+            CROWDED_ABOVE_FRACTION
         };
         self.crowded = used > limit;
         self.crowded
     }
 }
 
-/// Returns which endpoints are for short prompts if they are partitioned; `slow` lists the
-/// endpoints in the order that all boxes know.
+/// Returns which endpoints are for short prompts if they are partitioned. `slow` tells for each
+/// endpoint, in the order that is the same at all boxes, whether it is slow.
 pub(super) fn partition(slow: &[bool]) -> Vec<bool> {
     // The product is at most the count, so the cast is exact.
-    let most = ((slow.len() as f64 * SHORT_FRACTION).round() as usize).max(1);
+    let max_short = ((slow.len() as f64 * SHORT_FRACTION).round() as usize).max(1);
     let mut short = 0;
     let partition = slow.iter().map(|slow| {
-        let taken = !slow && short < most;
-        short += usize::from(taken);
-        taken
+        let is_short = !slow && short < max_short;
+        short += usize::from(is_short);
+        is_short
     });
     partition.collect()
 }
--- a/src/scalewood/core/dispatch/precedence.rs
+++ b/src/scalewood/core/dispatch/precedence.rs
@@ -62,7 +62,7 @@
     /// last report.
     unreported: BTreeMap<name::Class, load::Counts>,
     exchanges: u32,
-    /// Less urgent requests that were held back or started meanwhile.
+    /// Less urgent requests that were held back or started while a class was refused.
     tallies: BTreeMap<ClassPair, Tally>,
 }
 
@@ -130,8 +130,8 @@
         self.count(ask, counts, now);
     }
 
-    /// Counts a request that was refused for lack of capacity and received to retry after `retry`;
-    /// as lost if its caller can't.
+    /// Counts a request that was refused for lack of capacity and may be retried after `retry`; as
+    /// lost if its caller can't retry then.
     pub(super) fn record_refused(&mut self, ask: &message::Ask, retry: Duration, now: Duration) {
         if !ask.may_return(retry) {
             return self.record_lost(ask, now);
@@ -212,8 +212,8 @@
         own.into_iter().chain(received).max_by_key(|held| held.wait)
     }
 
-    /// Counts a request that is held back or starts while a more urgent class is refused;
-    /// returns whether one is.
+    /// Counts a request to which the bound of a more urgent class applies, as started if it
+    /// `begins` and as held back otherwise. Returns whether such a bound applies.
     pub(super) fn count_precedence(
         &mut self,
         ask: &message::Ask,
--- a/src/scalewood/core/dispatch/preempt.rs
+++ b/src/scalewood/core/dispatch/preempt.rs
@@ -49,7 +49,10 @@
         constraints: endpoint::Constraints<'_>,
         now: Duration,
     ) -> Option<&run::Run> {
-        let fits = |run: &run::Run| self.endpoints.permits(run.endpoint, constraints, now);
+        let fits = |run: &run::Run| {
+            self.endpoints
+                .may_use_freed_slot(run.endpoint, constraints, now)
+        };
         self.runs.victim_where(tier, fits)
     }
 
--- a/src/scalewood/core/dispatch/prefill.rs
+++ b/src/scalewood/core/dispatch/prefill.rs
@@ -18,26 +18,26 @@
 const INITIAL_WEIGHT_TOKENS: f64 = 4000.0;
 /// The factor by which the sums decay with each measurement: half is forgotten after about
 /// thirty.
-const DECAY: f64 = 0.98;
+const DECAY_PER_MEASUREMENT: f64 = 0.98;
 /// The fewest tokens that are measured: with fewer, the round trip and one step of the endpoint
 /// take longer than the prefill.
 const MIN_MEASURED_TOKENS: u64 = 500;
 /// The smallest ratio of the less urgent tokens to all others for which a measurement shows
 /// whether they were processed first.
-const MIN_LATER_RATIO: f64 = 0.5;
+const MIN_LESS_URGENT_RATIO: f64 = 0.5;
 /// The weight of one such measurement: about twenty of them outweigh the previous estimate.
-const ORDER_WEIGHT: f64 = 0.05;
+const ORDER_MEASUREMENT_WEIGHT: f64 = 0.05;
 /// The largest factor by which a measurement may differ from the estimate; it is clamped beyond
 /// that. The cause may be a prompt cached elsewhere than expected, or a failing endpoint.
-const MAX_DEVIATION: f64 = 3.0;
+const MAX_DEVIATION_FACTOR: f64 = 3.0;
 
 /// Prompt tokens that an endpoint has yet to process when a request arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Ahead {
-    /// Tokens of requests that are no less urgent: they are processed first.
-    pub(super) sooner: u64,
+    /// Tokens of requests that are at least as urgent: they are processed first.
+    pub(super) as_urgent: u64,
     /// Tokens of less urgent requests.
-    pub(super) later: u64,
+    pub(super) less_urgent: u64,
 }
 
 /// The rate at which prompts are processed, and in which order.
@@ -46,7 +46,7 @@
     tokens: f64,
     millis: f64,
     /// The fraction of less urgent prompts that is processed first.
-    later_fraction: f64,
+    less_urgent_fraction: f64,
 }
 
 impl Default for Estimate {
@@ -54,7 +54,7 @@
         Self {
             tokens: INITIAL_WEIGHT_TOKENS,
             millis: INITIAL_WEIGHT_TOKENS / INITIAL_TOKENS_PER_MS,
-            later_fraction: 1.0,
+            less_urgent_fraction: 1.0,
         }
     }
 }
@@ -64,7 +64,7 @@
     /// which found `ahead` pending.
     pub(super) fn observe(&mut self, ahead: Ahead, own: u64, took: Duration) {
         // A time below the clock's resolution gives no rate.
-        if ahead.sooner + ahead.later + own < MIN_MEASURED_TOKENS || took.is_zero() {
+        if ahead.as_urgent + ahead.less_urgent + own < MIN_MEASURED_TOKENS || took.is_zero() {
             return;
         }
         self.learn_order(ahead, own, took);
@@ -74,30 +74,36 @@
         }
         let expected = tokens / self.rate();
         let millis = took.as_secs_f64() * 1000.0;
-        let millis = millis.clamp(expected / MAX_DEVIATION, expected * MAX_DEVIATION);
-        self.tokens = self.tokens * DECAY + tokens;
-        self.millis = self.millis * DECAY + millis;
+        let millis = millis.clamp(
+            expected / MAX_DEVIATION_FACTOR,
+            expected * MAX_DEVIATION_FACTOR,
+        );
+        self.tokens = self.tokens * DECAY_PER_MEASUREMENT + tokens;
+        self.millis = self.millis * DECAY_PER_MEASUREMENT + millis;
     }
 
     /// Updates the fraction of less urgent prompts that is processed first.
     fn learn_order(&mut self, ahead: Ahead, own: u64, took: Duration) {
-        let sooner = to_f64(ahead.sooner + own);
-        let later = to_f64(ahead.later);
+        let as_urgent = to_f64(ahead.as_urgent + own);
+        let less_urgent = to_f64(ahead.less_urgent);
         // If these tokens are few of the whole, the error of the rate hides the result.
-        if later < to_f64(MIN_MEASURED_TOKENS) || later < sooner * MIN_LATER_RATIO {
+        if less_urgent < to_f64(MIN_MEASURED_TOKENS)
+            || less_urgent < as_urgent * MIN_LESS_URGENT_RATIO
+        {
             return;
         }
-        let read = took.as_secs_f64() * 1000.0 * self.rate();
-        let part = ((read - sooner) / later).clamp(0.0, 1.0);
-        self.later_fraction += (part - self.later_fraction) * ORDER_WEIGHT;
+        let processed = took.as_secs_f64() * 1000.0 * self.rate();
+        let fraction = ((processed - as_urgent) / less_urgent).clamp(0.0, 1.0);
+        self.less_urgent_fraction +=
+            (fraction - self.less_urgent_fraction) * ORDER_MEASUREMENT_WEIGHT;
     }
 
     /// Returns the tokens of other requests that are processed before a request.
     fn tokens_before(&self, ahead: Ahead) -> f64 {
-        to_f64(ahead.sooner) + to_f64(ahead.later) * self.later_fraction
+        to_f64(ahead.as_urgent) + to_f64(ahead.less_urgent) * self.less_urgent_fraction
     }
 
-    /// Returns how long it takes to process what comes before a request.
+    /// Returns how long it takes to process the tokens that come before a request.
     pub(super) fn wait(&self, ahead: Ahead) -> Duration {
         self.time_of(self.tokens_before(ahead))
     }
--- a/src/scalewood/core/dispatch/queue.rs
+++ b/src/scalewood/core/dispatch/queue.rs
@@ -71,7 +71,9 @@
     on_time: BTreeSet<Position>,
     late: BTreeSet<Position>,
     give_up: BTreeSet<(Duration, attempt::Attempt)>,
+    /// The work of the requests that are on time.
     work: work::Work,
+    /// The work of the late requests, in slot-seconds.
     late_work: f64,
 }
 
@@ -289,10 +291,10 @@
 
     /// Returns the requests of a lane whose callers leave, or that are shed, by a given time.
     pub(super) fn leaving_by(&self, lane: &Lane, until: Duration) -> Vec<attempt::Attempt> {
-        let places = self.lanes.get(lane).into_iter().flatten();
-        let waiting = places.filter_map(|(_, _, position)| self.waiting.get(&position.2));
-        let over = waiting.filter(|waiting| waiting.leaves_at() <= until);
-        over.map(|waiting| waiting.ask.attempt).collect()
+        let ranks = self.lanes.get(lane).into_iter().flatten();
+        let waiting = ranks.filter_map(|(_, _, position)| self.waiting.get(&position.2));
+        let leaving = waiting.filter(|waiting| waiting.leaves_at() <= until);
+        leaving.map(|waiting| waiting.ask.attempt).collect()
     }
 
     /// Returns the first request of a class.
@@ -377,8 +379,8 @@
             if due >= now {
                 tier_queue.work.before(due)
             } else {
-                // A late request is served after all that are on time; its own place among the
-                // late ones is near the end when it is asked for.
+                // A late request is served after all that are on time. It is one of the last late
+                // ones when its wait is predicted, so all of them count.
                 tier_queue.all_work()
             }
         });
--- a/src/scalewood/core/dispatch/run.rs
+++ b/src/scalewood/core/dispatch/run.rs
@@ -19,13 +19,13 @@
     pub(super) ask: message::Ask,
     pub(super) endpoint: endpoint::Index,
     pub(super) granted: Duration,
-    /// Prompt tokens that count as unprocessed at the endpoint until the first token, and as
-    /// held in its memory until the end.
-    pub(super) unread: u64,
-    /// Prompt tokens that the endpoint had yet to process before this run when it was granted.
+    /// Prompt tokens that count as pending prefill at the endpoint until the first token, and as
+    /// held in its KV cache until the end.
+    pub(super) prefill_tokens: u64,
+    /// Prompt tokens of other requests that waited for prefill there when this run was granted.
     pub(super) ahead: prefill::Ahead,
-    /// Whether the endpoint likely cached the part of the prompt that others share.
-    pub(super) kept: bool,
+    /// Whether the endpoint likely cached the prompt's shared prefix.
+    pub(super) cached: bool,
     /// Where it runs, if its prompt was placed.
     pub(super) place: Option<pauses::Place>,
     /// Whether its stream has paused for longer than its class allows.
@@ -39,16 +39,16 @@
 }
 
 /// The number of preemptions of a request after which it is left to finish.
-const MAX_PREEMPTED: u32 = 3;
+const MAX_PREEMPTIONS: u32 = 3;
 
 /// A rank among the runs that may be preempted: the lowest tier first, then the smallest loss.
 type Rank = (Reverse<unit::Tier>, u64, attempt::Attempt);
 
 impl Run {
-    /// Returns what its prompt adds to the endpoint's unprocessed tokens.
+    /// Returns what its prompt adds to the endpoint's pending prefill.
     pub(super) fn prompt(&self) -> endpoint::Prefill {
         endpoint::Prefill {
-            unread: self.unread,
+            tokens: self.prefill_tokens,
             tier: self.ask.tier,
         }
     }
@@ -73,7 +73,7 @@
     }
 
     fn may_be_preempted(&self) -> bool {
-        self.ask.preemptible && !self.preempting && self.ask.preempted < MAX_PREEMPTED
+        self.ask.preemptible && !self.preempting && self.ask.preempted < MAX_PREEMPTIONS
     }
 
     /// Returns the cost of a preemption: tokens that have to be processed again.
@@ -175,7 +175,7 @@
 
     /// Returns how many runs of lower tiers may be preempted for a tier, up to a bound.
     pub(super) fn victims_below(&self, tier: unit::Tier) -> u32 {
-        /// The bound of the count; a larger one makes no difference.
+        /// The bound of the count, which bounds the time that counting takes.
         const MAX_COUNTED: usize = 32;
         let below = self
             .victims
@@ -194,7 +194,7 @@
         self.preempting += 1;
     }
 
-    /// Returns a grant from before `before` that is not used yet.
+    /// Returns the oldest unused grant, if it is from before `before`.
     pub(super) fn unused(&self, before: Duration) -> Option<attempt::Attempt> {
         self.unstarted
             .first()
--- a/src/scalewood/core/dispatch/share.rs
+++ b/src/scalewood/core/dispatch/share.rs
@@ -13,7 +13,7 @@
 use crate::core::name;
 
 /// The most runs that a class can be owed, or be ahead by.
-const MAX_RUNS: f64 = 2.0;
+const MAX_OWED_RUNS: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Account {
@@ -48,7 +48,7 @@
         mean: impl Fn(&name::Class) -> f64,
     ) {
         for (class, account) in &mut self.accounts {
-            let limit = MAX_RUNS * mean(class);
+            let limit = MAX_OWED_RUNS * mean(class);
             if waits(class) {
                 account.owed += account.share * hold;
             }
--- a/src/scalewood/core/dispatch/shed.rs
+++ b/src/scalewood/core/dispatch/shed.rs
@@ -15,18 +15,18 @@
 };
 
 /// The smallest fraction of the slots that a tier can count on.
-const MIN_CAPACITY: f64 = 0.05;
-/// The shortest retry delay that a caller is told.
+const MIN_CAPACITY_FRACTION: f64 = 0.05;
+/// The shortest retry delay given to a caller.
 const MIN_RETRY: Duration = Duration::from_secs(1);
-/// The longest retry delay that a caller is told.
+/// The longest retry delay given to a caller.
 const MAX_RETRY: Duration = Duration::from_secs(60);
 /// The most requests that one tick sheds by prediction; bounds the tick's duration.
 const MAX_LATE_SHEDS: usize = 64;
 
 /// The fraction of its remaining time after which a request that was held back is retried. An
 /// overload lasts longer than a second or two, and a retry during it is refused for good;
-/// patient callers have the time to outlast it. Retries are spread, so that they don't cause
-/// the next overload.
+/// patient callers can wait until it is over. Retries are spread, so that they don't cause the
+/// next overload.
 const RETRY_FRACTION: std::ops::Range<f64> = 0.25..0.5;
 
 /// Returns the retry delay of a request that is held back: random within the range, and early
@@ -60,7 +60,7 @@
             .filter(|class| class.tier.outranks(tier));
         let taken: f64 = above.map(|class| class.demand.rate(now)).sum();
         let reserved = slots * self.reserved_below(tier);
-        let available = (slots - taken - reserved).max(slots * MIN_CAPACITY);
+        let available = (slots - taken - reserved).max(slots * MIN_CAPACITY_FRACTION);
         let wait = self.slot_gap(now) + before / available;
         Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX)
     }
@@ -87,8 +87,9 @@
         })
     }
 
-    /// Sheds what can't be served after an arrival: the arrival itself, if it would wait past
-    /// its deadline, or the last request of the lowest tier, if the queue is full.
+    /// Sheds what can't be served after an arrival: the last request of the lowest tier, if the
+    /// queue is full, and the arrival itself, if no endpoint may serve it, if it would wait past
+    /// its deadline, or if its caller would leave before any endpoint's backoff ends.
     pub(super) fn shed_on_arrival(&mut self, attempt: attempt::Attempt, now: Duration) {
         if let Some(reason) = self.unservable_reason(attempt) {
             return self.shed(attempt, reason, now);
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Returns until when all endpoints that may serve a request have asked to back off, if its
-    /// caller leaves before.
+    /// Returns when the first backoff ends, if all endpoints that may serve a request have asked
+    /// to back off and its caller leaves by then.
     fn backs_off_too_long(&self, attempt: attempt::Attempt) -> Option<Duration> {
         let waiting = self.queue.get(attempt)?;
         let lane = waiting.lane();
@@ -116,8 +117,8 @@
         (waiting.leaves_at() <= until).then_some(until)
     }
 
-    /// Sheds the requests for which all endpoints have asked to back off until their callers have
-    /// left.
+    /// Sheds the requests whose callers leave before the first backoff ends, if all endpoints that
+    /// may serve them have asked to back off.
     pub(super) fn shed_all_backing_off(&mut self, now: Duration) {
         if !self.endpoints.has_backoffs() {
             return;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Sheds a request that must not start before more urgent ones.
+    /// Sheds a request that is held back while more urgent ones are refused.
     pub(super) fn shed_held_back(
         &mut self,
         attempt: attempt::Attempt,
@@ -256,10 +257,10 @@
         now.saturating_add(wait.saturating_sub(self.own_wait(waiting, now))) > waiting.give_up
     }
 
-    /// Returns the part of a predicted wait that is the request's own work.
+    /// Returns the request's own work as a wait: the time that all usable slots take for it.
     fn own_wait(&self, waiting: &queue::Waiting, now: Duration) -> Duration {
-        let part = waiting.hold / self.usable_slots(now);
-        Duration::try_from_secs_f64(part).unwrap_or(Duration::MAX)
+        let seconds = waiting.hold / self.usable_slots(now);
+        Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
     fn check_lowest(&self, attempt: attempt::Attempt) {
--- a/src/scalewood/core/dispatch/spill.rs
+++ b/src/scalewood/core/dispatch/spill.rs
@@ -1,10 +1,11 @@
 //! Spill: whether a request is sent to the dispatcher of another availability zone.
 //!
 //! Dispatchers of a service exchange summaries. A request stays in its own zone while its
-//! target can be met there; otherwise it goes to a zone where the predicted wait is at most
-//! half the target and less than half the wait in its own. The factor of a half is a
-//! hysteresis: summaries lag, and without it all boxes would send their requests to the same
-//! zone at once.
+//! target can be met there; otherwise it goes to the zone with the shortest predicted wait if
+//! that is at most half the target and less than half the wait in its own. The factor of a half
+//! is a hysteresis: summaries lag, and without it all boxes would send their requests to the same
+//! zone at once. If the service has no endpoint in the request's own zone, the request goes to the
+//! zone with the shortest wait in any case.
 
 use std::time::Duration;
 
--- a/src/scalewood/core/dispatch/status.rs
+++ b/src/scalewood/core/dispatch/status.rs
@@ -30,15 +30,15 @@
     pub fn basis(&self, attempt: attempt::Attempt) -> Option<Basis> {
         let run = self.runs.get(attempt)?;
         Some(Basis {
-            unread: unit::Tokens(run.unread),
-            ahead: unit::Tokens(run.ahead.sooner),
-            later: unit::Tokens(run.ahead.later),
-            kept: run.kept,
+            unread: unit::Tokens(run.prefill_tokens),
+            ahead: unit::Tokens(run.ahead.as_urgent),
+            later: unit::Tokens(run.ahead.less_urgent),
+            kept: run.cached,
         })
     }
 
-    /// Returns how long an endpoint may be silent towards a request: `least` if nothing waits
-    /// there.
+    /// Returns how long an endpoint may be silent about a request: `least`, plus time for the
+    /// prompts that wait there unless the endpoint is at risk of failure.
     pub fn max_silence(
         &self,
         endpoint: &name::Endpoint,
@@ -91,14 +91,14 @@
         self.endpoints.take_outcomes()
     }
 
-    /// Returns the warming endpoints that this dispatcher would send to, each with the number
-    /// of requests that were recently kept from it.
+    /// Returns the endpoints of this zone that warm up, each with the number of requests that
+    /// were recently diverted from it.
     pub fn wanted_leases(&mut self, now: Duration) -> Vec<(u32, name::Endpoint)> {
         self.endpoints.wanted_leases(now)
     }
 
-    /// Returns the numbers of requests granted to warming endpoints, and of those kept from
-    /// their home since it is warming, both since the last call.
+    /// Returns the numbers of requests granted to endpoints that warm up, and of those diverted
+    /// from their home because it warms up, both since the last call.
     pub fn take_warm_up_counts(&mut self) -> (u32, u32) {
         self.endpoints.take_warm_up_counts()
     }
@@ -110,7 +110,7 @@
         self.endpoints.wanted_permits(per_second, waiting, now)
     }
 
-    /// Returns the number of requests kept from their home by its rate limit since the last
+    /// Returns the number of requests diverted from their home by its rate limit since the last
     /// call.
     pub fn take_limit_diversions(&mut self) -> u32 {
         self.endpoints.take_limit_diversions()
--- a/src/scalewood/core/dispatch/zone.rs
+++ b/src/scalewood/core/dispatch/zone.rs
@@ -26,14 +26,14 @@
     suspected_until: Duration,
 }
 
-/// The other zones in which endpoints could not be reached.
+/// The other zones in which endpoints have failed since the last answer from there.
 #[derive(Debug, Default)]
 pub(super) struct Zones {
     zones: BTreeMap<name::Zone, Zone>,
 }
 
 impl Zones {
-    /// Records that an endpoint of a zone could not be reached.
+    /// Records that a request failed at an endpoint of a zone.
     pub(super) fn record_failure(&mut self, zone: &name::Zone, endpoint: usize, now: Duration) {
         let zone = self.zones.entry(zone.clone()).or_default();
         if zone.failed.is_empty() || now > zone.first_failure + FAILURE_WINDOW {
--- a/src/scalewood/core/estimate.rs
+++ b/src/scalewood/core/estimate.rs
@@ -12,7 +12,7 @@
 const BUCKETS: usize = 64;
 /// The upper bound of the first bucket, in seconds.
 const FIRST_BOUND_SECONDS: f64 = 0.001;
-/// The ratio of the upper bounds of neighbouring buckets: 64 buckets reach from 1 ms to about 13 h.
+/// The ratio of the upper bounds of neighbouring buckets: 64 buckets reach from 1 ms to about 11 h.
 const BOUND_RATIO: f64 = 1.32;
 /// The factor by which each new observation scales the weight of all older ones.
 const DECAY_PER_OBSERVATION: f64 = 0.995;
@@ -81,7 +81,7 @@
         let first_bucket = first_bucket.min(BUCKETS);
         let weight: f64 = self.weights[first_bucket..].iter().sum();
         if weight <= 0.0 {
-            // No observation was longer: expect it to run for as long again.
+            // No observation was in a higher bucket: expect it to run for as long again.
             return Duration::from_secs_f64(elapsed);
         }
         let sum: f64 = self.sums[first_bucket..].iter().sum();
@@ -91,10 +91,10 @@
     /// Returns the quantile `q`, from 0 to 1, to the precision of a bucket.
     pub fn quantile(&self, q: f64) -> Duration {
         let total: f64 = self.weights.iter().sum();
-        let mut left = total * q.clamp(0.0, 1.0);
+        let mut remaining = total * q.clamp(0.0, 1.0);
         for (weight, sum) in self.weights.iter().zip(&self.sums) {
-            left -= weight;
-            if *weight > 0.0 && left <= total * 1e-9 {
+            remaining -= weight;
+            if *weight > 0.0 && remaining <= total * 1e-9 {
                 return Duration::from_secs_f64(sum / weight);
             }
         }
--- a/src/scalewood/core/ledger.rs
+++ b/src/scalewood/core/ledger.rs
@@ -47,8 +47,8 @@
     Cordon(cordon::Order),
 }
 
-/// A whole routing under the operator's own version. The highest version wins: one that is not
-/// above the version in force is accepted without effect.
+/// A whole routing under the operator's own version. The highest version wins: once a routing was
+/// published, one that is not above the version in force is accepted without effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Publication {
     /// The routing.
@@ -146,7 +146,7 @@
     }
 
     /// Returns the steps of all revisions after `from`, or `None` if not all of them can be given:
-    /// they may be too old, and a published routing has no step.
+    /// they may be too old, a published routing has no step, or `from` is ahead.
     pub fn steps_since(&self, from: unit::Revision) -> Option<Vec<change::Step>> {
         let missing = usize::try_from(self.revision.0.checked_sub(from.0)?).ok()?;
         if missing > MAX_DIFFERENCES {
@@ -243,10 +243,10 @@
         }
     }
 
-    fn remember(&mut self, command: &Proposal, answer: change::Answer) {
+    fn remember(&mut self, proposal: &Proposal, answer: change::Answer) {
         self.answers.push_back(Arc::new(Decision {
-            change: command.change.clone(),
-            operator: command.operator.clone(),
+            change: proposal.change.clone(),
+            operator: proposal.operator.clone(),
             answer,
         }));
         if self.answers.len() > MAX_ANSWERS {
@@ -254,15 +254,15 @@
         }
     }
 
-    fn accept(&mut self, command: &Proposal, document: config::Document) -> change::Answer {
-        let change = &command.change;
+    fn accept(&mut self, proposal: &Proposal, document: config::Document) -> change::Answer {
+        let change = &proposal.change;
         self.revision = self.revision.next();
         self.push_record(audit::Record {
             revision: self.revision,
             base: change.base,
             id: change.id.clone(),
-            operator: command.operator.clone(),
-            at_unix_ms: command.at_unix_ms,
+            operator: proposal.operator.clone(),
+            at_unix_ms: proposal.at_unix_ms,
             why: change.why.clone(),
             differences: audit::differences(&self.document, &document, &change.edits),
         });
@@ -430,17 +430,17 @@
         }
     }
 
-    fn change(&mut self, command: &Proposal) -> change::Answer {
-        if let Some(answer) = self.previous_answer(&command.change, &command.operator) {
+    fn change(&mut self, proposal: &Proposal) -> change::Answer {
+        if let Some(answer) = self.previous_answer(&proposal.change, &proposal.operator) {
             return answer;
         }
-        let is_base_ahead = command.change.base > self.revision;
-        let (answer, must_remember) = match self.evaluate(&command.change) {
-            Ok(document) => (self.accept(command, document), true),
+        let is_base_ahead = proposal.change.base > self.revision;
+        let (answer, must_remember) = match self.evaluate(&proposal.change) {
+            Ok(document) => (self.accept(proposal, document), true),
             Err(answer) => (answer, is_base_ahead),
         };
         if must_remember {
-            self.remember(command, answer.clone());
+            self.remember(proposal, answer.clone());
         }
         answer
     }
--- a/src/scalewood/core/pace.rs
+++ b/src/scalewood/core/pace.rs
@@ -2,7 +2,7 @@
 //!
 //! Endpoints of one service differ in speed. On the slower ones, prefilling a prompt beside a
 //! stream pauses that stream for too long. An endpoint's pace is the time between two events of a
-//! stream while the endpoint is little used: a low quantile of several samples, and the best such
+//! stream while the endpoint is little used: a low quantile of several samples, and the lowest such
 //! estimate of the last minute. It therefore reflects the endpoint's speed rather than its load.
 //! Each box measures on its own and reports to the voters, which publish the median; all boxes thus
 //! classify the endpoints alike.
@@ -23,8 +23,8 @@
 /// streams that it cannot serve in time.
 const SAMPLES_PER_ESTIMATE: usize = 6;
 /// The index of the estimate among its sorted samples: a low quantile.
-const ESTIMATE_RANK: usize = 1;
-/// How long an estimate is kept.
+const ESTIMATE_INDEX: usize = 1;
+/// The age after which an estimate is dropped once a newer one is made.
 const ESTIMATE_LIFETIME: Duration = Duration::from_secs(60);
 /// The smallest change of a pace, in percent, that is reported to other processes.
 const MIN_REPORTED_CHANGE_PERCENT: u32 = 3;
@@ -90,7 +90,9 @@
 /// The samples and estimates of one endpoint at one box.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
+    /// The samples for the next estimate.
     samples: Vec<Pace>,
+    /// The estimates with their times; both rise, so the first is the lowest and the oldest.
     estimates: VecDeque<(Duration, Pace)>,
     /// The pace measured here that is to be reported, and the stamp of its last change.
     reported: Option<(Pace, u64)>,
@@ -106,7 +108,7 @@
             return;
         }
         self.samples.sort_unstable();
-        let estimate = self.samples[ESTIMATE_RANK];
+        let estimate = self.samples[ESTIMATE_INDEX];
         self.samples.clear();
         while self
             .estimates
@@ -130,19 +132,20 @@
     }
 }
 
-/// The pace, in percent of the best one of its service, above which a sample from a stream with a
+/// The pace, in percent of the lowest one of its service, above which a sample from a stream with a
 /// long prompt is discarded: it then reflects the prompts that are prefilled beside it rather than
 /// the endpoint.
-const MAX_LONG_PERCENT: u64 = 150;
+const MAX_LONG_PROMPT_PERCENT: u64 = 150;
 
 /// The meters of all endpoints at one box.
 #[derive(Clone, Debug, Default)]
 pub struct Meters {
     endpoints: HashMap<name::Endpoint, Meter>,
-    /// The best pace measured for each service.
+    /// The lowest pace measured so far for each service.
     best: HashMap<name::Service, Pace>,
     /// The endpoints that were measured here, by the stamp of their last change.
     changed: BTreeMap<u64, name::Endpoint>,
+    /// The stamp of the last change.
     stamp: u64,
 }
 
@@ -162,7 +165,7 @@
         if long {
             let best = self.best.get(service);
             let is_disturbed =
-                |best: &Pace| u64::from(pace.0) * 100 > u64::from(best.0) * MAX_LONG_PERCENT;
+                |best: &Pace| u64::from(pace.0) * 100 > u64::from(best.0) * MAX_LONG_PROMPT_PERCENT;
             if best.is_none_or(is_disturbed) {
                 return;
             }
@@ -259,16 +262,16 @@
 }
 
 /// Classifies the endpoints of a service as slow or fast. `graded` holds, for each, its pace if
-/// known and whether it is slow; the flag is updated in place.
+/// known and whether it is slow; the flag is updated in place where the pace is known.
 pub fn classify(graded: &mut [(Option<Pace>, bool)]) {
     let mut known: Vec<_> = graded.iter().filter_map(|(pace, _)| *pace).collect();
     known.sort_unstable();
-    let Some(rank) = reference_index(known.len()) else {
+    let Some(reference) = reference_index(known.len()) else {
         return;
     };
     for (pace, slow) in graded {
         if let Some(pace) = pace {
-            *slow = is_slow(*pace, known[rank], *slow);
+            *slow = is_slow(*pace, known[reference], *slow);
         }
     }
 }
@@ -294,10 +297,10 @@
     };
     let lower = before.min(fast);
     let upper = before.max(fast);
-    let percent = |pace: Pace, part: u32| {
-        let scaled = u64::from(pace.0) * u64::from(part) / 100;
+    let scale = |pace: Pace, percent: u32| {
+        let scaled = u64::from(pace.0) * u64::from(percent) / 100;
         u32::try_from(scaled).unwrap_or(u32::MAX)
     };
-    let upper = percent(upper, SLOW_PERCENT).saturating_add(1);
-    (Pace(percent(lower, FAST_PERCENT)), Pace(upper))
+    let upper = scale(upper, SLOW_PERCENT).saturating_add(1);
+    (Pace(scale(lower, FAST_PERCENT)), Pace(upper))
 }
--- a/src/scalewood/core/risk.rs
+++ b/src/scalewood/core/risk.rs
@@ -21,7 +21,7 @@
 /// endpoint may fail only some of its requests.
 const ANSWER_FACTOR: f64 = 0.75;
 /// The smallest change of a probability, in thousandths, that is reported to other processes.
-const MIN_REPORTED_CHANGE: u16 = 125;
+const MIN_REPORTED_CHANGE_THOUSANDTHS: u16 = 125;
 
 /// A probability, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     /// Returns whether the probability differs enough from the last reported one to be reported
     /// again. A change to or from zero always does.
     pub fn differs_enough(self, last: Self) -> bool {
-        self.0.abs_diff(last.0) >= MIN_REPORTED_CHANGE || (self.0 == 0) != (last.0 == 0)
+        self.0.abs_diff(last.0) >= MIN_REPORTED_CHANGE_THOUSANDTHS || (self.0 == 0) != (last.0 == 0)
     }
 }
 
