--- a/src/scalewood/core/backoff.rs
+++ b/src/scalewood/core/backoff.rs
@@ -50,18 +50,18 @@
     date: Option<&str>,
     unix_ms: u64,
 ) -> Parsed {
-    let mut asked = Parsed::Absent;
+    let mut parsed = Parsed::Absent;
     for value in values {
-        asked = match (asked, parse_value(value, date, unix_ms)) {
+        parsed = match (parsed, parse_value(value, date, unix_ms)) {
             (Parsed::For(known), Some(length)) => Parsed::For(known.max(length)),
             (_, Some(length)) => Parsed::For(length),
             (Parsed::For(known), None) => Parsed::For(known),
             (_, None) => Parsed::Invalid,
         };
     }
-    match asked {
+    match parsed {
         Parsed::For(Duration::ZERO) => Parsed::Absent,
-        asked => asked,
+        parsed => parsed,
     }
 }
 
@@ -71,8 +71,8 @@
     if let Ok(until) = httpdate::parse_http_date(value) {
         let sent = date.and_then(|date| httpdate::parse_http_date(date.trim()).ok());
         let sent = sent.unwrap_or(std::time::UNIX_EPOCH + Duration::from_millis(unix_ms));
-        let left = until.duration_since(sent).unwrap_or_default();
-        return Some(left.min(MAX_BACKOFF));
+        let remaining = until.duration_since(sent).unwrap_or_default();
+        return Some(remaining.min(MAX_BACKOFF));
     }
     // A proxy may have joined several header fields into a list.
     let lengths = value.split(',').map(|part| seconds(part.trim()));
@@ -100,7 +100,7 @@
     pub asked: Duration,
     /// When the backoff ends.
     pub until: Duration,
-    /// The number of the request for it; it increases with each one that this box gets.
+    /// Its number, which increases with each backoff that this box records.
     pub number: u64,
 }
 
@@ -120,19 +120,19 @@
 type Row = (name::Endpoint, Option<unit::Incarnation>, u64);
 
 impl From<Row> for Notice {
-    fn from((endpoint, start, left_ms): Row) -> Self {
+    fn from((endpoint, start, remaining_ms): Row) -> Self {
         Self {
             endpoint,
             start,
-            remaining: Duration::from_millis(left_ms),
+            remaining: Duration::from_millis(remaining_ms),
         }
     }
 }
 
 impl From<Notice> for Row {
     fn from(notice: Notice) -> Self {
-        let left_ms = u64::try_from(notice.remaining.as_millis()).unwrap_or(u64::MAX);
-        (notice.endpoint, notice.start, left_ms)
+        let remaining_ms = u64::try_from(notice.remaining.as_millis()).unwrap_or(u64::MAX);
+        (notice.endpoint, notice.start, remaining_ms)
     }
 }
 
@@ -142,7 +142,7 @@
     own: name::Box,
     backoffs: BTreeMap<name::Endpoint, Backoff>,
     /// The highest number of a backoff that each dispatcher of a service was sent.
-    told: HashMap<(name::Box, name::Service), u64>,
+    last_sent: HashMap<(name::Box, name::Service), u64>,
     last_number: u64,
 }
 
@@ -152,7 +152,7 @@
         Self {
             own,
             backoffs: BTreeMap::new(),
-            told: HashMap::new(),
+            last_sent: HashMap::new(),
             last_number: 0,
         }
     }
@@ -210,26 +210,26 @@
             Ordering::Less => backoff.until.min(backoff.asked + LATER_START_GRACE),
             Ordering::Greater => return None,
         };
-        Some(until.saturating_sub(now)).filter(|left| !left.is_zero())
+        Some(until.saturating_sub(now)).filter(|remaining| !remaining.is_zero())
     }
 
     /// Returns the backoffs of a service's endpoints that a dispatcher was not sent yet. A backoff
-    /// of the endpoint that the dispatcher just chose in vain is always included, as the earlier
-    /// message may have been lost.
+    /// of the endpoint that the request's last attempt `failed_at` is always included, as the
+    /// earlier message may have been lost.
     pub fn updates(
         &mut self,
         to: &name::Box,
         service: &name::Service,
-        in_vain: Option<&name::Endpoint>,
+        failed_at: Option<&name::Endpoint>,
         now: Duration,
     ) -> Vec<Notice> {
         if self.backoffs.is_empty() {
             return Vec::new();
         }
         let key = (to.clone(), service.clone());
-        let last_sent = self.told.get(&key).copied().unwrap_or_default();
+        let last_sent = self.last_sent.get(&key).copied().unwrap_or_default();
         let is_new = |(name, backoff): &(&name::Endpoint, &Backoff)| {
-            backoff.number > last_sent || in_vain == Some(*name)
+            backoff.number > last_sent || failed_at == Some(*name)
         };
         let of_service = self
             .all(now)
@@ -238,21 +238,21 @@
         updates.sort_unstable_by_key(|(_, backoff)| backoff.number);
         updates.truncate(MAX_BACKOFFS_PER_MESSAGE);
         let last = updates.last().map(|(_, backoff)| backoff.number);
-        let told = |(name, backoff): (&name::Endpoint, &Backoff)| Notice {
+        let notice = |(name, backoff): (&name::Endpoint, &Backoff)| Notice {
             endpoint: name.clone(),
             start: backoff.start,
             remaining: backoff.until.saturating_sub(now),
         };
-        let updates = updates.into_iter().map(told).collect();
+        let updates = updates.into_iter().map(notice).collect();
         if let Some(last) = last {
-            self.told.insert(key, last.max(last_sent));
+            self.last_sent.insert(key, last.max(last_sent));
         }
         updates
     }
 
     /// Records that a dispatcher of a service has to be sent all backoffs again.
     pub fn reset_dispatcher(&mut self, to: &name::Box, service: &name::Service) {
-        self.told.remove(&(to.clone(), service.clone()));
+        self.last_sent.remove(&(to.clone(), service.clone()));
     }
 
     /// Iterates over all backoffs that have not ended.
--- a/src/scalewood/core/claim.rs
+++ b/src/scalewood/core/claim.rs
@@ -208,8 +208,8 @@
             return true;
         }
         let holders = holders(key, &self.boxes);
-        let heard = |name: &name::Box| *name == self.own || self.read_from.contains(name);
-        !self.boxes_changed && !holders.is_empty() && holders.iter().all(heard)
+        let is_read_back = |name: &name::Box| *name == self.own || self.read_from.contains(name);
+        !self.boxes_changed && !holders.is_empty() && holders.iter().all(is_read_back)
     }
 
     /// Answers a claim.
--- a/src/scalewood/core/crash/book.rs
+++ b/src/scalewood/core/crash/book.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use super::{max_successive, End, Id, Row, ENDS_TO_HOLD_BACK, MIN_ENDS_TOLD_ALL};
+use super::{max_successive, End, Id, Row, ENDS_TO_HOLD_BACK, MIN_ENDS_FOR_GLOBAL};
 use crate::core::fingerprint::{Fingerprint, HeadHash};
 
 /// How long a request is remembered after it last arrived or an endpoint last ended under it. If it
@@ -37,7 +37,8 @@
     ends: Vec<End>,
     /// Ends that no longer count, the oldest first.
     void: VecDeque<Id>,
-    heard: u32,
+    /// See [`Row::arrivals`].
+    arrivals: u32,
     arrival_reported_at: Duration,
     /// When it last arrived or changed, by the clock here.
     last_seen: Duration,
@@ -46,7 +47,7 @@
     /// The stamp of its last change that was seen here or reported by a process that reports to
     /// this book only.
     changed_locally: u64,
-    /// Whether it ever had enough ends for all processes to be told of it.
+    /// Whether it ever had enough successive ends to be reported to all processes.
     is_global: bool,
     /// One of the suspects that explain this one, if there are any.
     explained_by: Option<Fingerprint>,
@@ -57,7 +58,7 @@
         Self {
             ends: Vec::new(),
             void: VecDeque::new(),
-            heard: 0,
+            arrivals: 0,
             arrival_reported_at: Duration::ZERO,
             last_seen: now,
             changed: 0,
@@ -99,7 +100,7 @@
         if self.ends.len() > MAX_ENDS_PER_REQUEST {
             self.drop_one();
         }
-        self.is_global |= max_successive(&self.ends) >= MIN_ENDS_TOLD_ALL;
+        self.is_global |= max_successive(&self.ends) >= MIN_ENDS_FOR_GLOBAL;
         true
     }
 
@@ -142,8 +143,8 @@
         for end in row.ends {
             is_news |= self.add(end);
         }
-        if row.arrivals > self.heard {
-            self.heard = row.arrivals;
+        if row.arrivals > self.arrivals {
+            self.arrivals = row.arrivals;
             is_news = true;
         }
         is_news
@@ -252,7 +253,7 @@
         }
         case.arrival_reported_at = now;
         self.change(*fingerprint, now, |case| {
-            case.heard += 1;
+            case.arrivals += 1;
             true
         });
     }
@@ -263,7 +264,7 @@
         self.sweep(now);
         let fingerprint = row.fingerprint;
         let before = self.stamp;
-        let here = self
+        let changed_locally = self
             .cases
             .get(&fingerprint)
             .map(|case| case.changed_locally);
@@ -271,47 +272,47 @@
         let is_news = self.stamp > before;
         if is_news && !own {
             if let Some(case) = self.cases.get_mut(&fingerprint) {
-                case.changed_locally = here.unwrap_or(0);
+                case.changed_locally = changed_locally.unwrap_or(0);
             }
         }
         is_news
     }
 
     /// Returns the changes that a reader has not been sent yet, the oldest first, and advances
-    /// `told`.
-    pub fn updates(&self, told: &mut Cursor, part: Scope) -> Vec<Row> {
-        let stamp = |case: &Case| match part {
-            Scope::Local if told.is_begun => case.changed_locally,
+    /// `cursor`.
+    pub fn updates(&self, cursor: &mut Cursor, scope: Scope) -> Vec<Row> {
+        let stamp = |case: &Case| match scope {
+            Scope::Local if cursor.is_begun => case.changed_locally,
             Scope::Local | Scope::Global => case.changed,
         };
-        let is_selected = |case: &Case| part == Scope::Local || case.is_global;
+        let is_selected = |case: &Case| scope == Scope::Local || case.is_global;
         let cases = self.cases.iter();
-        let cases = cases.filter(|(_, case)| stamp(case) > told.stamp && is_selected(case));
+        let cases = cases.filter(|(_, case)| stamp(case) > cursor.stamp && is_selected(case));
         let mut cases: Vec<_> = cases.collect();
         cases.sort_unstable_by_key(|(_, case)| stamp(case));
         let is_complete = cases.len() <= MAX_ROWS_PER_MESSAGE;
         cases.truncate(MAX_ROWS_PER_MESSAGE);
-        let last = cases.last().map_or(told.stamp, |(_, case)| stamp(case));
-        *told = Cursor {
+        let last = cases.last().map_or(cursor.stamp, |(_, case)| stamp(case));
+        *cursor = Cursor {
             stamp: if is_complete { self.stamp } else { last },
-            is_begun: told.is_begun || is_complete,
+            is_begun: cursor.is_begun || is_complete,
         };
         let rows = cases.into_iter();
         rows.map(|(fingerprint, case)| row(fingerprint, case))
             .collect()
     }
 
-    /// Applies a change to a case, and stamps the case if `act` returns that it changed.
+    /// Applies `edit` to a case, and stamps the case if `edit` returns that it changed.
     fn change(
         &mut self,
         fingerprint: Fingerprint,
         now: Duration,
-        act: impl FnOnce(&mut Case) -> bool,
+        edit: impl FnOnce(&mut Case) -> bool,
     ) {
         let known = self.cases.get(&fingerprint).cloned();
         let was_suspect = known.as_ref().is_some_and(Case::is_suspect);
         let mut case = known.unwrap_or_else(|| Case::new(now));
-        if !act(&mut case) {
+        if !edit(&mut case) {
             return;
         }
         self.stamp += 1;
@@ -377,20 +378,20 @@
     /// Updates which suspects are explained by others, after a case was changed or removed.
     fn update_explained(&mut self, changed: Fingerprint) {
         let case = self.cases.get(&changed).filter(|case| case.is_suspect());
-        let concerns = |other: &Case| {
-            let by_it = other.explained_by == Some(changed);
-            by_it || case.is_some_and(|case| case.explains(other))
+        let is_affected = |other: &Case| {
+            let was_explained = other.explained_by == Some(changed);
+            was_explained || case.is_some_and(|case| case.explains(other))
         };
         let others = self.suspects.iter().filter(|other| **other != changed);
-        let concerned = others.filter(|other| self.cases.get(other).is_some_and(concerns));
-        let mut concerned: Vec<_> = concerned.copied().collect();
+        let affected = others.filter(|other| self.cases.get(other).is_some_and(is_affected));
+        let mut affected: Vec<_> = affected.copied().collect();
         if case.is_some() {
             self.suspects.insert(changed);
-            concerned.push(changed);
+            affected.push(changed);
         } else {
             self.suspects.remove(&changed);
         }
-        for fingerprint in concerned {
+        for fingerprint in affected {
             let by = self.explained_by(&fingerprint);
             if let Some(case) = self.cases.get_mut(&fingerprint) {
                 case.explained_by = by;
@@ -415,6 +416,6 @@
         fingerprint: *fingerprint,
         ends: case.ends.clone(),
         void: case.void.iter().copied().collect(),
-        arrivals: case.heard,
+        arrivals: case.arrivals,
     }
 }
--- a/src/scalewood/core/crash/mod.rs
+++ b/src/scalewood/core/crash/mod.rs
@@ -21,9 +21,9 @@
 /// that were present at two ends are present at a third: with 50 long streams beside such a request
 /// on nine endpoints, none was, in three runs.
 pub const ENDS_TO_HOLD_BACK: usize = 3;
-/// The number of ended endpoints from which on all boxes are told of a request. Below it only
-/// voters are: each end adds as many requests with one end as the endpoint had.
-const MIN_ENDS_TOLD_ALL: usize = ENDS_TO_HOLD_BACK - 1;
+/// The number of ended endpoints from which on a request is reported to all boxes. Below it, only
+/// voters are sent it: each end adds as many requests with one end as the endpoint ran.
+const MIN_ENDS_FOR_GLOBAL: usize = ENDS_TO_HOLD_BACK - 1;
 
 /// The shortest time within which an endpoint that ended serves again, in milliseconds.
 const MIN_RESTART_MS: u64 = 100;
--- a/src/scalewood/core/follow.rs
+++ b/src/scalewood/core/follow.rs
@@ -35,8 +35,8 @@
 }
 
 impl State {
-    /// Returns whether the voter is taken to report what all voters know. One that was not asked,
-    /// or only just now, is.
+    /// Returns whether the voter is taken to report what all voters know. A voter that was not
+    /// asked yet, or was asked less than [`ANSWER_TIMEOUT`] ago, counts as reliable.
     fn is_reliable(self, now: Duration) -> bool {
         match self {
             Self::Idle | Self::InTouch => true,
@@ -55,7 +55,7 @@
     pub state: State,
 }
 
-/// Returns how many of so many voters a box tracks.
+/// Returns how many voters a box tracks if there are `voters` of them.
 pub fn tracked(voters: usize) -> usize {
     if voters <= TRACK_ALL_UP_TO {
         voters
--- a/src/scalewood/core/limit.rs
+++ b/src/scalewood/core/limit.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     level: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Bucket {
@@ -24,14 +24,14 @@
     pub fn full(rate: unit::Rate, now: Duration) -> Self {
         Self {
             level: capacity(rate),
-            at: now,
+            updated_at: now,
         }
     }
 
     fn refill(&mut self, rate: unit::Rate, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.level = (self.level + passed * rate.get()).min(capacity(rate));
-        self.at = now.max(self.at);
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.level = (self.level + elapsed * rate.get()).min(capacity(rate));
+        self.updated_at = now.max(self.updated_at);
     }
 
     /// Takes `amount` if the bucket holds it, or if the bucket is full and `amount` exceeds its
@@ -63,7 +63,7 @@
     (rate.get() * BURST_SECONDS).max(1.0)
 }
 
-/// The longest wait that a caller is told.
+/// The longest wait that is reported to a caller.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
 
 fn wait(missing: f64, rate: unit::Rate) -> Duration {
--- a/src/scalewood/core/load/delta.rs
+++ b/src/scalewood/core/load/delta.rs
@@ -12,8 +12,8 @@
 /// The most rows of one message: 8 KB. So the size of a message grows with the number of
 /// endpoints only up to here; the loads that changed least wait for the next message.
 const MAX_ROWS: usize = 256;
-/// The weight of a running request, in unread tokens, when changes are compared: about the
-/// prefill of one prompt.
+/// The weight of a running request, in tokens pending prefill, when changes are compared: about
+/// one prompt.
 const RUNNING_WEIGHT_TOKENS: u64 = 1000;
 
 /// Walks a sorted map in step with another one.
@@ -38,7 +38,8 @@
 }
 
 /// Returns the loads to send to a receiver that knows `sent`, so that it knows `total` without
-/// its `own` part: changed loads first, then those that have dropped to zero.
+/// its `own` part: changed loads first, then those that have dropped to zero. If there are more
+/// than `MAX_ROWS`, returns only the largest changes, the largest first.
 pub(super) fn significant_changes(sent: &Loads, total: &Loads, own: &Loads) -> Vec<Loaded> {
     let mut updates = Vec::new();
     let mut ended = Vec::new();
@@ -82,7 +83,8 @@
     updates.push((change_tokens(load, sent), loaded));
 }
 
-/// Returns the size of a load's change in tokens.
+/// Returns the size of a load's change in tokens. Cached tokens and those of less urgent requests
+/// do not count.
 fn change_tokens(load: Load, sent: Load) -> u64 {
     let running = u64::from(load.running.abs_diff(sent.running));
     load.pending_prefill.abs_diff(sent.pending_prefill) + running * RUNNING_WEIGHT_TOKENS
--- a/src/scalewood/core/load/hub.rs
+++ b/src/scalewood/core/load/hub.rs
@@ -3,7 +3,7 @@
 //! A hub keeps the loads of each of its own boxes, and one sum for each other hub over that hub's
 //! boxes. To a box it sends the total without the box's own part; to other hubs it sends the sum
 //! over its own boxes only, so that no load is counted twice by going round between hubs. A box
-//! or hub that falls silent is forgotten with everything it reported.
+//! or hub that falls silent is forgotten with its loads.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -26,11 +26,11 @@
     warm_up,
 };
 
-/// How long a box may be silent before its reports are dropped: it reports at least twice a
-/// second, unless its hub serves more than a hundred boxes.
+/// How long a box may be silent before its loads are dropped: it reports about every 600 ms or
+/// more often, unless its hub serves more than 150 boxes.
 const BOX_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long another hub may be silent: hubs report at least four times a second. When a hub is
-/// lost its boxes move to another one, and are counted twice until this time has passed.
+/// How long another hub may be silent: hubs report about twice a second or more often. When a hub
+/// is lost its boxes move to another one, and are counted twice until this time has passed.
 const HUB_TIMEOUT: Duration = Duration::from_millis(750);
 /// The number of placements that are kept for boxes that have not received them yet.
 const MAX_PLACEMENTS: usize = 4096;
@@ -42,7 +42,7 @@
 /// A box that reports its load to this hub.
 #[derive(Debug)]
 struct Member {
-    heard: Duration,
+    heard_at: Duration,
     /// Its load at each endpoint.
     own: Loads,
     /// The loads of the other boxes as last sent to it.
@@ -63,7 +63,7 @@
 impl Member {
     fn new(now: Duration) -> Self {
         Self {
-            heard: now,
+            heard_at: now,
             own: Loads::new(),
             sent: Loads::new(),
             risks: BTreeMap::new(),
@@ -79,13 +79,13 @@
     /// reports. A box that sees failures everywhere is probably cut off itself, so its failures
     /// say little about endpoints.
     fn count_outcomes(&mut self, outcomes: &[Outcome], now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.heard).as_secs_f64();
-        let kept = (-passed / COUNT_DECAY_S).exp();
+        let passed = now.saturating_sub(self.heard_at).as_secs_f64();
+        let decay = (-passed / COUNT_DECAY_S).exp();
         let sum = |part: fn(&Count) -> u32| -> f64 {
             outcomes.iter().map(|o| f64::from(part(&o.count))).sum()
         };
-        self.answered = self.answered * kept + sum(|count| count.answered);
-        self.failed = self.failed * kept + sum(|count| count.failed);
+        self.answered = self.answered * decay + sum(|count| count.answered);
+        self.failed = self.failed * decay + sum(|count| count.failed);
         let answered = self.answered + PRIOR_ANSWERED;
         answered / (answered + self.failed)
     }
@@ -94,7 +94,7 @@
 /// Another hub, as the sender of reports.
 #[derive(Debug, Default)]
 struct Peer {
-    heard: Duration,
+    heard_at: Duration,
     /// The sum of its boxes' loads.
     loads: Loads,
 }
@@ -102,6 +102,7 @@
 /// Another hub, as the receiver of reports: what it was sent, and what is still to be sent.
 #[derive(Debug, Default)]
 struct Link {
+    /// The sum of the loads of the boxes here, as last sent to it.
     loads: Loads,
     /// The serial number of the next placement to send to it.
     next: u64,
@@ -138,9 +139,9 @@
     risks: BTreeMap<name::Endpoint, risk::Risk>,
     /// The prompts that all boxes have seen.
     sizes: Sizes,
-    /// What became of the requests at all boxes.
+    /// The recent requests of all boxes, by outcome.
     refused: Sums,
-    /// By endpoint, since when requests have waited for a first token and none has come.
+    /// Since when requests at an endpoint have waited without any of them getting a first token.
     waiting_since: BTreeMap<name::Endpoint, Duration>,
     /// When stalled endpoints were last looked for.
     stalls_checked_at: Duration,
@@ -170,7 +171,7 @@
         let member = self.members.entry(from.clone());
         let member = member.or_insert_with(|| Member::new(now));
         let weight = member.count_outcomes(&report.outcomes, now);
-        member.heard = now;
+        member.heard_at = now;
         let failed_at: Vec<_> = report
             .outcomes
             .iter()
@@ -250,7 +251,7 @@
         let Some(peer) = self.peers.get_mut(from) else {
             return false;
         };
-        peer.heard = now;
+        peer.heard_at = now;
         for loaded in &report.loads {
             let before = peer.loads.get(&loaded.endpoint).copied();
             replace(&mut self.total, loaded, before.unwrap_or_default());
@@ -308,8 +309,8 @@
         self.take_crashes(held_back.to_vec(), true, now);
     }
 
-    /// Clears a request that was held back, on an operator's order; returns whether anything was
-    /// known of it.
+    /// Clears a request that was held back, on an operator's order; returns whether any ends were
+    /// recorded for it.
     pub fn pardon(&mut self, fingerprint: &Fingerprint, now: Duration) -> bool {
         self.crashes.clear(fingerprint, now)
     }
@@ -489,13 +490,13 @@
         let silent = self
             .members
             .iter()
-            .filter(|(_, m)| m.heard + BOX_TIMEOUT < now);
+            .filter(|(_, m)| m.heard_at + BOX_TIMEOUT < now);
         let silent: Vec<_> = silent.map(|(name, _)| name.clone()).collect();
         for name in silent {
             self.forget(&name);
         }
         let silent = self.peers.iter();
-        let silent = silent.filter(|(_, peer)| peer.heard + HUB_TIMEOUT < now);
+        let silent = silent.filter(|(_, peer)| peer.heard_at + HUB_TIMEOUT < now);
         let silent: Vec<_> = silent.map(|(name, _)| name.clone()).collect();
         for name in silent {
             self.forget_peer(&name);
--- a/src/scalewood/core/load/less_urgent.rs
+++ b/src/scalewood/core/load/less_urgent.rs
@@ -1,7 +1,7 @@
-//! How many unread tokens belong to less urgent requests.
+//! How many of the tokens pending prefill belong to less urgent requests.
 //!
 //! Endpoints admit more urgent requests first, so what a request waits for depends on its tier:
-//! the unread tokens of less urgent requests are mostly prefilled after it.
+//! the tokens of less urgent requests are mostly prefilled after it.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,8 +10,8 @@
 /// The number of tiers that have less urgent ones below them: endpoints distinguish ten tiers.
 const TIERS: usize = 9;
 
-/// Unread tokens of the requests that are less urgent than each tier. Serialized without trailing
-/// zeros.
+/// The tokens pending prefill of the requests that are less urgent than each tier. Serialized
+/// without trailing zeros.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<u64>", into = "Vec<u64>")]
 pub struct LessUrgent([u64; TIERS]);
@@ -24,18 +24,19 @@
 
     /// Adds a request's tokens.
     pub fn add(&mut self, tier: unit::Tier, tokens: u64) {
-        for later in self.more_urgent_than(tier) {
-            *later += tokens;
+        for count in self.more_urgent_than(tier) {
+            *count += tokens;
         }
     }
 
     /// Removes a request's tokens.
     pub fn remove(&mut self, tier: unit::Tier, tokens: u64) {
-        for later in self.more_urgent_than(tier) {
-            *later = later.saturating_sub(tokens);
+        for count in self.more_urgent_than(tier) {
+            *count = count.saturating_sub(tokens);
         }
     }
 
+    /// Returns the counts of the tiers that are more urgent than `tier`.
     fn more_urgent_than(&mut self, tier: unit::Tier) -> &mut [u64] {
         &mut self.0[..usize::from(tier.0).min(TIERS)]
     }
@@ -48,9 +49,9 @@
         self.combine(part, u64::saturating_sub)
     }
 
-    fn combine(mut self, other: Self, join: impl Fn(u64, u64) -> u64) -> Self {
+    fn combine(mut self, other: Self, operation: impl Fn(u64, u64) -> u64) -> Self {
         for (own, other) in self.0.iter_mut().zip(other.0) {
-            *own = join(*own, other);
+            *own = operation(*own, other);
         }
         self
     }
@@ -64,17 +65,17 @@
 
 impl From<Vec<u64>> for LessUrgent {
     fn from(counts: Vec<u64>) -> Self {
-        let mut later = Self::default();
-        for (own, count) in later.0.iter_mut().zip(counts) {
+        let mut less_urgent = Self::default();
+        for (own, count) in less_urgent.0.iter_mut().zip(counts) {
             *own = count;
         }
-        later
+        less_urgent
     }
 }
 
 impl From<LessUrgent> for Vec<u64> {
-    fn from(later: LessUrgent) -> Self {
-        let used = later.0.iter().rposition(|count| *count > 0);
-        later.0[..used.map_or(0, |last| last + 1)].to_vec()
+    fn from(less_urgent: LessUrgent) -> Self {
+        let used = less_urgent.0.iter().rposition(|count| *count > 0);
+        less_urgent.0[..used.map_or(0, |last| last + 1)].to_vec()
     }
 }
--- a/src/scalewood/core/load/losses.rs
+++ b/src/scalewood/core/load/losses.rs
@@ -38,6 +38,7 @@
 const MAX_SIZE_FACTOR: f64 = 4.0;
 /// How long after the last refusal of a class less urgent requests are still held back.
 const HOLD_AFTER_REFUSAL: Duration = Duration::from_millis(2500);
+
 /// Numbers of requests of a class, by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
@@ -86,8 +87,8 @@
 
     /// Returns the share of arrivals that were refused for good or have not been retried yet.
     fn refused_share(&self) -> f64 {
-        let away = self.deferred.saturating_sub(self.client_retries);
-        self.share(self.lost.saturating_add(away))
+        let not_retried = self.deferred.saturating_sub(self.client_retries);
+        self.share(self.lost.saturating_add(not_retried))
     }
 
     /// Returns the share of arrivals that were refused for good.
@@ -95,13 +96,13 @@
         self.share(self.lost)
     }
 
-    /// Returns `some` as a share of the arrivals, or 0 if they are too few to count.
-    fn share(&self, some: u32) -> f64 {
-        if some < MIN_REFUSALS {
+    /// Returns `refusals` as a share of the arrivals, or 0 if they are too few to count.
+    fn share(&self, refusals: u32) -> f64 {
+        if refusals < MIN_REFUSALS {
             return 0.0;
         }
         // A refusal may be reported before the arrival of its request, so `arrived` can be too low.
-        f64::from(some) / f64::from(self.arrived.max(some))
+        f64::from(refusals) / f64::from(self.arrived.max(refusals))
     }
 
     /// Returns whether so few requests start, as a share of the arrivals, that they take no
@@ -256,7 +257,7 @@
     }
 }
 
-/// Returns the least urgent tier that doesn't give way to `losing`; all tiers below it do.
+/// Returns the least urgent tier that doesn't give way to `losing`; all less urgent tiers do.
 fn least_urgent_spared(losing: &Recent, all: &[(&name::Class, Recent)]) -> unit::Tier {
     let own = losing.tier;
     let below = all.iter().map(|(_, recent)| recent.tier);
@@ -264,10 +265,10 @@
     let mut tiers = below.into_iter().rev().chain([own]);
     let mut limited_from = tiers.next().unwrap_or(own);
     for tier in tiers {
-        let takes = |(_, recent): &&(_, Recent)| {
+        let takes_capacity = |(_, recent): &&(_, Recent)| {
             recent.tier >= limited_from && recent.starts_larger_than(losing)
         };
-        if losing.lost < LOW_SHARE || all.iter().any(|recent| takes(&recent)) {
+        if losing.lost < LOW_SHARE || all.iter().any(|recent| takes_capacity(&recent)) {
             return tier;
         }
         limited_from = tier;
--- a/src/scalewood/core/load/mod.rs
+++ b/src/scalewood/core/load/mod.rs
@@ -28,8 +28,8 @@
 pub use refused::{Bound, Refused, Tally, Traffic};
 
 /// The smallest changes of a load that are sent: about what the smallest prompts cause.
-const MIN_UNREAD_CHANGE_TOKENS: u64 = 400;
-const MIN_HELD_CHANGE_TOKENS: u64 = 4000;
+const MIN_PENDING_CHANGE_TOKENS: u64 = 400;
+const MIN_CACHED_CHANGE_TOKENS: u64 = 4000;
 const MIN_RUNNING_CHANGE: u32 = 2;
 
 /// The load of one or more boxes at an endpoint.
@@ -50,11 +50,11 @@
     /// that drops to zero always is, so no difference stays unsent for ever.
     fn differs_enough(self, sent: Self) -> bool {
         self == Self::default()
-            || self.pending_prefill.abs_diff(sent.pending_prefill) >= MIN_UNREAD_CHANGE_TOKENS
+            || self.pending_prefill.abs_diff(sent.pending_prefill) >= MIN_PENDING_CHANGE_TOKENS
             || self
                 .less_urgent
-                .differs_by(sent.less_urgent, MIN_UNREAD_CHANGE_TOKENS)
-            || self.cached.abs_diff(sent.cached) >= MIN_HELD_CHANGE_TOKENS
+                .differs_by(sent.less_urgent, MIN_PENDING_CHANGE_TOKENS)
+            || self.cached.abs_diff(sent.cached) >= MIN_CACHED_CHANGE_TOKENS
             || self.running.abs_diff(sent.running) >= MIN_RUNNING_CHANGE
     }
 
--- a/src/scalewood/core/load/refused.rs
+++ b/src/scalewood/core/load/refused.rs
@@ -117,8 +117,7 @@
 /// Requests of a class that started, were refused but may be retried, or were retried. Serialized
 /// as a row.
 ///
-/// It is a row of its own beside [`Refused`], so that older builds can still read the rows of
-/// that one.
+/// These counts are not part of [`Refused`], so that older builds can still read its rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "TrafficRow", into = "TrafficRow")]
 pub struct Traffic {
@@ -155,8 +154,8 @@
 impl Traffic {
     /// Returns the counts that [`Tally`] leaves out, if any is above zero.
     pub fn of(service: &name::Service, class: &name::Class, counts: &Counts) -> Option<Self> {
-        let tells = counts.client_retries > 0 || counts.deferred > 0 || counts.started > 0;
-        tells.then(|| Self {
+        let has_counts = counts.client_retries > 0 || counts.deferred > 0 || counts.started > 0;
+        has_counts.then(|| Self {
             service: service.clone(),
             class: class.clone(),
             tier: counts.tier,
@@ -276,7 +275,7 @@
         }
     }
 
-    /// Returns the bounds in force.
+    /// Returns the bounds in force, and forgets services without recent requests.
     pub(super) fn bounds(&mut self, now: Duration) -> Vec<Bound> {
         self.0.retain(|_, losses| losses.forget_idle(now));
         let limits = self.0.iter().flat_map(|(service, losses)| {
--- a/src/scalewood/core/load/window.rs
+++ b/src/scalewood/core/load/window.rs
@@ -7,7 +7,7 @@
 /// The number of buckets that are kept: five seconds, the time over which refusals are judged.
 const BUCKETS: usize = 20;
 
-/// Counts by the time at which they were added. What is older than all buckets is dropped.
+/// Counts by the time at which they were added. Counts older than all buckets are dropped.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Window<T> {
     buckets: [T; BUCKETS],
@@ -37,15 +37,15 @@
         let number = bucket_number(now);
         let buckets = within.as_millis().div_ceil(BUCKET_WIDTH.as_millis());
         let oldest = number.saturating_sub(u64::try_from(buckets).unwrap_or(u64::MAX));
-        let kept = self.newest.saturating_sub(BUCKETS as u64 - 1);
+        let oldest_kept = self.newest.saturating_sub(BUCKETS as u64 - 1);
         let mut sum = T::default();
-        for number in oldest.max(kept)..=self.newest {
+        for number in oldest.max(oldest_kept)..=self.newest {
             sum += self.buckets[bucket_index(number)];
         }
         sum
     }
 
-    /// Clears the buckets between the newest one and bucket `number`.
+    /// Makes bucket `number` the newest one, and clears the buckets after the former newest one.
     fn advance(&mut self, number: u64) {
         let passed = number.saturating_sub(self.newest).min(BUCKETS as u64);
         for step in 0..passed {
--- a/src/scalewood/core/member.rs
+++ b/src/scalewood/core/member.rs
@@ -3,11 +3,11 @@
 //! Each period a box probes a few peers, in shuffled rounds in which each peer is probed once,
 //! and exchanges membership updates with them. A peer that does not answer is suspected.
 //! The suspicion spreads as an update, and a peer that does not refute it in time, by raising its
-//! incarnation, counts as dead. Both the number of times that an item is sent and the number of
-//! items in a message are bounded, so a box's cost does not grow with the number of boxes.
+//! incarnation, counts as dead. Both the number of times that an update is sent and the number of
+//! updates in a message are bounded, so a box's cost does not grow with the number of boxes.
 //!
-//! The platform's list of live and leaving boxes lags, so it is only a hint: it names peers to
-//! probe, and does not decide which are alive.
+//! The peers to probe are those in the configuration, which lags behind and does not decide which
+//! of them are alive.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,7 +19,7 @@
 /// Settings of the membership protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The time between two rounds of probes.
+    /// The time after which the next peers are probed.
     pub period: Duration,
     /// The number of peers that are probed each period.
     pub probes: usize,
@@ -27,7 +27,7 @@
     pub suspicion: Duration,
     /// The most updates in one message.
     pub max_updates: usize,
-    /// How many times a box sends one item.
+    /// How many times a box sends one update.
     pub repeats: u32,
 }
 
@@ -82,6 +82,7 @@
 struct Peer {
     incarnation: unit::Incarnation,
     status: Status,
+    /// When its status last changed.
     since: Duration,
     /// How many more times an update with its status is to be sent.
     repeats: u32,
@@ -96,11 +97,13 @@
     own: name::Box,
     incarnation: unit::Incarnation,
     leaving: bool,
+    /// How many more times this box announces that it leaves.
     own_repeats: u32,
     peers: BTreeMap<name::Box, Peer>,
+    /// The peers that are still to be probed in this round.
     round: Vec<name::Box>,
     random: SmallRng,
-    next_at: Duration,
+    next_probe_at: Duration,
 }
 
 impl Members {
@@ -121,7 +124,7 @@
             peers: BTreeMap::new(),
             round: Vec::new(),
             random: SmallRng::seed_from_u64(seed),
-            next_at: Duration::ZERO,
+            next_probe_at: Duration::ZERO,
         }
     }
 
@@ -145,12 +148,12 @@
     ///
     /// A suspected peer that was heard of counts as alive until its time to refute is over.
     pub fn alive(&self) -> Vec<name::Box> {
-        let counts = |peer: &Peer| match peer.status {
+        let is_alive = |peer: &Peer| match peer.status {
             Status::Alive => true,
             Status::Suspect => peer.known,
             Status::Dead => false,
         };
-        let alive = self.peers.iter().filter(|(_, peer)| counts(peer));
+        let alive = self.peers.iter().filter(|(_, peer)| is_alive(peer));
         let mut names: Vec<_> = alive.map(|(name, _)| name.clone()).collect();
         if !self.leaving {
             names.push(self.own.clone());
@@ -197,10 +200,10 @@
     /// Advances to `now`; returns the peers to probe.
     pub fn tick(&mut self, now: Duration) -> Vec<name::Box> {
         self.declare_dead(now);
-        if now < self.next_at {
+        if now < self.next_probe_at {
             return Vec::new();
         }
-        self.next_at = now + self.settings.period;
+        self.next_probe_at = now + self.settings.period;
         (0..self.settings.probes.min(self.peers.len()))
             .filter_map(|_| self.next_probe())
             .collect()
@@ -286,8 +289,8 @@
             true,
             now,
         );
-        for item in updates {
-            self.apply(item, false, now);
+        for update in updates {
+            self.apply(update, false, now);
         }
     }
 
--- a/src/scalewood/core/raft/elect.rs
+++ b/src/scalewood/core/raft/elect.rs
@@ -54,8 +54,8 @@
         self.output.writes.push(Write::Vote(term, voted));
     }
 
-    /// Handles a vote request. A voter that has heard from a leader within the shortest election
-    /// timeout ignores it, unless that leader has transferred its leadership.
+    /// Handles a vote request. A leader, and a voter that has heard from a leader within the
+    /// shortest election timeout, ignore it unless that leader has transferred its leadership.
     pub(super) fn handle_vote_request(&mut self, from: Node, request: VoteRequest, now: Duration) {
         // Neither the candidate nor this node has to be a voter in this node's log, which may
         // not yet hold the entry that made them voters. A candidate counts only votes from
@@ -204,8 +204,8 @@
     pub(super) fn step_down_if_removed(&mut self) {
         let committed = self.log.members_index() <= self.committed;
         if self.is_leader() && !self.is_voter() && committed {
-            let heard = self.leader_heard_at;
-            self.become_follower(self.term, None, heard);
+            let led_since = self.leader_heard_at;
+            self.become_follower(self.term, None, led_since);
         }
     }
 }
--- a/src/scalewood/core/raft/log.rs
+++ b/src/scalewood/core/raft/log.rs
@@ -136,17 +136,17 @@
 impl<S: State> Persisted<S> {
     /// Returns the initial state of the first voter of a new cluster.
     pub fn bootstrap(node: Node, address: std::net::SocketAddr) -> Self {
-        let mut kept = Self::default();
-        kept.snapshot.members = Members::single_voter(node, address);
-        kept
+        let mut initial = Self::default();
+        initial.snapshot.members = Members::single_voter(node, address);
+        initial
     }
 
     /// Returns the initial state of each voter of a new cluster whose voters are all known in
     /// advance.
     pub fn bootstrap_with(members: Members) -> Self {
-        let mut kept = Self::default();
-        kept.snapshot.members = members;
-        kept
+        let mut initial = Self::default();
+        initial.snapshot.members = members;
+        initial
     }
 
     /// Applies a write that was read back from disk.
@@ -249,7 +249,8 @@
             .map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Returns where an entry is among those after the snapshot; none if the snapshot covers it.
+    /// Returns the position that an index has among the entries after the snapshot, whether or
+    /// not there is an entry; `None` if the snapshot covers it.
     fn position(&self, index: Index) -> Option<usize> {
         let offset = index.0.checked_sub(self.snapshot.index.0 + 1)?;
         usize::try_from(offset).ok()
@@ -268,7 +269,8 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Returns up to `max_entries` entries from an index on.
+    /// Returns up to `max_entries` entries from an index on; none if the snapshot covers the
+    /// first one.
     pub(super) fn entries_from(&self, index: Index, max_entries: usize) -> Vec<Entry<S::Command>> {
         let Some(position) = self.position(index) else {
             return Vec::new();
--- a/src/scalewood/core/raft/members.rs
+++ b/src/scalewood/core/raft/members.rs
@@ -176,7 +176,7 @@
         index
     }
 
-    /// Promotes a learner that has all committed entries to a voter. An old identity of its box
+    /// Promotes one learner that has all committed entries to a voter. An old identity of its box
     /// has to be removed first, since a box has only one vote.
     pub(super) fn promote_learners(&mut self, now: Duration) {
         if !self.may_change_members() {
--- a/src/scalewood/core/raft/mod.rs
+++ b/src/scalewood/core/raft/mod.rs
@@ -293,22 +293,22 @@
     pub fn new(
         settings: Settings,
         own: Node,
-        kept: Persisted<S>,
+        persisted: Persisted<S>,
         seed: u64,
         now: Duration,
     ) -> Self {
-        let state = kept.snapshot.state.clone();
-        let start = kept.snapshot.index;
+        let state = persisted.snapshot.state.clone();
+        let snapshot_index = persisted.snapshot.index;
         let mut voter = Self {
             settings,
             own,
             random: SmallRng::seed_from_u64(seed),
             role: Role::Follower { leader: None },
-            term: kept.term,
-            voted_for: kept.voted,
-            log: log::Log::new(kept.snapshot, kept.entries),
-            committed: start,
-            applied: start,
+            term: persisted.term,
+            voted_for: persisted.voted,
+            log: log::Log::new(persisted.snapshot, persisted.entries),
+            committed: snapshot_index,
+            applied: snapshot_index,
             state,
             leader_heard_at: now,
             election_at: now,
@@ -484,7 +484,7 @@
         self.lease().is_some_and(|until| until > now)
     }
 
-    /// Returns until when this node is certain to be the only leader. Returns none if it does not
+    /// Returns until when this node is certain to be the only leader, or `None` if it does not
     /// lead, or has not yet applied all entries that were committed before its term.
     pub fn lease(&self) -> Option<Duration> {
         let Role::Leader {
--- a/src/scalewood/core/raft/replicate.rs
+++ b/src/scalewood/core/raft/replicate.rs
@@ -208,10 +208,10 @@
             return;
         }
         if self.log.term_at(before) != Some(before_term) {
-            let retry_after = Index(before.0.saturating_sub(1))
+            let resume_after = Index(before.0.saturating_sub(1))
                 .min(self.log.last_index())
                 .max(self.committed);
-            self.reply(from, false, retry_after, None, sent);
+            self.reply(from, false, resume_after, None, sent);
             return;
         }
         let last = entries.last().map_or(before, |entry| entry.index);
--- a/src/scalewood/core/raft/snapshot.rs
+++ b/src/scalewood/core/raft/snapshot.rs
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Adds a part to those received so far; a part that does not follow on them is ignored.
+    /// Adds a part to those received so far, and returns how much of the snapshot there is. A part
+    /// that does not follow on them is ignored.
     fn assemble(&mut self, from: &Node, piece: Piece) -> Assembled<S> {
         let is_same_transfer = |i: &Incoming| i.from == *from && i.index == piece.index;
         let mut incoming = self
@@ -153,7 +154,7 @@
 
 /// How much of a snapshot has been received.
 enum Assembled<S: State> {
-    /// Its first bytes, this many.
+    /// This many bytes from its start.
     Part(usize),
     /// All of it.
     Whole(Box<Snapshot<S>>),
--- a/src/scalewood/core/registry.rs
+++ b/src/scalewood/core/registry.rs
@@ -1,10 +1,10 @@
 //! The registry of the endpoints that announce themselves.
 //!
-//! It is soft state. Each voter records the heartbeats of endpoints and pushes the changes to
-//! every entry box; an entry box merges what it receives from all voters. A start of an endpoint
-//! is identified by the endpoint's name and the incarnation that it reports: a later start
-//! replaces an earlier one, and a late message of an earlier one changes nothing. Within a start
-//! a sequence number that rises with each heartbeat tells a late heartbeat from a new one. A
+//! It is soft state. Each voter records the heartbeats of endpoints and pushes the changes to the
+//! processes that track it; each of these merges what it receives from several voters. A start of
+//! an endpoint is identified by the endpoint's name and the incarnation that it reports: a later
+//! start replaces an earlier one, and a late message of an earlier one changes nothing. Within a
+//! start a sequence number that rises with each heartbeat tells a late heartbeat from a new one. A
 //! start that has ended never comes back; where endpoints report no incarnation, the name alone
 //! identifies the start. Merging is commutative and idempotent.
 
@@ -39,11 +39,11 @@
 /// The result of a merge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merged {
-    /// Nothing: the record was known or outdated.
+    /// Nothing changed: the record was known or outdated.
     Nothing,
-    /// Only that the endpoint is alive.
+    /// Only the heartbeat is new, which shows that the endpoint is alive.
     Alive,
-    /// Something that other processes have to know.
+    /// Something changed that other processes have to know.
     Changed,
     /// A later start has replaced an earlier one, which other processes have to know.
     Restarted,
@@ -59,8 +59,8 @@
 #[derive(Clone, Debug)]
 struct Entry {
     record: Record,
-    /// When a heartbeat or record of it was last received.
-    heard: Duration,
+    /// When a heartbeat or record of it was last received, or a former voucher last vouched for it.
+    heard_at: Duration,
     /// The processes that vouch that it is alive.
     vouchers: vouch::Vouchers,
     /// The registry's stamp when the record last changed.
@@ -89,7 +89,7 @@
         now: Duration,
     ) -> Self {
         Self {
-            heard: now,
+            heard_at: now,
             vouchers: vouch::Vouchers::default(),
             stamp,
             slow: false,
@@ -102,9 +102,9 @@
     }
 
     /// Returns whether it started after another entry with the same address. The incarnations
-    /// decide where they are reported; an entry without one counts as earlier than one with it,
-    /// since where endpoints report theirs it comes from another writer. Between two without one,
-    /// a restored one counts as earlier, else the estimated start decides.
+    /// decide where they are reported. An entry without an incarnation counts as earlier than one
+    /// with it: where endpoints report incarnations, it comes from another sender. Between two
+    /// entries without one, a restored entry counts as earlier, else the estimated start decides.
     fn is_after(&self, other: &Self) -> bool {
         let rank = |entry: &Self| (entry.record.incarnation, !entry.restored, entry.started_ms);
         rank(self) > rank(other)
@@ -126,12 +126,12 @@
     claims: address::Claims,
     /// The starts that have ended.
     ended: ended::Marks,
-    /// The endpoints that fell silent, by the stamp of that, and the stamps by endpoint.
+    /// The endpoints that fell silent, by the stamp at which they did, and the stamps by endpoint.
     silent: changes::Changes,
     silent_at: BTreeMap<name::Endpoint, u64>,
     stamp: u64,
-    /// The stamp of the last change of a record, or of which endpoints count as slow.
-    layout: u64,
+    /// The stamp of the last change of a record or of the set of slow endpoints.
+    dispatch_stamp: u64,
     /// When the first endpoint was heard.
     first_heard_at: Option<Duration>,
     /// The paces of endpoints, including those that have not announced themselves here.
@@ -181,7 +181,7 @@
     /// Inserts a new start, which replaces an earlier one if there is one. It is `late` if other
     /// endpoints served before it.
     fn insert(&mut self, mut record: Record, late: bool, now: Duration) {
-        self.advance_layout();
+        self.advance_dispatch_stamp();
         let mut state = warm_up::State::new(late, now);
         state.observe(record.warm_up.take(), now);
         let (name, service) = (record.name.clone(), record.service.clone());
@@ -216,20 +216,20 @@
         let Some(entry) = self.entries.get_mut(&record.name) else {
             return Merged::Nothing;
         };
-        // Other processes may have forgotten it after so long a silence, so they have to be told.
-        let last = entry.heard.max(self.vouched.latest(entry.vouchers));
+        // Other processes may have forgotten it after so long a silence, so it is sent to them.
+        let last = entry.heard_at.max(self.vouched.latest(entry.vouchers));
         let was_silent = now >= last + self.timing.max_silence();
-        entry.heard = now;
+        entry.heard_at = now;
         entry.restored = false;
         entry.started_ms = entry
             .started_ms
             .min(self.timing.start_time_ms(record.sequence, now));
-        let warms = entry.warm_up.observe(record.warm_up.take(), now);
+        let warm_up_changed = entry.warm_up.observe(record.warm_up.take(), now);
         if entry.leaving_stamp.is_some() {
             // The heartbeat may have been sent before that response.
             record.state = record.state.max(State::Leaving);
         }
-        let same = !warms && !was_silent && record.has_same_content(&entry.record);
+        let same = !warm_up_changed && !was_silent && record.has_same_content(&entry.record);
         if record.address != entry.record.address {
             self.claims.remove(entry.record.address, &record.name);
             self.claims.add(record.address, &record.name);
@@ -249,7 +249,7 @@
             return Merged::Alive;
         }
         self.stamp += 1;
-        self.layout = self.stamp;
+        self.dispatch_stamp = self.stamp;
         self.changes
             .note(Some(entry.stamp), self.stamp, &entry.record.name);
         entry.stamp = self.stamp;
@@ -266,7 +266,7 @@
             return Merged::Nothing;
         }
         self.stamp += 1;
-        self.layout = self.stamp;
+        self.dispatch_stamp = self.stamp;
         entry.leaving_stamp = Some(self.stamp);
         self.changes.note(Some(entry.stamp), self.stamp, name);
         entry.stamp = self.stamp;
@@ -302,7 +302,7 @@
     }
 
     /// Records that an endpoint has shut down whose message doesn't name the start: the known one
-    /// has ended.
+    /// has ended, or else the one that was forgotten for its silence.
     pub fn leave(&mut self, name: &name::Endpoint) -> Merged {
         let known = self.entries.get(name);
         let known = known.map(|entry| entry.record.incarnation);
@@ -320,7 +320,7 @@
         if !self.ended.raise(name, start, self.stamp + 1) {
             return Merged::Nothing;
         }
-        self.advance_layout();
+        self.advance_dispatch_stamp();
         let known = self.entries.get(name).map(|e| e.record.incarnation);
         if known.is_none_or(|known| known <= start) {
             self.remove_entry(name);
@@ -359,7 +359,7 @@
         let Some(entry) = self.remove_entry(name) else {
             return;
         };
-        self.advance_layout();
+        self.advance_dispatch_stamp();
         self.record_silent(name);
         if let Some(start) = entry.record.incarnation {
             self.ended.forget(name, start);
@@ -392,7 +392,7 @@
     /// Records that an endpoint was heard.
     pub fn record_heard(&mut self, name: &name::Endpoint, now: Duration) {
         if let Some(entry) = self.entries.get_mut(name) {
-            entry.heard = now;
+            entry.heard_at = now;
             entry.restored = false;
         }
     }
@@ -405,7 +405,7 @@
         for entry in self.entries.values_mut() {
             if entry.vouchers.has(voucher) {
                 entry.vouchers.remove(voucher);
-                entry.heard = entry.heard.max(last);
+                entry.heard_at = entry.heard_at.max(last);
             }
         }
         Some(voucher)
@@ -461,28 +461,30 @@
         displaced.cloned().collect()
     }
 
-    /// Returns whether anything is known of an endpoint.
+    /// Returns whether an endpoint is registered or its pace is known.
     pub fn knows(&self, name: &name::Endpoint) -> bool {
         self.entries.contains_key(name) || self.paces.get(name).is_some()
     }
 
-    /// Returns the number of endpoints that have not gone.
+    /// Returns the number of registered endpoints: those that have neither ended nor been silent
+    /// for too long.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether there is no endpoint, or all have gone.
+    /// Returns whether no endpoint is registered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the records of all endpoints that have not gone.
+    /// Returns the records of all registered endpoints.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.entries.values().map(|entry| &entry.record)
     }
 
     /// Sets an endpoint's pace, whether or not it has announced itself; returns whether no pace
-    /// was known before. Call `regrade` to apply it to which endpoints count as slow.
+    /// was known before. A pace that hardly differs from the known one, or of an endpoint that has
+    /// ended, is ignored. Call `regrade` to update which endpoints count as slow.
     pub fn set_pace(&mut self, name: &name::Endpoint, pace: pace::Pace) -> bool {
         let known = self.paces.get(name);
         let has_gone = self.ended.is_announced(name) && !self.entries.contains_key(name);
@@ -505,8 +507,7 @@
     }
 
     /// Compares the endpoints of each service in which a pace has changed, or in which an
-    /// endpoint with a known pace was inserted; returns whether other endpoints count as slow
-    /// than before.
+    /// endpoint with a known pace was inserted; returns whether the set of slow endpoints changed.
     pub fn regrade(&mut self) -> bool {
         let mut changed = false;
         for service in std::mem::take(&mut self.ungraded) {
@@ -522,7 +523,7 @@
             }
         }
         if changed {
-            self.advance_layout();
+            self.advance_dispatch_stamp();
         }
         changed
     }
@@ -532,7 +533,7 @@
         self.paces.since(span.into())
     }
 
-    /// Returns all endpoints that have not gone, and whether each is slow compared with the
+    /// Returns all registered endpoints, and whether each is slow compared with the
     /// others of its service.
     pub fn graded(&self) -> impl Iterator<Item = (&Record, bool)> {
         self.entries
@@ -540,27 +541,27 @@
             .map(|entry| (&entry.record, entry.slow))
     }
 
-    /// Returns an endpoint that has not gone, and whether it is slow compared with the others of
+    /// Returns a registered endpoint, and whether it is slow compared with the others of
     /// its service.
     pub fn graded_one(&self, name: &name::Endpoint) -> Option<(&Record, bool)> {
         let entry = self.entries.get(name)?;
         Some((&entry.record, entry.slow))
     }
 
-    /// Returns the endpoints that changed, went or fell silent after a stamp, and those that
+    /// Returns the endpoints that changed, ended or fell silent after a stamp, and those that
     /// share an address with one of them.
     pub fn affected_since(&self, stamp: u64) -> BTreeSet<name::Endpoint> {
         let changed = self.changes.since(stamp.into()).cloned();
-        let mut touched: BTreeSet<_> = changed.collect();
-        touched.extend(self.gone_since(stamp));
-        touched.extend(self.silent_since(stamp));
-        let addresses = touched.iter().filter_map(|name| self.get(name));
-        let rivals: Vec<_> = addresses
+        let mut affected: BTreeSet<_> = changed.collect();
+        affected.extend(self.gone_since(stamp));
+        affected.extend(self.silent_since(stamp));
+        let records = affected.iter().filter_map(|name| self.get(name));
+        let rivals: Vec<_> = records
             .flat_map(|record| self.at_address(record.address))
             .cloned()
             .collect();
-        touched.extend(rivals);
-        touched
+        affected.extend(rivals);
+        affected
     }
 
     /// Returns the last stamp that one message to a follower at `stamp` covers, if the message
@@ -584,12 +585,12 @@
     /// don't count: with some thousand endpoints a pace changes many times a second, and to
     /// update a dispatcher with as many records takes 4 ms.
     pub fn dispatch_stamp(&self) -> u64 {
-        self.layout
+        self.dispatch_stamp
     }
 
-    fn advance_layout(&mut self) {
+    fn advance_dispatch_stamp(&mut self) {
         self.stamp += 1;
-        self.layout = self.stamp;
+        self.dispatch_stamp = self.stamp;
     }
 
     /// Returns the records that changed within a range of stamps.
@@ -603,14 +604,15 @@
         names.filter_map(|name| self.entries.get(name))
     }
 
-    /// Returns the same for another process: with the remaining warm-up times.
+    /// Returns the records that changed within a range of stamps, with the remaining warm-up times,
+    /// to be sent to another process.
     pub fn records_since(&self, span: impl Into<Span>, now: Duration) -> Vec<Record> {
-        let mut told = self.changed_since(span);
-        for record in &mut told {
+        let mut records = self.changed_since(span);
+        for record in &mut records {
             let state = self.warm_up(&record.name);
             record.warm_up = state.and_then(|state| state.remaining(now));
         }
-        told
+        records
     }
 
     /// Returns the warm-up state of an endpoint, as far as it is known here.
@@ -637,7 +639,7 @@
 
     /// Returns the endpoints that were heard, or vouched for, since a time.
     pub fn heard_since(&self, time: Duration) -> Vec<name::Endpoint> {
-        let last = |entry: &Entry| entry.heard.max(self.vouched.latest(entry.vouchers));
+        let last = |entry: &Entry| entry.heard_at.max(self.vouched.latest(entry.vouchers));
         let heard = self.entries.values().filter(|entry| last(entry) >= time);
         heard.map(|entry| entry.record.name.clone()).collect()
     }
@@ -645,9 +647,9 @@
     /// Forgets the endpoints that were restored after a power loss and whose heartbeat is
     /// overdue; returns them.
     pub fn expire_restored(&mut self, now: Duration) -> Vec<Record> {
-        let restored = self.timing.restored_timeout();
-        let is_over = |entry: &Entry| entry.restored && entry.heard + restored <= now;
-        self.forget_those(is_over)
+        let timeout = self.timing.restored_timeout();
+        let is_over = |entry: &Entry| entry.restored && entry.heard_at + timeout <= now;
+        self.forget_matching(is_over)
     }
 
     /// Forgets the endpoints that were neither heard nor vouched for since `before`; returns
@@ -655,8 +657,8 @@
     pub fn expire(&mut self, before: Duration) -> Vec<Record> {
         let vouched = self.vouched.clone();
         let is_silent =
-            |entry: &Entry| entry.heard < before && vouched.latest(entry.vouchers) < before;
-        self.forget_those(is_silent)
+            |entry: &Entry| entry.heard_at < before && vouched.latest(entry.vouchers) < before;
+        self.forget_matching(is_silent)
     }
 
     /// Forgets the endpoints that have been silent for too long; returns them.
@@ -664,7 +666,7 @@
         self.expire(now.saturating_sub(self.timing.max_silence()))
     }
 
-    fn forget_those(&mut self, is_over: impl Fn(&Entry) -> bool) -> Vec<Record> {
+    fn forget_matching(&mut self, is_over: impl Fn(&Entry) -> bool) -> Vec<Record> {
         let over = self.entries.values().filter(|entry| is_over(entry));
         let over: Vec<_> = over.map(|entry| entry.record.clone()).collect();
         for record in &over {
--- a/src/scalewood/core/registry/ended.rs
+++ b/src/scalewood/core/registry/ended.rs
@@ -46,8 +46,9 @@
     marks: BTreeMap<name::Endpoint, Mark>,
     /// The endpoints by the stamps of those marks that are sent to others.
     changes: Changes,
-    /// The endpoints that left while no start of them was known, by the stamps of that.
+    /// The endpoints that left while no start of them was known, by the stamp at which they did.
     without_start: Changes,
+    /// The endpoints in the order in which their marks were created.
     order: VecDeque<name::Endpoint>,
 }
 
--- a/src/scalewood/core/registry/ranks.rs
+++ b/src/scalewood/core/registry/ranks.rs
@@ -17,7 +17,7 @@
     paces: BTreeMap<name::Endpoint, Pace>,
     in_order: BTreeSet<(Pace, name::Endpoint)>,
     /// The reference pace of the last comparison.
-    fast: Option<Pace>,
+    reference: Option<Pace>,
     /// The endpoints whose own pace has changed since then.
     touched: BTreeSet<name::Endpoint>,
 }
@@ -46,25 +46,25 @@
         &mut self,
         was_slow: impl Fn(&name::Endpoint) -> bool,
     ) -> Vec<(name::Endpoint, bool)> {
-        let Some(place) = pace::reference_index(self.in_order.len()) else {
+        let Some(index) = pace::reference_index(self.in_order.len()) else {
             return Vec::new();
         };
-        let Some((fast, _)) = self.in_order.iter().nth(place) else {
+        let Some((reference, _)) = self.in_order.iter().nth(index) else {
             return Vec::new();
         };
-        let fast = *fast;
-        let mut looked_at = std::mem::take(&mut self.touched);
-        let before = self.fast.replace(fast);
-        if before != Some(fast) {
-            let span = pace::affected_range(before, fast);
+        let reference = *reference;
+        let mut to_compare = std::mem::take(&mut self.touched);
+        let before = self.reference.replace(reference);
+        if before != Some(reference) {
+            let span = pace::affected_range(before, reference);
             let near = self.in_order.iter();
             let near = near.skip_while(|(pace, _)| *pace < span.0);
             let near = near.take_while(|(pace, _)| *pace <= span.1);
-            looked_at.extend(near.map(|(_, name)| name.clone()));
+            to_compare.extend(near.map(|(_, name)| name.clone()));
         }
-        let graded = looked_at.into_iter().filter_map(|name| {
+        let graded = to_compare.into_iter().filter_map(|name| {
             let was = was_slow(&name);
-            let slow = pace::is_slow(*self.paces.get(&name)?, fast, was);
+            let slow = pace::is_slow(*self.paces.get(&name)?, reference, was);
             (slow != was).then_some((name, slow))
         });
         graded.collect()
--- a/src/scalewood/core/registry/record.rs
+++ b/src/scalewood/core/registry/record.rs
@@ -73,27 +73,28 @@
     ///
     /// Fails if the value of a field can't belong to a usable endpoint.
     pub fn check(&self) -> Result<(), Refusal> {
-        let out = |why: String| Err(Refusal::new(Reason::OutOfRange, why));
+        let out_of_range = |why: String| Err(Refusal::new(Reason::OutOfRange, why));
         if self.slots < unit::Slots(1) || self.slots > MAX_SLOTS {
-            return out(format!(
+            return out_of_range(format!(
                 "slots is {}, must be from 1 to {MAX_SLOTS}",
                 self.slots
             ));
         }
         let ip = self.address.ip();
         if self.address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
-            return out(format!("address {} can't be sent to", self.address));
+            return out_of_range(format!("address {} can't be sent to", self.address));
         }
         Ok(())
     }
 
     /// Returns the sort key by which the latest of an endpoint's records is found: first the
-    /// start, then the heartbeat. Two records with different content under one number come from
-    /// two writers; the rest of the key makes every process that receives both keep the same one.
+    /// start, then the heartbeat. Two records with different content and the same sequence number
+    /// come from two senders; the rest of the key makes every process that receives both keep the
+    /// same one.
     pub(super) fn rank(&self) -> impl Ord + '_ {
         let heartbeat = (self.incarnation, self.sequence, self.state);
-        let place = (&self.address, &self.zone, &self.service);
-        (heartbeat, place, self.slots, self.interruptible)
+        let location = (&self.address, &self.zone, &self.service);
+        (heartbeat, location, self.slots, self.interruptible)
     }
 
     /// Returns whether both records agree in everything that other processes have to know.
--- a/src/scalewood/core/registry/remembered.rs
+++ b/src/scalewood/core/registry/remembered.rs
@@ -11,6 +11,7 @@
     until: Duration,
     /// The records of this voter come first, then those of others.
     records: Vec<Record>,
+    /// The number of this voter's own records.
     own: usize,
     names: BTreeSet<name::Endpoint>,
 }
@@ -40,7 +41,8 @@
         self.records.len() > before
     }
 
-    /// Returns the records that a box has not received, which are all but the `sent` first ones.
+    /// Returns the records that a box has not received, which are all but the `sent` first ones,
+    /// and advances `sent`.
     pub fn for_box(&self, sent: &mut usize, now: Duration) -> Vec<Record> {
         self.after(sent, self.records.len(), now)
     }
--- a/src/scalewood/core/registry/timing.rs
+++ b/src/scalewood/core/registry/timing.rs
@@ -43,9 +43,9 @@
         4 * self.heartbeat + MAX_STARTUP_SKEW
     }
 
-    /// Returns when an endpoint without incarnation started, as estimated from a heartbeat that
-    /// arrives now, in milliseconds of this process's clock. Negative if it was before the
-    /// clock's zero.
+    /// Returns when an endpoint started, as estimated from the sequence number of a heartbeat that
+    /// arrives now, in milliseconds of this process's clock. Negative if it was before the clock's
+    /// zero.
     pub(super) fn start_time_ms(&self, sequence: u64, now: Duration) -> i64 {
         let now = i64::try_from(now.as_millis()).unwrap_or(i64::MAX);
         let running = self.heartbeat.as_millis().saturating_mul(sequence.into());
--- a/src/scalewood/core/registry/vouch.rs
+++ b/src/scalewood/core/registry/vouch.rs
@@ -29,10 +29,10 @@
     }
 
     fn indices(self) -> impl Iterator<Item = usize> {
-        let mut left = self.0;
+        let mut remaining = self.0;
         std::iter::from_fn(move || {
-            let at = (left != 0).then(|| left.trailing_zeros())?;
-            left &= left - 1;
+            let at = (remaining != 0).then(|| remaining.trailing_zeros())?;
+            remaining &= remaining - 1;
             usize::try_from(at).ok()
         })
     }
--- a/src/scalewood/core/retry.rs
+++ b/src/scalewood/core/retry.rs
@@ -72,14 +72,14 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     settings: Settings,
-    saved: f64,
+    available: f64,
 }
 
 impl Budget {
     /// Creates a full budget.
     pub fn new(settings: Settings) -> Self {
         Self {
-            saved: settings.capacity,
+            available: settings.capacity,
             settings,
         }
     }
@@ -88,26 +88,27 @@
     pub fn set(&mut self, (earned, most): (f64, f64)) {
         self.settings.earned_per_request = earned;
         self.settings.capacity = most;
-        self.saved = self.saved.min(most);
+        self.available = self.available.min(most);
     }
 
     /// Returns whether a retry is left.
     pub fn has_any(&self) -> bool {
-        self.saved >= 1.0
+        self.available >= 1.0
     }
 
     /// Records a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + self.settings.earned_per_request).min(self.settings.capacity);
+        self.available =
+            (self.available + self.settings.earned_per_request).min(self.settings.capacity);
     }
 
     /// Takes a retry from the budget after `attempts` attempts; `random` lies between 0 and 1.
     /// Returns how long to wait first, or `None` if the budget or the attempts are used up.
     pub fn spend(&mut self, attempts: u32, random: f64) -> Option<Duration> {
-        if attempts >= self.settings.attempts || self.saved < 1.0 {
+        if attempts >= self.settings.attempts || self.available < 1.0 {
             return None;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         let doubled = self
             .settings
             .base
--- a/src/scalewood/core/scaling.rs
+++ b/src/scalewood/core/scaling.rs
@@ -6,9 +6,9 @@
 //! The target is the recent peak of the slots in use divided by the target utilisation. It rises at
 //! once, since a burst is over before the endpoints ordered for it have started. It falls only when
 //! demand has been low for the whole look-back window, as each change costs a start, connections
-//! and prompts that are read again. Interruptible endpoints are spread over zones so that enough
-//! remain when those of one zone go. Ordinary ones are kept for what the interruptible ones that
-//! serve don't cover yet, or can't.
+//! and prompts that are prefilled again. Interruptible endpoints are spread over zones so that
+//! enough remain when some zones lose theirs. Ordinary ones are kept for what the interruptible
+//! ones that serve don't cover yet, or can't.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -97,10 +97,10 @@
 /// How the number of endpoints follows demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The target fraction of the slots in use at the recent peak. Where reading prompts is the
-    /// bottleneck, an endpoint is full long before all its slots are in use. On two days with
-    /// 64 slots per endpoint, 0.15 raises the value of a day's service by 0.03 and 0.04 over 0.3; on
-    /// two days with 12 slots the two are equal.
+    /// The target fraction of the slots in use at the recent peak. Where prefill is the bottleneck,
+    /// an endpoint is full long before all its slots are in use. On two days with 64 slots per
+    /// endpoint, 0.15 raises the value of a day's service by 0.03 and 0.04 over 0.3; on two days
+    /// with 12 slots the two are equal.
     pub utilisation: f64,
     /// The fraction of the slots that may be in use while interruptible endpoints are missing.
     /// Above it ordinary ones, which cost several times as much, are ordered in their place.
@@ -219,8 +219,12 @@
     initial: u32,
     /// When demand was first observed.
     demand_since: Option<Duration>,
+    /// Times and slots in use, such that the first entry is the peak of the look-back window: each
+    /// is later and lower than the one before.
     peaks: VecDeque<(Duration, u32)>,
+    /// The last accepted order by zone and kind: its number of endpoints, and when it was accepted.
     accepted: BTreeMap<(name::Zone, Kind), (u32, Duration)>,
+    /// Until when no interruptible endpoints are ordered in a zone.
     scarce_until: BTreeMap<name::Zone, Duration>,
     cordoned: BTreeSet<name::Zone>,
     /// The number of zones in the offer that are cordoned.
@@ -284,7 +288,7 @@
         let mut orders = Vec::new();
         for (zone, kind, wanted) in self.wanted(offer, seen, needed) {
             let count = self.damped(&zone, kind, wanted, seen);
-            // While it observes it gives nothing up, as others may serve that it has not seen yet.
+            // Nothing is given up while observing, as endpoints may serve that are not known yet.
             let before = self.count_of(&zone, kind, seen);
             let adds_interruptible = kind == Kind::Interruptible && count > before;
             let order = Order { zone, kind, count };
@@ -388,15 +392,15 @@
     fn needed(&self, utilisation: f64, offer: &Offer, seen: &Observed, now: Duration) -> u32 {
         let slots = f64::from(self.peak()) / utilisation.max(MIN_UTILISATION);
         // Casts from floating point saturate.
-        let asked = (slots / f64::from(seen.slots)).ceil() as u32;
+        let needed = (slots / f64::from(seen.slots)).ceil() as u32;
         let is_known = |since: Duration| now >= since + self.settings.look_back;
-        let asked = if self.demand_since.is_some_and(is_known) {
-            asked
+        let needed = if self.demand_since.is_some_and(is_known) {
+            needed
         } else {
-            asked.max(self.initial)
+            needed.max(self.initial)
         };
         let zones = u32::try_from(offer.zone_prices.len()).unwrap_or(u32::MAX);
-        asked.min(offer.max.saturating_mul(zones))
+        needed.min(offer.max.saturating_mul(zones))
     }
 
     /// Returns how many endpoints of each kind each zone is to have.
@@ -407,14 +411,14 @@
         needed: Needed,
     ) -> Vec<(name::Zone, Kind, u32)> {
         let zones: Vec<_> = offer.zone_prices.keys().cloned().collect();
-        let cheap = self.settings.interruptible && offer.has_cheaper_interruptible();
-        let interruptible = if cheap {
+        let use_interruptible = self.settings.interruptible && offer.has_cheaper_interruptible();
+        let interruptible = if use_interruptible {
             self.spread(offer, &zones, needed.at_target)
         } else {
             BTreeMap::new()
         };
         let kept = self.kept(offer, seen);
-        let ordinary = if cheap {
+        let ordinary = if use_interruptible {
             self.uncovered(offer, seen, &interruptible, needed.strained)
         } else {
             divide(needed.at_target, &kept, |_| offer.max)
@@ -434,7 +438,7 @@
                 .saturating_sub(interruptible_here.max(interruptible_now));
             wanted.push((zone.clone(), Kind::Ordinary, ordinary_here.min(room)));
             // The order of a zone without available endpoints stays unchanged.
-            if cheap && !self.scarce_until.contains_key(&zone) {
+            if use_interruptible && !self.scarce_until.contains_key(&zone) {
                 wanted.push((zone, Kind::Interruptible, interruptible_here));
             }
         }
@@ -492,8 +496,8 @@
         let min_kept = (f64::from(needed) * MIN_KEPT_RATIO).ceil() as u32;
         let missing_now = min_kept.saturating_sub(serving).min(kept.values().sum());
         let unavailable = needed.saturating_sub(available);
-        let cheap = |zone: &name::Zone| interruptible.get(zone).copied().unwrap_or(0);
-        let room = |zone: &name::Zone| offer.max.saturating_sub(cheap(zone));
+        let interruptible_in = |zone: &name::Zone| interruptible.get(zone).copied().unwrap_or(0);
+        let room = |zone: &name::Zone| offer.max.saturating_sub(interruptible_in(zone));
         divide(missing_now.max(unavailable), &kept, room)
     }
 
@@ -531,6 +535,8 @@
         accepted.unwrap_or(serves)
     }
 
+    /// Returns whether an order differs from the last accepted one, or from what serves if there is
+    /// none, or has not been followed within the endpoints' start time.
     fn is_due(&self, order: &Order, offer: &Offer, seen: &Observed, now: Duration) -> bool {
         let Order { zone, kind, count } = order;
         let serves = seen.zones.get(zone).map_or(0, |zone| zone.count(*kind));
@@ -577,17 +583,17 @@
     let mut parts = kept.clone();
     let mut missing = wanted - all;
     while missing > 0 {
-        let mut given = 0;
+        let mut added = 0;
         for (zone, here) in &mut parts {
-            if given < missing && *here < room(zone) {
+            if added < missing && *here < room(zone) {
                 *here += 1;
-                given += 1;
+                added += 1;
             }
         }
-        if given == 0 {
+        if added == 0 {
             break;
         }
-        missing -= given;
+        missing -= added;
     }
     parts
 }
--- a/src/scalewood/core/throttle/ballot.rs
+++ b/src/scalewood/core/throttle/ballot.rs
@@ -12,7 +12,8 @@
 use super::Limit;
 use crate::core::{name, rendezvous};
 
-/// A voter counts as reachable for this long after its last answer; it answers four times a second.
+/// A voter counts as reachable for this long after its last answer; it answers about twice a second
+/// or more often.
 const PEER_TIMEOUT: Duration = Duration::from_millis(750);
 /// How long a vote is valid, counted from when it was requested.
 const VOTE_LEASE: Duration = Duration::from_millis(500);
--- a/src/scalewood/core/throttle/book.rs
+++ b/src/scalewood/core/throttle/book.rs
@@ -37,8 +37,8 @@
     /// The limit, or `None` once it has ended.
     limit: Option<Limit>,
     /// When the report arrived at the process that received it first, by the clock here.
-    heard: Duration,
-    /// The value of `heard` when the report was last queued for other processes.
+    heard_at: Duration,
+    /// The value of `heard_at` when the report was last queued for other processes.
     forwarded: Duration,
     /// Since when this process has known of a limit without interruption.
     since: Duration,
@@ -94,8 +94,8 @@
 }
 
 impl Book {
-    /// Records the limit in an answer to a request that was sent at `sent_at`; `reported` is `None` if
-    /// the answer has no limit.
+    /// Records the limit in an answer to a request that was sent at `sent_at`; `reported` is `None`
+    /// if the answer has no limit.
     pub fn observe(
         &mut self,
         endpoint: &name::Endpoint,
@@ -113,7 +113,7 @@
         }
         let known = known.copied();
         let limit = known.and_then(|report| report.limit);
-        let may_be_outdated = known.is_some_and(|report| sent_at < report.heard);
+        let may_be_outdated = known.is_some_and(|report| sent_at < report.heard_at);
         match (limit, reported) {
             (None, None) => return Change::Unchanged,
             // The request was sent before the last report arrived, so the answer may be older: it
@@ -134,18 +134,18 @@
 
     /// Merges a report from another process. Returns whether the limit changed.
     pub fn merge(&mut self, row: &Row, now: Duration) -> bool {
-        let heard = now.saturating_sub(row.age);
+        let heard_at = now.saturating_sub(row.age);
         let known = self.reports.get(&row.endpoint).copied();
         if let Some(known) = known {
-            let is_later = (row.start, heard) > (known.start, known.heard);
+            let is_later = (row.start, heard_at) > (known.start, known.heard_at);
             let same = row.start == known.start && row.limit == known.limit;
-            if !is_later || (same && heard < known.forwarded + CONFIRMATION_INTERVAL) {
+            if !is_later || (same && heard_at < known.forwarded + CONFIRMATION_INTERVAL) {
                 return false;
             }
         }
         let same_start = known.filter(|report| report.start == row.start);
         let before = same_start.and_then(|report| report.limit);
-        self.set(&row.endpoint, row.start, row.limit, heard, now);
+        self.set(&row.endpoint, row.start, row.limit, heard_at, now);
         row.limit != before
     }
 
@@ -154,7 +154,7 @@
         endpoint: &name::Endpoint,
         start: registry::Start,
         limit: Option<Limit>,
-        heard: Duration,
+        heard_at: Duration,
         now: Duration,
     ) {
         let known = self
@@ -164,31 +164,31 @@
         let limited = known.filter(|report| report.limit.is_some());
         let since = limited.map_or(now, |report| report.since);
         let same = known.filter(|report| report.limit == limit);
-        let forwarded = same.filter(|report| heard < report.forwarded + CONFIRMATION_INTERVAL);
+        let forwarded = same.filter(|report| heard_at < report.forwarded + CONFIRMATION_INTERVAL);
         let (forwarded, stamp) = match forwarded {
             Some(report) => (report.forwarded, report.stamp),
             None => {
                 self.stamp += 1;
-                (heard, self.stamp)
+                (heard_at, self.stamp)
             }
         };
         let report = Report {
             start,
             limit,
-            heard,
+            heard_at,
             forwarded,
             since,
             stamp,
         };
         self.reports.insert(endpoint.clone(), report);
-        if forwarded == heard {
+        if forwarded == heard_at {
             self.remove_expired(now);
         }
     }
 
     fn remove_expired(&mut self, now: Duration) {
         self.reports
-            .retain(|_, report| now < report.heard + RETENTION);
+            .retain(|_, report| now < report.heard_at + RETENTION);
     }
 
     /// Returns the limit of a start of an endpoint, if one is known.
@@ -236,7 +236,7 @@
             endpoint: endpoint.clone(),
             start: report.start,
             limit: report.limit,
-            age: now.saturating_sub(report.heard),
+            age: now.saturating_sub(report.heard_at),
         };
         reports.map(row).collect()
     }
--- a/src/scalewood/core/throttle/issuer.rs
+++ b/src/scalewood/core/throttle/issuer.rs
@@ -20,7 +20,7 @@
 };
 use crate::core::name;
 
-/// How long a client is kept after its last request: boxes ask at least twice a second.
+/// How long a client is kept after its last request: boxes ask about every 600 ms or more often.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The most permits of one endpoint that a client can ask for, which bounds the effect of a wrong
 /// number.
--- a/src/scalewood/core/throttle/mod.rs
+++ b/src/scalewood/core/throttle/mod.rs
@@ -96,14 +96,14 @@
 /// Parses the values of the limit header, each a number or a comma-separated list of numbers.
 /// Returns the lowest limit if there are several.
 pub fn parse<'a>(values: impl Iterator<Item = &'a str>) -> Parsed {
-    let mut said = Parsed::Absent;
+    let mut parsed = Parsed::Absent;
     for part in values.flat_map(|value| value.split(',')) {
-        said = match (said, part.parse()) {
+        parsed = match (parsed, part.parse()) {
             (Parsed::Limit(known), Ok(limit)) => Parsed::Limit(known.min(limit)),
             (_, Ok(limit)) => Parsed::Limit(limit),
             (Parsed::Limit(known), Err(Error)) => Parsed::Limit(known),
             (_, Err(Error)) => Parsed::Invalid,
         };
     }
-    said
+    parsed
 }
--- a/src/scalewood/core/throttle/permit.rs
+++ b/src/scalewood/core/throttle/permit.rs
@@ -37,19 +37,19 @@
 type IssuedRow = (name::Endpoint, u32, u64);
 
 impl From<IssuedRow> for Issued {
-    fn from((endpoint, count, left_ms): IssuedRow) -> Self {
+    fn from((endpoint, count, remaining_ms): IssuedRow) -> Self {
         Self {
             endpoint,
             count,
-            remaining: Duration::from_millis(left_ms),
+            remaining: Duration::from_millis(remaining_ms),
         }
     }
 }
 
 impl From<Issued> for IssuedRow {
     fn from(issued: Issued) -> Self {
-        let left_ms = u64::try_from(issued.remaining.as_millis()).unwrap_or(u64::MAX);
-        (issued.endpoint, issued.count, left_ms)
+        let remaining_ms = u64::try_from(issued.remaining.as_millis()).unwrap_or(u64::MAX);
+        (issued.endpoint, issued.count, remaining_ms)
     }
 }
 
--- a/src/scalewood/core/usage/book.rs
+++ b/src/scalewood/core/usage/book.rs
@@ -136,8 +136,8 @@
     pub fn lagging(&self, running_ms: u64, end_ms: u64) -> Vec<(Source, u64)> {
         let mut latest: BTreeMap<&name::Box, u64> = BTreeMap::new();
         for (source, entry) in &self.sources {
-            let heard = latest.entry(&source.name).or_default();
-            *heard = entry.heard_ms.max(*heard);
+            let latest_ms = latest.entry(&source.name).or_default();
+            *latest_ms = entry.heard_ms.max(*latest_ms);
         }
         let behind = self.sources.iter().filter(|(source, entry)| {
             let is_latest = latest.get(&source.name) == Some(&entry.heard_ms);
--- a/src/scalewood/core/usage/mod.rs
+++ b/src/scalewood/core/usage/mod.rs
@@ -123,10 +123,10 @@
     }
 }
 
-/// Returns the rows of `counted` that a receiver who knows `told` lacks.
-pub fn difference(told: &BTreeMap<Window, Counts>, counted: &BTreeMap<Window, Counts>) -> Vec<Row> {
+/// Returns the totals in `counted` that differ from those last `sent` to a receiver.
+pub fn difference(sent: &BTreeMap<Window, Counts>, counted: &BTreeMap<Window, Counts>) -> Vec<Row> {
     let rows = counted.iter().map(|(window, counts)| {
-        let known = told.get(window);
+        let known = sent.get(window);
         let is_changed = |team: &name::Team, count: u64| {
             known.and_then(|known| known.get(team)).copied() != Some(count)
         };
--- a/src/scalewood/core/usage/voters.rs
+++ b/src/scalewood/core/usage/voters.rs
@@ -45,8 +45,8 @@
     }
 
     /// Returns the voters that have not answered since a time. What their boxes counted until then
-    /// may not be known here: a voter that was partitioned off brings it along when it comes back,
-    /// while the boxes of one that died report to another. Returns `None` before the first round,
+    /// may not be known here: a voter that was partitioned off reports it when it comes back, while
+    /// the boxes of one that died report to another. Returns `None` before the first round,
     /// when no voter can have answered yet.
     pub fn unanswered_since(&self, time: Duration) -> Option<Vec<name::Box>> {
         let is_unheard = |voter: &Voter| voter.last_answered_at.is_none_or(|at| at < time);
--- a/src/scalewood/core/wall_clock.rs
+++ b/src/scalewood/core/wall_clock.rs
@@ -47,6 +47,7 @@
 /// The readings of other voters' times of day, and the agreed offset.
 #[derive(Debug, Default)]
 pub struct Readings {
+    /// The offset of each other voter, and when its answer arrived.
     readings: BTreeMap<name::Box, (Offset, Duration)>,
     agreed: Option<Offset>,
 }
--- a/src/scalewood/core/warm_up/state.rs
+++ b/src/scalewood/core/warm_up/state.rs
@@ -54,12 +54,12 @@
 
     /// Records a report of the endpoint, which must be later than all before. Returns whether the
     /// change is to be passed on.
-    pub fn observe(&mut self, left: Option<Remaining>, now: Duration) -> bool {
-        let Some(Remaining(left)) = left else {
+    pub fn observe(&mut self, remaining: Option<Remaining>, now: Duration) -> bool {
+        let Some(Remaining(remaining_ms)) = remaining else {
             return false;
         };
         let before = self.reported.map_or(Duration::ZERO, |(until, _)| until);
-        let until = now.saturating_add(Duration::from_millis(left));
+        let until = now.saturating_add(Duration::from_millis(remaining_ms));
         self.reported = Some((until, now));
         let is_current = before > now || until > now;
         is_current && until.abs_diff(before) >= MIN_FORWARDED_CHANGE
@@ -68,8 +68,8 @@
     /// Returns the remaining time by the endpoint's own report, for passing it on.
     pub fn remaining(&self, now: Duration) -> Option<Remaining> {
         let (until, _) = self.reported?;
-        let left = until.saturating_sub(now).as_millis();
-        Some(Remaining(u64::try_from(left).unwrap_or(u64::MAX)))
+        let remaining_ms = until.saturating_sub(now).as_millis();
+        Some(Remaining(u64::try_from(remaining_ms).unwrap_or(u64::MAX)))
     }
 
     /// Returns the end of the warm-up and why it is assumed, or `None` if the endpoint is warm.
@@ -83,7 +83,10 @@
         let reported = self.reported.map(|(until, _)| (until, Source::Reported));
         let started = self.started.filter(|_| self.reported.is_none());
         let started = started.map(|at| (at + rate.duration(), Source::Started));
-        let reported_since = |at: &Duration| self.reported.is_some_and(|(_, heard)| heard > *at);
+        let reported_since = |at: &Duration| {
+            self.reported
+                .is_some_and(|(_, arrived_at)| arrived_at > *at)
+        };
         let uncordoned = uncordoned.filter(|at| !reported_since(at));
         let uncordoned = uncordoned.map(|at| (at + rate.duration(), Source::Uncordoned));
         let latest = [reported, started, uncordoned].into_iter().flatten();
@@ -93,6 +96,7 @@
 
     /// Returns the age of the endpoint's last report.
     pub fn report_age(&self, now: Duration) -> Option<Duration> {
-        self.reported.map(|(_, heard)| now.saturating_sub(heard))
+        self.reported
+            .map(|(_, arrived_at)| now.saturating_sub(arrived_at))
     }
 }
