--- a/src/scalewood/core/wall_clock.rs
+++ b/src/scalewood/core/wall_clock.rs
@@ -9,7 +9,7 @@
 
 use crate::core::name;
 
-/// How long a voter's reading is used: voters exchange them several times a second.
+/// How long a voter's reading is used: voters exchange them about twice a second or more often.
 const READING_LIFETIME: Duration = Duration::from_secs(3);
 /// The longest round trip of a reading that is used: the error is half of it.
 const MAX_ROUND_TRIP: Duration = Duration::from_millis(400);
@@ -47,6 +47,7 @@
 /// The readings of other voters' times of day, and the agreed offset.
 #[derive(Debug, Default)]
 pub struct Readings {
+    /// The offset of each other voter, and when its answer arrived.
     readings: BTreeMap<name::Box, (Offset, Duration)>,
     agreed: Option<Offset>,
 }
