--- a/src/scalewood/board/entry.rs
+++ b/src/scalewood/board/entry.rs
@@ -48,25 +48,26 @@
     pub service: name::Service,
     /// The zone whose dispatcher is asked for a slot.
     pub zone: name::Zone,
-    /// The dispatcher that was asked last.
+    /// The box whose dispatcher was asked last, if one was known.
     pub dispatcher: Option<name::Box>,
     /// The request for a slot. Its age is as of `asked_at`.
     pub ask: dispatch::Ask,
-    /// What determines the zones in which it may be served.
+    /// The configuration items that determine the regions in which it may be served.
     pub source: residency::Source,
     /// When the request for a slot was made.
     pub asked_at: Duration,
-    /// The endpoint at which it runs, and since when.
+    /// The endpoint at which it runs, and since when; `None` while it waits.
     pub held_at: Option<(name::Endpoint, Duration)>,
-    /// Tokens that this attempt has delivered.
+    /// The tokens that this attempt has delivered, as last reported to the dispatcher. Stays 0 if
+    /// the run can't be preempted.
     pub tokens: unit::Tokens,
     /// The queue for the dispatcher's orders to this request.
     pub orders: mpsc::UnboundedSender<dispatch::Order>,
 }
 
 impl Ticket {
-    /// Applies a configuration's rules on where this request may be served, if it is waiting.
-    /// Returns the reports for its dispatcher if that changed.
+    /// Sets the regions in which this request may be served to those that a configuration allows,
+    /// if it is waiting. Returns the reports for its dispatcher if the regions changed.
     ///
     /// The reports end the attempt, even if a grant for it is on its way, and ask again under the
     /// next attempt number, so that no grant under the previous configuration is used.
@@ -138,13 +139,13 @@
     pub tickets: Sharded<attempt::Request, Ticket>,
     /// The dispatchers that run on this box.
     pub dispatchers: Sharded<name::Service, dispatch::Dispatcher>,
-    /// The buckets of the teams that are in use.
+    /// The rate-limit buckets of teams, each created at a team's first limited request.
     pub limits: Sharded<name::Team, Buckets>,
     /// The retry budgets.
     pub budgets: Sharded<name::Service, retry::Budget>,
     /// The zone's membership.
     pub members: Mutex<member::Members>,
-    /// The live boxes of the zone, including this one.
+    /// The live boxes of the zone, including this one unless it is draining.
     pub live_boxes: ArcSwap<Vec<name::Box>>,
     /// The claims that this box holds.
     pub claims: Mutex<claim::Holder>,
@@ -154,7 +155,8 @@
     pub links: Mutex<HashMap<name::Box, mpsc::UnboundedSender<Report>>>,
     /// The boxes that are subscribed to the orders of this box's dispatchers.
     pub subscribers: Mutex<HashMap<name::Box, mpsc::UnboundedSender<dispatch::Order>>>,
-    /// The dispatchers of other boxes that were lost, with the reports they had received.
+    /// The dispatchers that other boxes have dropped, and with them the reports about this box's
+    /// requests.
     pub lost_dispatchers: Mutex<BTreeSet<(name::Box, name::Service)>>,
     /// The endpoints that registered themselves.
     pub registry: Mutex<registry::Registry>,
@@ -162,17 +164,18 @@
     pub uncordoned: Mutex<warm_up::Uncordoned>,
     /// The endpoints that are assumed to be warming up, and until when.
     pub warming: Mutex<BTreeMap<name::Endpoint, Duration>>,
-    /// The speeds of endpoints as this box measures them.
+    /// The paces of endpoints, as measured by this box or adopted from other boxes.
     pub paces: Mutex<pace::Meters>,
-    /// The endpoints that want no requests from this box for a time.
+    /// The backoffs that endpoints have requested.
     pub backoffs: Mutex<backoff::Book>,
     /// The limits that endpoints set on the requests from all boxes together.
     pub throttles: Mutex<throttle::Book>,
     /// The requests during which endpoints have crashed.
     pub crashes: Mutex<crash::Book>,
-    /// Whether a voter has sent the list of held-back requests since this process started.
+    /// Whether an exchange with a voter, which reports the held-back requests, has succeeded since
+    /// this process started.
     pub held_back_known: AtomicBool,
-    /// Wakes waiting requests when the set of held-back requests changes.
+    /// Counts the changes after which more requests are held back; each wakes the waiting requests.
     pub held_back: watch::Sender<usize>,
     /// The start of the last exchange with a voter that was answered.
     pub last_exchange_at: watch::Sender<Duration>,
@@ -205,6 +208,7 @@
     last_beat_ms: AtomicU64,
     /// Until when messages may be out of date, in milliseconds of the board's clock.
     stale_until_ms: AtomicU64,
+    /// How many times the process was frozen.
     freezes: AtomicU64,
 }
 
@@ -339,7 +343,7 @@
         lock(&self.throttles).limit(endpoint, start)
     }
 
-    /// Returns the known start of an endpoint, or `None` if the endpoint reports none.
+    /// Returns the known start of an endpoint, or `None` if it is not registered or reports none.
     pub fn start_of(&self, endpoint: &name::Endpoint) -> registry::Start {
         lock(&self.registry)
             .get(endpoint)
@@ -353,7 +357,7 @@
         known.is_some_and(|record| record.state == registry::State::Leaving)
     }
 
-    /// Counts a request that an endpoint has begun in a team's usage.
+    /// Adds a request that an endpoint has begun to a team's usage.
     pub fn count_usage(&self, team: &name::Team) {
         let now = self.clock.now();
         let unix_ms = lock(&self.wall).unix_ms(self.clock.unix_ms(), now);
--- a/src/scalewood/board/feed.rs
+++ b/src/scalewood/board/feed.rs
@@ -1,7 +1,8 @@
 //! The configuration as a process receives it and serves it to others.
 //!
-//! Voters publish the committed configuration here, entry boxes the one that they follow. Both serve
-//! subscribers from here, with steps between revisions if they are still kept.
+//! A voter publishes the committed configuration here, and an entry box the configuration that it
+//! received. Both serve subscribers from here: with the steps since a subscriber's revision if all
+//! of them are kept, else with the whole document.
 
 use std::{
     collections::VecDeque,
@@ -49,7 +50,7 @@
         (first.unwrap_or(self.revision) == from).then_some(newer)
     }
 
-    /// Returns the state after a step.
+    /// Returns the state that a step leads to, and drops the oldest steps over the limits.
     fn after(&self, step: change::Step, document: Arc<config::Document>) -> Self {
         let revision = step.revision;
         let mut recent = self.recent.clone();
@@ -127,8 +128,8 @@
         })
     }
 
-    /// Replaces the current state with the newer one that `make` returns, if any; returns whether it
-    /// did.
+    /// Replaces the current state with the newer one that `make` returns, if any; returns whether
+    /// it did.
     fn publish(&self, make: impl FnOnce(&State) -> Option<State>) -> bool {
         self.sender.send_if_modified(|current| {
             let Some(newer) = make(current) else {
--- a/src/scalewood/board/view.rs
+++ b/src/scalewood/board/view.rs
@@ -68,7 +68,7 @@
         self.models.get(model)
     }
 
-    /// Returns the policy program of a service.
+    /// Returns the policy program of a service, if it has one that compiles.
     pub fn program(&self, service: &name::Service) -> Option<&policy::Program> {
         self.programs.get(service)
     }
@@ -100,8 +100,8 @@
         let registered = interleave_zones(registered.collect())
             .into_iter()
             .enumerate();
-        let registered = registered.map(|(place, (record, slow))| dispatch::Spec {
-            rank: place,
+        let registered = registered.map(|(rank, (record, slow))| dispatch::Spec {
+            rank,
             slow,
             memory,
             ..self.spec(record, displaced.contains(&record.name), zone, regions)
@@ -127,8 +127,8 @@
         dispatch::Input::Configure(specs.collect(), classes)
     }
 
-    /// Returns the input that tells the dispatcher of a service in a zone which registered endpoints
-    /// changed or were removed after a stamp of the registry.
+    /// Returns the input that tells the dispatcher of a service in a zone which registered
+    /// endpoints changed or were removed after a stamp of the registry.
     pub fn changed_input(
         &self,
         service: &name::Service,
@@ -160,8 +160,9 @@
         routing.services.get(service)?.memory
     }
 
-    /// Returns the specification of a registered endpoint for a dispatcher of a zone, without what
-    /// depends on other endpoints.
+    /// Returns the specification of a registered endpoint for a dispatcher of a zone. The caller
+    /// sets whether the endpoint is slow, its memory, and, if all endpoints are configured at once,
+    /// its rank.
     fn spec(
         &self,
         record: &registry::Record,
@@ -230,11 +231,12 @@
 }
 
 /// Sorts endpoints into an order that is the same at all boxes and alternates between zones: the
-/// first endpoint of each zone, then the second, and so on. The flag is whether it is slow.
+/// first endpoint of each zone, then the second, and so on. Each flag tells whether the endpoint is
+/// slow.
 fn interleave_zones(mut graded: Vec<(&registry::Record, bool)>) -> Vec<(&registry::Record, bool)> {
     graded.sort_by_key(|(record, _)| (&record.zone, &record.name));
     let mut counts: BTreeMap<&name::Zone, usize> = BTreeMap::new();
-    let mut placed: Vec<_> = graded
+    let mut numbered: Vec<_> = graded
         .into_iter()
         .map(|(record, slow)| {
             let position = counts.entry(&record.zone).or_default();
@@ -242,7 +244,7 @@
             (*position, record, slow)
         })
         .collect();
-    placed.sort_by_key(|(position, record, _)| (*position, &record.zone));
-    let placed = placed.into_iter();
-    placed.map(|(_, record, slow)| (record, slow)).collect()
+    numbered.sort_by_key(|(position, record, _)| (*position, &record.zone));
+    let numbered = numbered.into_iter();
+    numbered.map(|(_, record, slow)| (record, slow)).collect()
 }
--- a/src/scalewood/ops/entry/answer_head.rs
+++ b/src/scalewood/ops/entry/answer_head.rs
@@ -1,4 +1,5 @@
-//! Signals in the head of an endpoint's answer: a requested backoff, a request limit, and leaving.
+//! Signals in the head of an endpoint's answer: a requested backoff, a request limit, and that the
+//! endpoint is leaving.
 //!
 //! Routed requests, streams, plain calls and health checks all read them here, so that a signal
 //! seen by one of them applies to all.
@@ -21,9 +22,9 @@
     util::{clock::Clock as _, lock::lock},
 };
 
-/// How long a configured endpoint that signals in an answer that it leaves gets no requests. It
-/// does not register, so this box never learns of a new start of it: after this time a request
-/// tries it again.
+/// How long a configured endpoint gets no requests after it signals that it is leaving. It does not
+/// register, so this box never learns that it has started again: after this time a request tries
+/// it.
 const CONFIGURED_LEAVING_BACKOFF: Duration = Duration::from_secs(10);
 
 /// Classifies the answer of an endpoint to a request of a service, and records the signals that
@@ -97,7 +98,7 @@
     }
 }
 
-/// Records the backoff that an endpoint requests, if it does.
+/// Records the backoff that the headers of an answer request, if any.
 fn record_backoff<B>(
     board: &Shared,
     service: &name::Service,
@@ -123,7 +124,7 @@
     }
 }
 
-/// Records that an endpoint leaves. A configured endpoint, which isn't in the registry, gets a
+/// Records that an endpoint is leaving. A configured endpoint, which isn't in the registry, gets a
 /// backoff instead.
 fn record_leaving(board: &Shared, service: &name::Service, target: &Target) {
     if lock(&board.registry).get(&target.endpoint).is_none() {
--- a/src/scalewood/ops/entry/call.rs
+++ b/src/scalewood/ops/entry/call.rs
@@ -33,7 +33,9 @@
     pub(super) arrived_at: Duration,
     /// The length of the prompt, as estimated or as the caller stated.
     pub(super) prompt: unit::Tokens,
+    /// The hash of the prompt's beginning, for requests to scalewood's own model API.
     pub(super) prefix: Option<dispatch::Prefix>,
+    /// The shared prefix that the caller stated, for requests of routes.
     pub(super) placed: Option<dispatch::Placed>,
     /// The regions that may serve it, by the configuration in force at its arrival.
     pub(super) allowed: residency::Allowed,
@@ -215,7 +217,8 @@
     f64::from(waiting) / f64::from(slots.max(1))
 }
 
-/// Takes the request and its prompt tokens from the team's rate limits.
+/// Charges the request and its prompt tokens to the team's rate limits, or refuses the request if
+/// it exceeds one of them.
 fn admit(board: &Shared, call: &Call, rights: &config::Team) -> Result<(), Refusal> {
     if rights.requests.is_none() && rights.tokens.is_none() {
         return Ok(());
--- a/src/scalewood/ops/entry/caller.rs
+++ b/src/scalewood/ops/entry/caller.rs
@@ -41,8 +41,8 @@
     util::socket,
 };
 
-/// How long after a failed accept connections count as accepted again if none arrives: a box that
-/// is not ready may get no connection that would show it.
+/// The time without a connection or an error after which a box counts as able to accept again. A
+/// box that is not ready may get no connection, so a success can't be required.
 const ACCEPT_RECOVERY: Duration = Duration::from_millis(500);
 /// The delay after a failed accept. Accepting fails when file descriptors run out; connections
 /// that close during the delay free some.
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Serves callers until told to stop, then waits up to the drain time for running requests.
+    /// Serves callers until `stop` completes, then waits up to the drain time for running requests.
     pub(super) async fn run(self, stop: impl Future<Output = ()>) {
         let graceful = GracefulShutdown::new();
         let mut stop = std::pin::pin!(stop);
@@ -203,8 +203,9 @@
     response
 }
 
-/// Returns whether a request is served by the configured routing. If there is a routing, all
-/// requests are but those to scalewood's own paths.
+/// Returns whether a request is served by the configured routing. If there is a routing, this holds
+/// for all requests but those to scalewood's own paths; and also if nothing is configured yet, in
+/// which case they are refused as not ready.
 fn is_routed(context: &Context, request: &Request<Incoming>) -> bool {
     let view = context.board.view.load();
     let own = view.document.routing.is_none() && !view.is_unconfigured();
--- a/src/scalewood/ops/entry/claim.rs
+++ b/src/scalewood/ops/entry/claim.rs
@@ -27,8 +27,8 @@
     let mut settled = false;
     loop {
         lock(&board.claims).tick(now(&board));
-        let unheard = lock(&board.claims).not_read_back(now(&board));
-        future::join_all(unheard.into_iter().map(|peer| read_back(&board, peer))).await;
+        let peers = lock(&board.claims).not_read_back(now(&board));
+        future::join_all(peers.into_iter().map(|peer| read_back(&board, peer))).await;
         let is_settled = lock(&board.claims).is_settled(now(&board));
         if is_settled && !settled {
             event!(board.log, ClaimsSettled, "claims" => lock(&board.claims).len());
@@ -57,7 +57,8 @@
     Some(board.view.load().document.boxes.get(name)?.address)
 }
 
-/// A claim that was won. Dropping it before it ended tells the holders that the call may have run.
+/// A claim that was won. Dropping it before [`Claim::end`] tells the holders that the call may have
+/// run.
 #[derive(Debug)]
 pub(super) struct Claim {
     board: Shared,
@@ -66,7 +67,7 @@
     holders: Vec<name::Box>,
     /// When the holders were asked.
     claimed_at: Duration,
-    /// Whether the holders were told how the call ended.
+    /// Whether the holders were notified that the call ended or that the claim is released.
     ended: bool,
 }
 
@@ -117,15 +118,15 @@
 }
 
 impl Claim {
-    /// Returns whether the call may still be sent under the claim. After half the retention, as
-    /// when the process waited or was frozen for too long, the holders may drop the claim before
-    /// the call ends.
+    /// Returns whether the call may still be sent under the claim. If half the retention has
+    /// passed, because the call waited or the process was frozen, the holders may drop the claim
+    /// before the call ends.
     pub(super) fn is_fresh(&self) -> bool {
         let retention = lock(&self.board.claims).retention();
         now(&self.board).saturating_sub(self.claimed_at) < retention / 2
     }
 
-    /// Tells the holders whether the call ran.
+    /// Notifies the holders how the call ended. Releases the claim if the call did not run.
     pub(super) fn end(&mut self, verdict: verdict::Verdict) {
         if verdict == verdict::Verdict::NotRun {
             return self.release();
@@ -158,7 +159,7 @@
     }
 }
 
-/// What the holders of a claim are told.
+/// A message to the holders of a claim.
 #[derive(Clone, Copy, Debug)]
 enum Notice {
     /// Nothing was sent under the claim.
--- a/src/scalewood/ops/entry/crash.rs
+++ b/src/scalewood/ops/entry/crash.rs
@@ -1,5 +1,5 @@
-//! Requests under which endpoints end: finds out whether an endpoint has ended, holds such
-//! requests back, and shares them with the voters.
+//! Requests during which endpoints crashed: checks whether an endpoint has crashed, and tells which
+//! requests are held back. `exchange` shares the records with the voters.
 
 use std::{
     collections::BTreeSet,
@@ -40,7 +40,7 @@
     /// Path and query.
     target: String,
     body: Bytes,
-    /// Computed at first use, as is the fingerprint.
+    /// The hash of all but the body's content. Computed at first use, as is the fingerprint.
     head: OnceLock<HeadHash>,
     fingerprint: OnceLock<Fingerprint>,
 }
@@ -75,8 +75,8 @@
 
     /// Returns the fingerprint, which covers the body.
     pub(super) fn fingerprint(&self) -> Fingerprint {
-        let read = || Fingerprint::of(self.head(), &self.0.body);
-        *self.0.fingerprint.get_or_init(read)
+        let compute = || Fingerprint::of(self.head(), &self.0.body);
+        *self.0.fingerprint.get_or_init(compute)
     }
 }
 
@@ -90,15 +90,15 @@
     pub(super) sent_at: Duration,
 }
 
-/// Checks whether an endpoint that broke off a request has ended, and records it if so.
-pub(super) async fn record_if_ended(
+/// Checks whether an endpoint that broke off a request has crashed, and records it if so.
+pub(super) async fn record_if_crashed(
     board: &Shared,
     content: &Content,
     request: &str,
     target: &Target,
 ) {
     let broke_at = now(board);
-    if !has_ended(target.address).await {
+    if !refuses_connections(target.address).await {
         return;
     }
     let fingerprint = content.fingerprint();
@@ -115,7 +115,7 @@
     update(board, |book| book.record_end(fingerprint, end, broke_at));
 }
 
-/// Merges the rows that a voter sent about requests under which endpoints ended.
+/// Merges a voter's records of requests during which endpoints crashed.
 pub(super) fn merge(board: &Shared, rows: Vec<crash::Row>) {
     if rows.is_empty() {
         return;
@@ -128,8 +128,8 @@
     });
 }
 
-/// Records that a request ran to completion, which clears what is known against it. Most requests
-/// are not known at all.
+/// Records that a request ran to completion, which clears the crashes recorded for it. Most
+/// requests have none.
 pub(super) fn record_completed(board: &Shared, content: &Content) {
     if is_known(board, content) {
         let fingerprint = content.fingerprint();
@@ -153,12 +153,12 @@
     is_held_back
 }
 
-/// Returns the fingerprint of a request for the log, if the book may know the request.
+/// Returns the fingerprint of a request for the log, if the crash book may know the request.
 pub(super) fn known_fingerprint(board: &Shared, content: &Content) -> Option<String> {
     is_known(board, content).then(|| content.fingerprint().to_string())
 }
 
-/// Returns whether the book may know a request, by the hash of its head. The fingerprint is
+/// Returns whether the crash book may know a request, by the hash of its head. The fingerprint is
 /// computed only then: for a body of 4 MiB it takes about 3 ms of a core, and almost no request
 /// is known.
 fn is_known(board: &Shared, content: &Content) -> bool {
@@ -169,8 +169,8 @@
     lock(&board.crashes).knows_head(head)
 }
 
-/// Applies a change to the book, logs the requests that it holds back from now on, and if there
-/// are any wakes the waiting requests to check themselves.
+/// Applies a change to the crash book and logs the requests that are held back from now on. If
+/// there are any, wakes the waiting requests, which then check whether they are held back.
 fn update<T>(board: &Shared, act: impl FnOnce(&mut crash::Book) -> T) {
     let mut book = lock(&board.crashes);
     let before: BTreeSet<_> = book.held_back().map(|(known, _)| *known).collect();
@@ -181,8 +181,8 @@
     let added: Vec<_> = added.map(|(known, ends)| (*known, ends.to_vec())).collect();
     let (_, count) = book.counts();
     drop(book);
-    let metric = i64::try_from(count).unwrap_or(i64::MAX);
-    board.metrics.held_back.set(metric);
+    let count = i64::try_from(count).unwrap_or(i64::MAX);
+    board.metrics.held_back.set(count);
     for (fingerprint, ends) in &added {
         let end = |end: &crash::End| format!("{}@{}", end.endpoint, end.at_unix_ms);
         let ends: Vec<_> = ends.iter().map(end).collect();
@@ -194,9 +194,10 @@
     }
 }
 
-/// Returns whether an address refuses connections. An endpoint that broke off an answer but still
-/// runs accepts the connection, and one behind a network partition doesn't answer.
-async fn has_ended(address: SocketAddr) -> bool {
+/// Returns whether an address refuses connections, as it does if its endpoint crashed. An endpoint
+/// that broke off an answer but still runs accepts the connection, and one behind a network
+/// partition doesn't answer.
+async fn refuses_connections(address: SocketAddr) -> bool {
     let connected = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
--- a/src/scalewood/ops/entry/dialect.rs
+++ b/src/scalewood/ops/entry/dialect.rs
@@ -56,13 +56,13 @@
 /// The class of an endpoint's answer, by its status and headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// It is the answer to this request.
+    /// The endpoint's answer to this request.
     Answer,
     /// The endpoint did not run this request and accepts no more of its kind for now.
     Refused,
-    /// Another endpoint than the intended one received the request, and did not run it.
+    /// An endpoint other than the intended one received the request, and did not run it.
     Misdirected,
-    /// It is not a complete answer to this request: it echoes another id, or lacks a header that
+    /// Not a complete answer to this request: it echoes another id, or lacks a header that
     /// the dialect requires.
     Mismatched,
 }
@@ -91,7 +91,7 @@
     /// Classifies an endpoint's answer to the request of the given id.
     fn classify(status: StatusCode, headers: &HeaderMap, id: Option<&str>) -> Disposition;
 
-    /// Returns whether the headers of an answer say that the endpoint leaves.
+    /// Returns whether the headers of an answer say that the endpoint is leaving.
     fn is_leaving(headers: &HeaderMap) -> bool;
 
     /// Returns the event id if a line of a stream holds one.
@@ -129,7 +129,7 @@
 const VERDICT_HEADER: &str = "scalewood-verdict";
 /// The id of the last event of a stream that the caller received.
 const LAST_EVENT_HEADER: &str = "last-event-id";
-/// `1` if the endpoint leaves.
+/// `1` if the endpoint is leaving.
 const LEAVING_HEADER: &str = "scalewood-leaving";
 
 impl Dialect for Native {
--- a/src/scalewood/ops/entry/directory.rs
+++ b/src/scalewood/ops/entry/directory.rs
@@ -1,6 +1,6 @@
 //! Tracks the registries of some voters, and the configuration revision that each reports.
 //!
-//! Each voter reports all endpoints, also those that announced themselves to another voter.
+//! Each voter reports all endpoints, including those that announced themselves to another voter.
 //! `core::follow` decides which voters are tracked.
 
 use std::{
@@ -26,25 +26,26 @@
 
 /// How long a voter may be silent before the connection to it is given up.
 const MAX_SILENCE: Duration = Duration::from_millis(2500);
-/// How often changes of the token rates measured here are sent to a voter, at most.
+/// How long to wait for a voter's update before the changed paces measured here are reported to it.
+/// They are also reported after each update.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// The wait before connecting to a voter again.
+/// The wait before connecting to a voter again after `FIRST_RETRIES` failures in a row.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// The wait before each of the first retries.
+/// The wait before connecting to a voter again after fewer failures in a row.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The number of failures in a row after which a voter is tried less often.
 const FIRST_RETRIES: u32 = 8;
-/// The number of failures in a row after which a voter is forgotten: it may have left the
-/// voters for good.
+/// The number of failures in a row after which a voter is forgotten, since it may have left the
+/// voters for good. It is added again if the settings or another voter name it.
 const MAX_FAILURES: u32 = 40;
-/// How long after its first connection to a voter a box accepts endpoints that a voter only
-/// remembers from before its own start.
+/// How long a box accepts endpoints that a voter restored from before its own start. Counts from
+/// when the box connected to a voter while it was connected to no other.
 const RESTORE_WINDOW: Duration = Duration::from_secs(2);
-/// How often silent endpoints are removed, and the zones of voters looked up.
+/// How often silent endpoints are removed, and unknown zones of voters are requested.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the voters to track are chosen.
 const CHOOSE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a voter may take to report where the other voters are.
+/// How long a voter may take to report the addresses and zones of the voters.
 const PLACES_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A known voter.
@@ -70,31 +71,31 @@
 /// The known voters by address.
 pub(super) type Voters = Arc<Mutex<BTreeMap<SocketAddr, Voter>>>;
 
-/// Tracks voters, also those that other voters report, for ever.
+/// Tracks voters, including those that other voters report, for ever.
 pub(super) async fn run(board: Shared, mut voters: watch::Receiver<Vec<SocketAddr>>) {
-    let followed = Voters::default();
-    tokio::spawn(exchange::run(board.clone(), followed.clone()));
-    tokio::spawn(fetch::run(board.clone(), followed.clone()));
+    let known_voters = Voters::default();
+    tokio::spawn(exchange::run(board.clone(), known_voters.clone()));
+    tokio::spawn(fetch::run(board.clone(), known_voters.clone()));
     let named = voters.borrow().clone();
-    ask_places(&board, &followed, &named).await;
+    ask_places(&board, &known_voters, &named).await;
     let mut swept_at = now(&board);
     loop {
         let named = voters.borrow_and_update().clone();
-        add_voters(&followed, &named);
-        choose(&board, &followed);
+        add_voters(&known_voters, &named);
+        choose(&board, &known_voters);
         let _ = tokio::time::timeout(CHOOSE_INTERVAL, voters.changed()).await;
         if now(&board) >= swept_at + SWEEP_INTERVAL {
             swept_at = now(&board);
             remove_silent(&board);
-            tokio::spawn(locate(followed.clone()));
+            tokio::spawn(locate(known_voters.clone()));
         }
     }
 }
 
 /// Asks a connected voter for the zones of all voters if some are unknown.
-async fn locate(followed: Voters) {
+async fn locate(known_voters: Voters) {
     let client = {
-        let known = lock(&followed);
+        let known = lock(&known_voters);
         let unknown = known.values().any(|voter| voter.candidate.zone.is_none());
         let mut connected = known.values().filter_map(|voter| voter.client.clone());
         connected.next().filter(|_| unknown)
@@ -104,20 +105,21 @@
     };
     // After a failure the next sweep asks again.
     if let Ok(Ok(places)) = tokio::time::timeout(PLACES_TIMEOUT, client.places()).await {
-        record_locations(&followed, places);
+        record_locations(&known_voters, places);
     }
 }
 
-fn record_locations(followed: &Voters, places: Vec<Location>) {
-    let mut known = lock(followed);
+fn record_locations(known_voters: &Voters, places: Vec<Location>) {
+    let mut known = lock(known_voters);
     for place in places.into_iter().filter(|place| place.zone.is_some()) {
         known.entry(place.address).or_default().candidate.zone = place.zone;
     }
 }
 
-/// Asks all named voters at once where the voters are, and takes the first answer. A box that
-/// knows the voters of its zone from the start requests no full registry from another zone.
-async fn ask_places(board: &Shared, followed: &Voters, named: &[SocketAddr]) {
+/// Asks all voters of the settings at once for the zones of the voters, and uses the first answer
+/// that names any. A box that knows the voters of its zone from the start requests no full registry
+/// from another zone.
+async fn ask_places(board: &Shared, known_voters: &Voters, named: &[SocketAddr]) {
     if named.is_empty() {
         return;
     }
@@ -128,16 +130,17 @@
         event!(board.log, VoterAddressesUnknown, "voters" => named.len());
         return;
     };
-    record_locations(followed, places);
+    record_locations(known_voters, places);
 }
 
+/// Returns the voters that a voter reports, or an error if it knows the zone of none.
 async fn places(voter: SocketAddr) -> Result<Vec<Location>, ()> {
     let client = rpc::connect_within(voter, PLACES_TIMEOUT)
         .await
         .map_err(drop)?;
     let places = client.places().await.map_err(drop)?;
-    let located = places.iter().any(|place| place.zone.is_some());
-    if located {
+    let any_located = places.iter().any(|place| place.zone.is_some());
+    if any_located {
         Ok(places)
     } else {
         Err(())
@@ -145,8 +148,8 @@
 }
 
 /// Chooses the voters to track, and starts to track those that are not tracked yet.
-fn choose(board: &Shared, followed: &Voters) {
-    let mut known = lock(followed);
+fn choose(board: &Shared, known_voters: &Voters) {
+    let mut known = lock(known_voters);
     let candidates = known
         .iter()
         .map(|(at, voter)| (*at, voter.candidate.clone()));
@@ -157,13 +160,14 @@
         if voter.wanted && !voter.tracked {
             voter.tracked = true;
             voter.candidate.state = follow::State::Asked(now);
-            tokio::spawn(keep_tracking(board.clone(), followed.clone(), *address));
+            tokio::spawn(keep_tracking(board.clone(), known_voters.clone(), *address));
         }
     }
 }
 
-/// Removes restored endpoints whose heartbeat is overdue, and endpoints that have been silent
-/// for too long while a voter's registry was followed.
+/// Removes restored endpoints whose heartbeat is overdue, and, if a voter has been tracked for long
+/// enough, endpoints that have been silent for too long. Also forgets the paces of unknown
+/// endpoints.
 fn remove_silent(board: &Shared) {
     {
         let registry = lock(&board.registry);
@@ -172,9 +176,9 @@
     let now = now(board);
     let mut registry = lock(&board.registry);
     let mut forgotten = registry.expire_restored(now);
-    let linked_since = *lock(&board.registry_followed_since);
+    let followed_since = *lock(&board.registry_followed_since);
     let silence = registry.timing().max_silence();
-    if linked_since.is_some_and(|since| now >= since + silence) {
+    if followed_since.is_some_and(|since| now >= since + silence) {
         forgotten.extend(registry.expire_silent(now));
     }
     drop(registry);
@@ -184,31 +188,31 @@
     }
 }
 
-fn add_voters(followed: &Voters, voters: &[SocketAddr]) {
-    let mut known = lock(followed);
+fn add_voters(known_voters: &Voters, voters: &[SocketAddr]) {
+    let mut known = lock(known_voters);
     for voter in voters {
         known.entry(*voter).or_default();
     }
 }
 
 /// Tracks a voter while it is wanted, until it has failed `MAX_FAILURES` times in a row.
-async fn keep_tracking(board: Shared, followed: Voters, voter: SocketAddr) {
+async fn keep_tracking(board: Shared, known_voters: Voters, voter: SocketAddr) {
     let mut failures = 0;
-    while failures < MAX_FAILURES && is_wanted(&followed, voter) {
+    while failures < MAX_FAILURES && is_wanted(&known_voters, voter) {
         let within = rpc::connect_timeout(failures / 2);
         failures += 1;
         if let Ok(client) = rpc::connect_within(voter, within).await {
             failures = 0;
             event!(board.log, RegistryFound, "voter" => %voter);
             record_link(&board, true);
-            record_client(&followed, voter, Some(client.clone()));
-            follow(&board, &followed, voter, &client).await;
-            record_client(&followed, voter, None);
+            record_client(&known_voters, voter, Some(client.clone()));
+            follow(&board, &known_voters, voter, &client).await;
+            record_client(&known_voters, voter, None);
             lock(&board.catchup).remove_voter(voter);
             record_link(&board, false);
             event!(board.log, RegistryLost, "voter" => %voter);
         }
-        record_state(&followed, voter, follow::State::Unknown);
+        record_state(&known_voters, voter, follow::State::Unknown);
         let wait = if failures < FIRST_RETRIES {
             FIRST_RETRY_DELAY
         } else {
@@ -216,7 +220,7 @@
         };
         tokio::time::sleep(wait).await;
     }
-    let mut known = lock(&followed);
+    let mut known = lock(&known_voters);
     if failures >= MAX_FAILURES {
         known.remove(&voter);
     } else if let Some(known) = known.get_mut(&voter) {
@@ -225,41 +229,46 @@
     }
 }
 
-fn is_wanted(followed: &Voters, voter: SocketAddr) -> bool {
-    let known = lock(followed);
+fn is_wanted(known_voters: &Voters, voter: SocketAddr) -> bool {
+    let known = lock(known_voters);
     known.get(&voter).is_some_and(|voter| voter.wanted)
 }
 
-fn record_state(followed: &Voters, voter: SocketAddr, state: follow::State) {
-    if let Some(known) = lock(followed).get_mut(&voter) {
+fn record_state(known_voters: &Voters, voter: SocketAddr, state: follow::State) {
+    if let Some(known) = lock(known_voters).get_mut(&voter) {
         known.candidate.state = state;
     }
 }
 
-fn record_client(followed: &Voters, voter: SocketAddr, client: Option<Arc<WsClient>>) {
-    if let Some(known) = lock(followed).get_mut(&voter) {
+fn record_client(known_voters: &Voters, voter: SocketAddr, client: Option<Arc<WsClient>>) {
+    if let Some(known) = lock(known_voters).get_mut(&voter) {
         known.client = client;
     }
 }
 
-fn record_zone(followed: &Voters, voter: SocketAddr, zone: &name::Zone) {
-    if let Some(known) = lock(followed).get_mut(&voter) {
+fn record_zone(known_voters: &Voters, voter: SocketAddr, zone: &name::Zone) {
+    if let Some(known) = lock(known_voters).get_mut(&voter) {
         known.candidate.zone = Some(zone.clone());
     }
 }
 
 /// Records the revision that a voter reports, and wakes the fetcher if it is newer.
-fn record_revision(board: &Shared, followed: &Voters, voter: SocketAddr, revision: unit::Revision) {
-    let near = lock(followed)
+fn record_revision(
+    board: &Shared,
+    known_voters: &Voters,
+    voter: SocketAddr,
+    revision: unit::Revision,
+) {
+    let same_zone = lock(known_voters)
         .get(&voter)
         .is_some_and(|v| v.is_in(&board.own.zone));
-    lock(&board.catchup).record_announced(voter, revision, near, now(board));
+    lock(&board.catchup).record_announced(voter, revision, same_zone, now(board));
     if revision > board.feed.current().revision {
         board.config_announced.notify_one();
     }
 }
 
-/// Counts a connection to a voter that came up or was lost.
+/// Counts a connection to a voter that came up (`up`) or was lost.
 fn record_link(board: &Shared, up: bool) {
     let count = |links: &mut u32| {
         *links = if up {
@@ -278,11 +287,14 @@
     };
 }
 
-async fn follow(board: &Shared, followed: &Voters, voter: SocketAddr, client: &Arc<WsClient>) {
+/// Applies the updates of a voter's registry and reports the paces measured here, until the
+/// connection fails, the voter is silent for too long or it is not to be tracked any more.
+async fn follow(board: &Shared, known_voters: &Voters, voter: SocketAddr, client: &Arc<WsClient>) {
     let own = board.own.name.clone();
     let update = match client.track(own.clone(), Tracker::Box).await {
         Ok(update) => Ok(update),
-        // A build without `track` reports only the names of the endpoints that it heard from.
+        // A voter of a build without `track` names the endpoints that sent a heartbeat instead of
+        // vouching for endpoints.
         Err(_) => client.follow(own).await,
     };
     let mut update = match update {
@@ -300,16 +312,16 @@
         match tokio::time::timeout(REPORT_INTERVAL, update.next()).await {
             Ok(Some(Ok(next))) => {
                 heard_at = now(board);
-                add_voters(followed, &next.voters);
-                record_state(followed, voter, voter_state(&next));
+                add_voters(known_voters, &next.voters);
+                record_state(known_voters, voter, voter_state(&next));
                 if let Some(zone) = &next.zone {
-                    record_zone(followed, voter, zone);
+                    record_zone(known_voters, voter, zone);
                 }
-                record_revision(board, followed, voter, next.revision);
+                record_revision(board, known_voters, voter, next.revision);
                 apply(board, voucher, next);
             }
             Ok(_) => return,
-            Err(_) if !is_wanted(followed, voter) => return,
+            Err(_) if !is_wanted(known_voters, voter) => return,
             Err(_) if now(board) > heard_at + MAX_SILENCE => return,
             Err(_) => {}
         }
@@ -335,12 +347,14 @@
     }
 }
 
-/// Returns the name under which the registry here records what a voter vouches for.
+/// Returns the name under which the registry of this box records the endpoints that a voter vouches
+/// for.
 fn voucher_name(voter: SocketAddr) -> name::Box {
     let name = format!("voter-{}-{}", voter.ip(), voter.port()).replace(':', ".");
     name.parse().expect("an address makes a valid name")
 }
 
+/// Applies a voter's update to the state of this box, and logs what changed.
 fn apply(board: &Shared, voucher: Option<registry::Voucher>, update: RegistryUpdate) {
     let now = now(board);
     record_sharers(board, update.followers);
@@ -405,7 +419,7 @@
     let before = registry.get(&name).and_then(|known| known.incarnation);
     let merged = registry.merge(record, now);
     if merged == registry::Merged::Restarted {
-        // The token rate was measured on an earlier start.
+        // The pace was measured on an earlier start.
         lock(&board.paces).forget(&name);
         event!(board.log, EndpointRestarted, "endpoint" => %name,
             "incarnation" => incarnation.map(|i| i.0), "before" => before.map(|i| i.0),
@@ -422,7 +436,8 @@
     }
 }
 
-/// Records how many boxes use the same endpoints, and passes it to the dispatchers here.
+/// Records how many boxes use the same endpoints, and passes the number to the dispatchers of this
+/// box.
 fn record_sharers(board: &Shared, count: u32) {
     if board.sharers.swap(count, Ordering::Relaxed) == count {
         return;
--- a/src/scalewood/ops/entry/dispatchers.rs
+++ b/src/scalewood/ops/entry/dispatchers.rs
@@ -2,7 +2,7 @@
 //!
 //! Each service of a zone is dispatched by the live box with the highest rendezvous hash. When
 //! that box changes, every box ignores the grants of the old dispatcher and reports to the new
-//! one all requests that it holds or waits for, between `Hello` and `Announced`. So the new
+//! one all its requests that wait or run, between `Hello` and `Announced`. So the new
 //! dispatcher knows every request once all boxes have sent `Announced`.
 
 use std::{
@@ -25,7 +25,7 @@
 
 /// The interval between two ticks of the dispatchers.
 pub(super) const TICK: Duration = Duration::from_millis(20);
-/// How often each request is checked to be with the right dispatcher.
+/// How often each request is checked to be at the right dispatcher.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(200);
 /// The least interval between two full configurations of the dispatchers, for each endpoint
 /// in the registry: a full configuration takes some microseconds per endpoint.
@@ -33,7 +33,7 @@
 /// How long a box waits after its first configuration for a voter to report the requests that
 /// are held back, before it is ready anyway. An exchange with a voter takes a tenth of that.
 const MAX_HELD_BACK_WAIT: Duration = Duration::from_secs(1);
-/// The most items that no known region may serve that are logged for each configuration.
+/// The maximum number of items without a known region that are logged for each configuration.
 const MAX_UNKNOWN_LOGGED: usize = 16;
 
 /// Returns the box that dispatches a service in a zone, as far as this box knows.
@@ -63,15 +63,16 @@
     if let dispatch::Report::Ask(ask) = &mut report {
         let failed_at = ask.avoid.as_ref();
         ask.backoffs = lock(&board.backoffs).updates(to, service, failed_at, now(board));
-        // Each backoff goes with the current start of its endpoint; those that are over are left
-        // out.
+        // Each backoff is sent with the current start of its endpoint; those that have ended are
+        // left out.
         ask.backoffs
             .retain_mut(|notice| board.renew_backoff(notice));
     }
     if *to == board.own.name {
         handle_reports(board, &board.own.name.clone(), service, vec![report]);
     } else if let Some(link) = board.link_queue(to) {
-        // Lost if the link is down: everything is reported again when it is back up.
+        // While the link is down the report is lost: when it is back up, all requests are reported
+        // again.
         let _ = link.send((service.clone(), report));
     }
 }
@@ -99,6 +100,7 @@
     route(board, outputs);
 }
 
+/// Creates and configures the dispatcher of a service; returns it with its first outputs.
 fn open_dispatcher(
     board: &Shared,
     service: &name::Service,
@@ -129,7 +131,7 @@
 }
 
 /// Returns the boxes whose requests the dispatchers here accept. This box is always one of
-/// them, also while it stops, since it serves the requests that it has to their end.
+/// them, even while it drains, since it serves its open requests to their end.
 fn alive(board: &Shared) -> BTreeSet<name::Box> {
     let mut alive: BTreeSet<_> = board.live_boxes.load().iter().cloned().collect();
     alive.insert(board.own.name.clone());
@@ -167,7 +169,7 @@
     shard.get(service)?.basis(attempt)
 }
 
-/// Returns why a dispatcher here refused an attempt for lack of capacity, if it did.
+/// Removes and returns why a dispatcher here refused an attempt for lack of capacity, if it did.
 pub(super) fn cause(
     board: &Shared,
     service: &name::Service,
@@ -177,8 +179,8 @@
     shard.get_mut(service)?.take_cause(attempt)
 }
 
-/// Returns how long an endpoint may be silent on a request that a dispatcher here granted:
-/// `least` if no other request waits at the endpoint.
+/// Returns how long an endpoint may be silent on a request: `least` if nothing waits at the
+/// endpoint, or if this box does not dispatch the service.
 pub(super) fn max_silence(
     board: &Shared,
     service: &name::Service,
@@ -190,14 +192,14 @@
     dispatcher.map_or(least, |d| d.max_silence(endpoint, least, now(board)))
 }
 
-/// Removes the requests of a box that is gone.
+/// Removes the requests of a box that is gone from the dispatchers here.
 pub(super) fn remove_box(board: &Shared, gone: &name::Box) {
     for service in services(board) {
         apply_input(board, &service, dispatch::Input::BoxGone(gone.clone()));
     }
 }
 
-/// Sends each order to the box that it is for.
+/// Sends each order to the box whose request it concerns.
 fn route(board: &Shared, outputs: Vec<dispatch::Output>) {
     if outputs.is_empty() {
         return;
@@ -216,8 +218,8 @@
     deliver(board, &board.own.name.clone(), own);
 }
 
-/// Passes orders to the requests that they are about, unless a request has moved to another
-/// dispatcher since.
+/// Passes orders from a box's dispatchers to the requests that they concern. Drops an order for an
+/// earlier attempt, and one for a request that has moved to another dispatcher.
 pub(super) fn deliver(board: &Shared, from: &name::Box, orders: Vec<dispatch::Order>) {
     for order in orders {
         if let dispatch::Order::Gone(service) = order {
@@ -253,7 +255,7 @@
         alive: Arc::default(),
         reconciled_at: Duration::ZERO,
         freezes: 0,
-        layout: 0,
+        dispatch_stamp: 0,
         stamp: 0,
         last_configured_at: Duration::ZERO,
     };
@@ -269,16 +271,19 @@
 
 struct Controller {
     board: Shared,
-    /// The box that dispatches each service of the zone and was last sent all requests.
+    /// The box that dispatches each service in the zone, and that was sent all requests of this
+    /// box.
     assigned: HashMap<name::Service, name::Box>,
-    /// When there was a configuration for the first time.
+    /// When this box first had a configuration.
     first_configured_at: Option<Duration>,
+    /// The live boxes that the dispatchers are configured with.
     alive: Arc<Vec<name::Box>>,
     reconciled_at: Duration,
     /// How often the process had been frozen when the dispatchers were last reset.
     freezes: u64,
-    /// The registry's layout that the dispatchers are configured with.
-    layout: u64,
+    /// The registry's dispatch stamp up to which the dispatchers were configured with all
+    /// endpoints.
+    dispatch_stamp: u64,
     /// The registry's stamp up to which the dispatchers have received the changes.
     stamp: u64,
     /// When the dispatchers were last configured with all endpoints.
@@ -323,7 +328,7 @@
         self.log_unknown_regions(&view);
     }
 
-    /// Updates where waiting requests may be served to the new configuration.
+    /// Updates the regions in which waiting requests may be served to the new configuration.
     fn renew_residency(&self, view: &View) {
         let now = now(&self.board);
         let mut renewed = Vec::new();
@@ -368,31 +373,31 @@
             "revision" => %view.revision, "behind_ms" => behind.as_millis());
     }
 
-    /// Updates the dispatchers to the registry: to single endpoints that changed at once, and to
-    /// what depends on all endpoints at an interval that grows with their number.
+    /// Passes changes of the registry to the dispatchers: endpoints that changed at once, and all
+    /// endpoints, on which the ranks depend, at an interval that grows with their number.
     fn refresh_registry(&mut self) {
-        let (layout, stamp, count) = {
+        let (dispatch_stamp, stamp, count) = {
             let registry = lock(&self.board.registry);
             (registry.dispatch_stamp(), registry.stamp(), registry.len())
         };
-        if self.layout == layout {
+        if self.dispatch_stamp == dispatch_stamp {
             return;
         }
         let now = now(&self.board);
         let count = u32::try_from(count).unwrap_or(u32::MAX);
         if now >= self.last_configured_at + CONFIGURE_INTERVAL_PER_ENDPOINT.saturating_mul(count) {
             self.last_configured_at = now;
-            self.layout = layout;
+            self.dispatch_stamp = dispatch_stamp;
             self.stamp = stamp;
             self.configure(&self.board.view.load_full());
-        } else if self.stamp < layout {
+        } else if self.stamp < dispatch_stamp {
             let after = std::mem::replace(&mut self.stamp, stamp);
-            self.change(&self.board.view.load_full(), after);
+            self.pass_changes(&self.board.view.load_full(), after);
         }
     }
 
     /// Passes the endpoints that changed after a stamp of the registry to the dispatchers.
-    fn change(&self, view: &View, after: u64) {
+    fn pass_changes(&self, view: &View, after: u64) {
         let board = &self.board;
         for service in services(board) {
             let changed = {
@@ -415,8 +420,8 @@
         }
     }
 
-    /// Follows changes of the live boxes: announces this box's requests to new dispatchers, drops
-    /// those that other boxes run now, and updates readiness.
+    /// Handles changes of the live boxes: announces this box's requests to new dispatchers, drops
+    /// the dispatchers that other boxes run now, and updates readiness.
     fn refresh_dispatchers(&mut self) {
         let alive = self.board.live_boxes.load_full();
         if !Arc::ptr_eq(&alive, &self.alive) {
@@ -453,15 +458,15 @@
     }
 
     /// Returns whether a voter has reported which requests are held back, or
-    /// `MAX_HELD_BACK_WAIT` has passed: a box serves without any voter too.
+    /// `MAX_HELD_BACK_WAIT` has passed, since a box also serves while no voter answers.
     fn is_held_back_known(&mut self) -> bool {
         let now = now(&self.board);
         let since = *self.first_configured_at.get_or_insert(now);
         self.board.held_back_known.load(Ordering::Relaxed) || now >= since + MAX_HELD_BACK_WAIT
     }
 
-    /// Returns whether each peer of the zone has answered or is known to be dead, so that this
-    /// box does not take itself for the only one.
+    /// Returns whether there is a configuration and each peer of the zone has answered or is known
+    /// to be dead, so that this box does not act as if it were the only one.
     fn is_joined(&self) -> bool {
         let members = lock(&self.board.members);
         let view = self.board.view.load();
@@ -471,6 +476,7 @@
         view.revision.0 > 0 && members.has_heard_all(peers)
     }
 
+    /// Announces this box's requests of a service to its dispatcher if that has changed.
     fn refresh_dispatcher(&mut self, service: &name::Service) {
         let zone = self.board.own.zone.clone();
         let Some(dispatcher) = dispatcher_of(&self.board, service, &zone) else {
@@ -483,8 +489,9 @@
         announce(&self.board, service, &dispatcher);
     }
 
-    /// Drops the dispatchers that other boxes run now, and tells all boxes: one that does not see
-    /// the change yet would wait here in vain.
+    /// Drops the dispatchers of services that other boxes dispatch now or that no longer exist, and
+    /// notifies all subscribed boxes: the requests of one that has not seen the change yet would
+    /// wait here in vain.
     fn drop_moved(&self, view: &view::View) {
         let mut dropped = Vec::new();
         self.board.dispatchers.for_each(|shard| {
@@ -521,8 +528,8 @@
         }
     }
 
-    /// Reports all requests again to the dispatchers that were dropped by their box but that this
-    /// box still considers the right ones: the two boxes don't agree yet on which boxes are alive.
+    /// Reports all requests again to the dispatchers that their box has dropped but that this box
+    /// still considers the right ones: the two boxes don't agree yet on which boxes are alive.
     fn announce_again(&self) {
         let gone = std::mem::take(&mut *lock(&self.board.lost_dispatchers));
         for (dispatcher, service) in gone {
@@ -532,7 +539,7 @@
         }
     }
 
-    /// Moves requests that are with a wrong dispatcher to the right one.
+    /// Moves requests that are at a wrong dispatcher to the right one.
     fn reconcile(&self, now: Duration) {
         let mut moved: Vec<(name::Box, Report)> = Vec::new();
         self.board.tickets.for_each(|shard| {
@@ -550,6 +557,7 @@
         }
     }
 
+    /// Writes the loads of the dispatchers here to the board and to the metrics.
     fn publish_loads(&self, now: Duration) {
         let mut fresh = Vec::new();
         self.board.dispatchers.for_each(|shard| {
@@ -580,7 +588,8 @@
     }
 }
 
-/// Reports to a dispatcher all requests that this box holds or waits for.
+/// Reports all requests of a service that this box has in its own zone, waiting or running, to a
+/// dispatcher.
 pub(super) fn announce(board: &Shared, service: &name::Service, dispatcher: &name::Box) {
     let now = now(board);
     lock(&board.backoffs).reset_dispatcher(dispatcher, service);
@@ -604,7 +613,7 @@
 /// The properties of a request by which its zone is chosen.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Criteria<'a> {
-    /// Where the request may be served.
+    /// The regions in which the request may be served.
     pub(super) allowed: &'a residency::Allowed,
     /// The tier of the request.
     pub(super) tier: unit::Tier,
@@ -612,8 +621,9 @@
     pub(super) target: Duration,
 }
 
-/// Returns the zone whose dispatcher a request asks: this box's own, unless the wait there
-/// would miss the target and another zone's would not, or nothing there may serve it.
+/// Returns the zone whose dispatcher a request asks. This is the box's own zone unless the wait
+/// there would miss the target and another zone is much faster, or no configured endpoint there may
+/// serve the request and another zone can.
 pub(super) fn zone_for(
     board: &Shared,
     service: &name::Service,
--- a/src/scalewood/ops/entry/exchange.rs
+++ b/src/scalewood/ops/entry/exchange.rs
@@ -22,33 +22,33 @@
     wire::registry::RegistryClient as _,
 };
 
-/// The least interval between two exchanges.
+/// The least regular interval between two exchanges.
 const PERIOD: Duration = Duration::from_millis(100);
-/// The part of the interval that each box on the same voter adds, so that a voter can serve any
-/// number of boxes: it gets at most 250 calls a second, which take a tenth of a core.
+/// The least interval for each box that uses the same voter, so that a voter can serve any number
+/// of boxes: it gets at most 250 calls a second, which take a tenth of a core.
 const PERIOD_PER_BOX: Duration = Duration::from_millis(4);
-/// The factor by which the interval is longer on a box without requests, which leaves the
-/// voter's time to busy boxes.
+/// The factor on `PERIOD_PER_BOX` on a box without requests, which leaves the voter's time to busy
+/// boxes.
 const IDLE_PERIOD_FACTOR: u32 = 4;
-/// The upper limit of an idle box's interval, well below the time after which the voter drops
-/// a silent box.
+/// The upper limit of what idleness extends the interval to, well below the time after which the
+/// voter drops a silent box.
 const MAX_IDLE_PERIOD: Duration = Duration::from_millis(600);
 /// How long an exchange with a voter may take.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a voter that did not answer is not asked again.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
-/// How long after a voter last issued permits a box uses its own part of each limit instead:
-/// the time that it takes to find another voter.
+/// The time without an answer of a voter that issues permits after which a box uses its own part of
+/// each limit instead: the time that it takes to find another voter.
 const PERMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a box that stops waits for a voter to take its last report.
 const FINAL_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Exchanges loads with a voter, for ever.
-pub(super) async fn run(board: Shared, followed: Voters) {
+pub(super) async fn run(board: Shared, known_voters: Voters) {
     let mut partner = Partner::new(board.clone());
     loop {
-        partner.exchange(&followed).await;
+        partner.exchange(&known_voters).await;
         partner.fall_back();
         let pause = tokio::time::sleep(period(partner.boxes, is_idle(&board)));
         tokio::select! {
@@ -101,7 +101,7 @@
     unanswered: Option<(SocketAddr, Duration)>,
     /// Whether any service is dispatched here.
     dispatches: bool,
-    /// How many boxes use that voter.
+    /// The number of boxes that use the voter.
     boxes: u32,
     /// The loads of this box as last sent to the voter.
     sent_loads: load::Loads,
@@ -111,11 +111,11 @@
     bounds: Vec<load::Bound>,
     /// The usage counts of this box as last sent to the voter.
     sent_usage: BTreeMap<usage::Window, usage::Counts>,
-    /// How far the voter has been sent the requests during which endpoints crashed.
+    /// The position up to which the voter has been sent the crash book's changes.
     crashes: Cursor,
-    /// The registry's stamp up to which the voter has been sent the endpoints that leave.
+    /// The registry's stamp up to which the voter has been sent the leaving endpoints.
     leaving: u64,
-    /// How far the voter has been sent the rate limits of endpoints.
+    /// The stamp up to which the voter has been sent the rate limits of endpoints.
     limits: u64,
     /// When a voter that issues permits last answered.
     issued_at: Duration,
@@ -141,46 +141,49 @@
         }
     }
 
-    /// Returns the voter to use: those of this zone come first, in an order of each box's own.
-    fn choose(&self, followed: &Voters) -> Option<(SocketAddr, Arc<WsClient>)> {
+    /// Returns the voter to use: the first connected one in an order of this box's own, in which
+    /// the voters of this zone come first. A voter that recently did not answer is left out.
+    fn choose(&self, known_voters: &Voters) -> Option<(SocketAddr, Arc<WsClient>)> {
         let now = now(&self.board);
         let unanswered = self.unanswered.filter(|(_, until)| now < *until);
         let unanswered = unanswered.map(|(voter, _)| voter);
-        let followed = lock(followed);
-        let usable = followed
+        let known_voters = lock(known_voters);
+        let usable = known_voters
             .iter()
             .filter(|(voter, known)| known.client.is_some() && Some(**voter) != unanswered);
         let usable = usable.map(|(voter, known)| (*voter, known.candidate.clone()));
         let own = &self.board.own;
         let order = follow::order(&own.name, &own.zone, &usable.collect());
         let voter = *order.first()?;
-        Some((voter, followed[&voter].client.clone()?))
+        Some((voter, known_voters[&voter].client.clone()?))
     }
 
     /// Returns the number of voters in this zone; each may issue leases of its endpoints.
-    fn hubs(&self, followed: &Voters) -> u32 {
-        let followed = lock(followed);
+    fn voters_in_zone(&self, known_voters: &Voters) -> u32 {
+        let known_voters = lock(known_voters);
         let zone = &self.board.own.zone;
-        let in_zone = followed.values().filter(|voter| voter.is_in(zone));
+        let in_zone = known_voters.values().filter(|voter| voter.is_in(zone));
         u32::try_from(in_zone.count()).unwrap_or(u32::MAX)
     }
 
     /// Returns whether a voter is in this zone: only such a voter issues leases of its endpoints.
-    fn is_near(&self, followed: &Voters, voter: SocketAddr) -> bool {
-        let followed = lock(followed);
-        let voter = followed.get(&voter);
+    fn is_in_own_zone(&self, known_voters: &Voters, voter: SocketAddr) -> bool {
+        let known_voters = lock(known_voters);
+        let voter = known_voters.get(&voter);
         voter.is_some_and(|voter| voter.is_in(&self.board.own.zone))
     }
 
-    async fn exchange(&mut self, followed: &Voters) {
-        let Some((voter, client)) = self.choose(followed) else {
+    /// Sends the changed state of this box to a voter and applies the answer.
+    async fn exchange(&mut self, known_voters: &Voters) {
+        let Some((voter, client)) = self.choose(known_voters) else {
             return self.reset();
         };
-        let hubs = self.hubs(followed);
-        let in_zone = self.is_near(followed, voter);
+        let voters_in_zone = self.voters_in_zone(known_voters);
+        let in_zone = self.is_in_own_zone(known_voters, voter);
         let dispatches = !dispatchers::services(&self.board).is_empty();
         if self.voter != Some(voter) || dispatches != self.dispatches {
-            // Placements and the like are sent once: dispatchers opened since need the full state.
+            // Placements and the like are sent only once, so dispatchers opened since need the full
+            // state.
             self.reset();
         }
         self.dispatches = dispatches;
@@ -194,7 +197,8 @@
             (registry.leaving_since(self.leaving), registry.stamp())
         };
         let mut limits = self.limits;
-        // The lock is released before `wanted` locks the dispatchers, which take it in turn.
+        // The lock is released before `wanted_permits` locks the dispatchers: opening a dispatcher
+        // takes the two locks in the opposite order.
         let new_limits = lock(&self.board.throttles).updates(&mut limits, now(&self.board));
         let throttle = core::throttle::Message {
             limits: new_limits,
@@ -202,11 +206,11 @@
         };
         let mut report = load::Update {
             loads: load::difference(&self.sent_loads, &own),
-            placements: taken(&self.board, dispatch::Dispatcher::take_placements),
-            outcomes: taken(&self.board, dispatch::Dispatcher::take_outcomes),
-            prompts: taken(&self.board, dispatch::Dispatcher::take_prompts),
+            placements: collect_all(&self.board, dispatch::Dispatcher::take_placements),
+            outcomes: collect_all(&self.board, dispatch::Dispatcher::take_outcomes),
+            prompts: collect_all(&self.board, dispatch::Dispatcher::take_prompts),
             wanted: if in_zone {
-                wanted(&self.board)
+                wanted_leases(&self.board)
             } else {
                 Vec::new()
             },
@@ -246,7 +250,7 @@
                 if !answer.load.leased.is_empty() {
                     let until = asked_at + warm_up::LEASE_DURATION;
                     let leased = answer.load.leased;
-                    self.apply_input(&dispatch::Input::Leases(leased, until, hubs));
+                    self.apply_input(&dispatch::Input::Leases(leased, until, voters_in_zone));
                 }
             }
             Ok(Ok(None)) => self.reset(),
@@ -257,7 +261,7 @@
         }
     }
 
-    /// Applies the limits that a voter reports and the permits that it issues.
+    /// Applies the rate limits that a voter reports and the permits that it issues.
     fn apply_permits(
         &mut self,
         answer: core::throttle::Answer,
@@ -272,7 +276,8 @@
         self.issued_at = now(&self.board);
     }
 
-    /// Makes the dispatchers use this box's own part of each limit once no voter issues permits.
+    /// Makes the dispatchers use this box's own part of each limit if no voter has issued permits
+    /// for `PERMIT_TIMEOUT`.
     fn fall_back(&self) {
         let since = self.issued_at + PERMIT_TIMEOUT;
         if now(&self.board) >= since {
@@ -326,7 +331,7 @@
         self.bounds = bounds;
     }
 
-    /// Logs that refusals at other boxes have begun, or ceased, to bound less urgent requests.
+    /// Logs the bounds of a service, called when their number has changed.
     fn log_bounds(&self, service: &name::Service, bounds: &[load::Bound]) {
         let bound = |bound: &load::Bound| format!("{}:{}", bound.class, bound.tokens.0);
         let bounds: Vec<_> = bounds.iter().map(bound).collect();
@@ -357,9 +362,9 @@
 }
 
 /// Returns the warming endpoints that the dispatchers here would send to, the most wanted first.
-fn wanted(board: &Shared) -> Vec<name::Endpoint> {
+fn wanted_leases(board: &Shared) -> Vec<name::Endpoint> {
     let now = now(board);
-    let mut wanted = taken(board, |dispatcher| dispatcher.wanted_leases(now));
+    let mut wanted = collect_all(board, |dispatcher| dispatcher.wanted_leases(now));
     wanted.sort_by_key(|(count, _)| Reverse(*count));
     wanted.into_iter().map(|(_, name)| name).collect()
 }
@@ -406,8 +411,8 @@
     });
 }
 
-/// Returns what all dispatchers here have to report since the last call.
-fn taken<T>(board: &Shared, take: impl Fn(&mut dispatch::Dispatcher) -> Vec<T>) -> Vec<T> {
+/// Calls a function on all dispatchers of this box, and returns the items of all results.
+fn collect_all<T>(board: &Shared, take: impl Fn(&mut dispatch::Dispatcher) -> Vec<T>) -> Vec<T> {
     let mut all = Vec::new();
     board.dispatchers.for_each(|shard| {
         for dispatcher in shard.values_mut() {
--- a/src/scalewood/ops/entry/fetch.rs
+++ b/src/scalewood/ops/entry/fetch.rs
@@ -15,7 +15,8 @@
 
 /// How long a voter may take to send a configuration.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a box checks how long it has been behind, and logs it if that is at least as long.
+/// How often a box checks for how long voters have announced a newer revision. It logs a time of at
+/// least this length.
 const BEHIND_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a fetch from a voter failed.
@@ -48,7 +49,7 @@
 }
 
 /// Fetches announced revisions, forever.
-pub(super) async fn run(board: Shared, followed: Voters) {
+pub(super) async fn run(board: Shared, known_voters: Voters) {
     let mut fetches = FuturesUnordered::new();
     let mut feed = board.feed.watch();
     let mut logged_at = Duration::ZERO;
@@ -61,7 +62,7 @@
         log_if_behind(&board, &mut logged_at);
         let at = now(&board);
         while let Some(voter) = lock(&board.catchup).next(at) {
-            fetches.push(fetch_from(board.clone(), followed.clone(), voter));
+            fetches.push(fetch_from(board.clone(), known_voters.clone(), voter));
         }
         let due = lock(&board.catchup).due(at);
         let wait = due.map_or(BEHIND_CHECK_INTERVAL, |due| {
@@ -104,15 +105,17 @@
 
 /// Fetches the configuration from a voter, puts it in force and logs the result. Returns the voter
 /// and whether it succeeded.
-async fn fetch_from(board: Shared, followed: Voters, voter: SocketAddr) -> (SocketAddr, bool) {
+async fn fetch_from(board: Shared, known_voters: Voters, voter: SocketAddr) -> (SocketAddr, bool) {
     let asked_at = now(&board);
-    let client = lock(&followed).get(&voter).and_then(|v| v.client.clone());
-    let taken = match client {
+    let client = lock(&known_voters)
+        .get(&voter)
+        .and_then(|v| v.client.clone());
+    let fetched = match client {
         Some(client) => fetch(&board, &client).await,
         None => Err(Failure::Disconnected),
     };
     let took = now(&board).saturating_sub(asked_at);
-    match &taken {
+    match &fetched {
         Ok(revision) => {
             let behind = lock(&board.catchup).lag(now(&board));
             event!(board.log, RevisionInForce, "revision" => %revision, "voter" => %voter,
@@ -126,7 +129,7 @@
                 "took_ms" => took.as_millis());
         }
     }
-    (voter, taken.is_ok())
+    (voter, fetched.is_ok())
 }
 
 /// Requests the changes since the revision in force and publishes them in this process. Returns
--- a/src/scalewood/ops/entry/link.rs
+++ b/src/scalewood/ops/entry/link.rs
@@ -46,6 +46,7 @@
     }
 }
 
+/// Returns the boxes to which this box needs a link.
 fn wanted(board: &Shared) -> BTreeSet<name::Box> {
     let view = board.view.load();
     let zone = view.boxes_of(&board.own.zone).cloned();
@@ -67,8 +68,10 @@
     }
 }
 
+/// Why a link ended.
 enum Ended {
     Lost,
+    /// The link was removed from the board.
     Unwanted,
 }
 
@@ -84,7 +87,7 @@
     let own = board.own.name.clone();
     let mut orders = client.orders(own.clone()).await.ok()?;
     event!(board.log, PeerUp, "box" => %peer);
-    // The queued reports are covered by the full report that follows.
+    // The queued reports are dropped: all requests are reported again.
     while queue.try_recv().is_ok() {}
     announce_all(board, peer);
     let mut reports = Vec::new();
@@ -108,11 +111,12 @@
     Some(ended)
 }
 
+/// Reports this box's requests to all dispatchers of a peer.
 fn announce_all(board: &Shared, peer: &name::Box) {
     let view = board.view.load_full();
     for service in view.document.services.keys() {
-        let home = dispatchers::dispatcher_of(board, service, &board.own.zone);
-        if home.as_ref() == Some(peer) {
+        let dispatcher = dispatchers::dispatcher_of(board, service, &board.own.zone);
+        if dispatcher.as_ref() == Some(peer) {
             dispatchers::announce(board, service, peer);
         }
     }
@@ -140,6 +144,7 @@
     }
 }
 
+/// Returns the services, with their zones, that a peer dispatches in other zones.
 fn dispatched_in_other_zones(board: &Shared, peer: &name::Box) -> Vec<(name::Service, name::Zone)> {
     let loads = lock(&board.loads);
     let elsewhere = loads
--- a/src/scalewood/ops/entry/member.rs
+++ b/src/scalewood/ops/entry/member.rs
@@ -22,7 +22,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often one box of the other zones, chosen at random, is probed.
 const OTHER_ZONES_INTERVAL: Duration = Duration::from_millis(1000);
-/// The number of loads in one probe, which bounds its cost for any number of services and zones.
+/// The most loads in one probe, which bounds its cost for any number of services and zones.
 const LOADS_PER_PROBE: usize = 3;
 /// The age from which on a load is neither used nor passed on.
 const MAX_LOAD_AGE: Duration = Duration::from_secs(3);
@@ -125,7 +125,8 @@
     client.probe(message(board)).await.ok()
 }
 
-/// Returns the probe message of this box: its membership updates and a random choice of fresh loads.
+/// Returns the probe message of this box: its membership updates, and a random choice of the loads
+/// that are not too old.
 pub(super) fn message(board: &Shared) -> Probe {
     let now = now(board);
     let loads = lock(&board.loads);
@@ -151,7 +152,8 @@
     }
 }
 
-/// Applies another box's probe message: membership updates from this zone, and newer loads.
+/// Applies another box's probe message: membership updates if it is in this zone, and loads that
+/// are newer than the known ones.
 pub(super) fn merge(board: &Shared, probe: Probe) {
     let now = now(board);
     if probe.zone == board.own.zone {
--- a/src/scalewood/ops/entry/mod.rs
+++ b/src/scalewood/ops/entry/mod.rs
@@ -2,15 +2,16 @@
 //!
 //! Its tasks, with what each reads from or writes to the board:
 //!
-//! - [`follow`](crate::ops::source): the configuration in force.
+//! - [`source`]: receives the configuration and publishes it on this box.
 //! - `member`: probes peers; writes which boxes are alive, and their dispatchers' loads.
 //! - `dispatchers`: runs dispatchers, reports this box's requests to theirs, delivers orders.
 //! - `link`: transfers reports and orders between boxes.
-//! - `claim`: claims idempotency keys, and reads claims back after a start.
+//! - `claim`: claims idempotency keys, and restores claims from peers after a start.
 //! - `poll`: polls the health and load of endpoints.
 //! - `directory`: tracks the registries of voters, in which endpoints announce themselves.
-//! - `fetch`: fetches the newest configuration that a voter reports.
+//! - `fetch`: fetches the configuration from a voter that announces a newer revision.
 //! - `exchange`: exchanges the boxes' loads at endpoints with a voter.
+//! - `status`: reports this box's state to the voters.
 //! - `routed`: serves requests that go by routes.
 //! - `caller`: the HTTP server for callers.
 
@@ -91,7 +92,7 @@
     pub limits: Limits,
     /// How many retries all boxes together may send to a service of a route.
     pub retries: retry::Allowance,
-    /// By how much requests to warming endpoints may exceed what these can take.
+    /// By how much requests to warming endpoints may exceed what these can handle.
     pub leeway: warm_up::Leeway,
     /// How long a claimed key is remembered.
     pub claim_retention: Duration,
@@ -110,11 +111,12 @@
     pub max_body: unit::Size,
     /// How long the headers or the body of a request may take to arrive.
     pub arrival_timeout: Duration,
-    /// How long an endpoint may send nothing.
+    /// How long an endpoint may send nothing. Also limits the time in which the body of an answer
+    /// to scalewood's own API arrives, unless it is a stream.
     pub max_silence: Duration,
     /// How long connecting to an endpoint may take.
     pub connect_timeout: Duration,
-    /// The largest answer of a plain service, and of a model that does not stream.
+    /// The largest answer that is not a stream.
     pub max_answer: unit::Size,
 }
 
@@ -287,7 +289,7 @@
 type Shared = Arc<Board<clock::System>>;
 
 /// Runs an entry box until it is asked to stop and has drained. Callers and endpoints of routes
-/// speak the dialect `D`. The settings are read again from `path`, if there is one.
+/// speak the dialect `D`. If there is a `path`, the voters are read from it again when it changes.
 ///
 /// # Errors
 ///
--- a/src/scalewood/ops/entry/model.rs
+++ b/src/scalewood/ops/entry/model.rs
@@ -36,7 +36,7 @@
 
 /// The data of a stream's last event.
 const END_MARK: &str = "[DONE]";
-/// What was delivered to the caller over all attempts.
+/// The parts of a stream that all attempts together have delivered to the caller.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Transcript {
     pub(super) text: String,
@@ -264,7 +264,7 @@
                     "attempt" => %turn.attempt(), "how" => ?failure.end);
                 turn.end(failure.end);
                 let to = (&endpoint, sent_at);
-                plain::record_if_ended(&self.context.board, &self.call, to, failure).await;
+                plain::record_if_crashed(&self.context.board, &self.call, to, failure).await;
                 history.failures += 1;
                 history.verdict = history.verdict.and(failure.verdict);
                 history.avoid = Some(endpoint);
@@ -315,8 +315,8 @@
         .await
     }
 
-    /// Ends the request with an error: as the response if the stream has not started, else as an
-    /// event, after which the connection is closed.
+    /// Ends the request with an error. The error is the response if the stream has not started,
+    /// else an event, after which the connection is closed.
     async fn fail(&mut self, refusal: Refusal) {
         self.observer.refused(&refusal);
         if let Some(head) = self.head.take() {
--- a/src/scalewood/ops/entry/observer.rs
+++ b/src/scalewood/ops/entry/observer.rs
@@ -14,10 +14,14 @@
 pub(super) struct Observer {
     board: Shared,
     call: Call,
+    /// How long after the arrival the first token or the answer came.
     first: Option<Duration>,
+    /// When the last token came.
     last: Duration,
     longest_pause: Duration,
+    /// The tokens of a stream so far.
     tokens: u64,
+    /// Whether an endpoint has begun the request.
     begun: bool,
     ended: bool,
 }
--- a/src/scalewood/ops/entry/plain.rs
+++ b/src/scalewood/ops/entry/plain.rs
@@ -174,14 +174,14 @@
     }
 }
 
-/// Returns the refusal of a call that waited for so long that the holders may drop its claim.
+/// Returns the refusal of a call that waited so long that the holders may soon drop its claim.
 fn key_stale() -> Refusal {
     let why = "the call waited too long for a slot to be sent under its key; send it again";
     Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "key-stale", why)
         .with_retry_after(Duration::from_secs(1))
 }
 
-/// Makes attempts at a call until one is answered or there may be no more.
+/// Makes attempts at a call until one is answered or no further attempt is allowed.
 async fn attempts(
     context: &Context,
     call: &Call,
@@ -246,7 +246,7 @@
                 turn.end(failure.end);
                 event!(board.log, EndpointFailed, "endpoint" => %endpoint, "attempt" => %attempt,
                     "how" => ?failure.end);
-                record_if_ended(board, call, (&endpoint, sent_at), failure).await;
+                record_if_crashed(board, call, (&endpoint, sent_at), failure).await;
                 verdict_so_far = verdict_so_far.and(failure.verdict);
                 if let Err(refusal) =
                     wait_for_retry(board, call, failure, verdict_so_far, attempt.number + 1).await
@@ -265,8 +265,8 @@
     }
 }
 
-/// Checks and records whether an endpoint has ended, if it broke off the request.
-pub(super) async fn record_if_ended(
+/// Records that an endpoint has crashed if it broke off the request and refuses connections.
+pub(super) async fn record_if_crashed(
     board: &Shared,
     call: &Call,
     (endpoint, sent_at): (&name::Endpoint, Duration),
@@ -283,11 +283,12 @@
         sent_at,
         ..target(board, endpoint, known.address)
     };
-    crash::record_if_ended(board, &call.content, &call.request.to_string(), &target).await;
+    crash::record_if_crashed(board, &call.content, &call.request.to_string(), &target).await;
 }
 
-/// Waits until the next attempt, or returns the refusal if there may be none. A retry needs a
-/// failure without a run or a repeatable class, and room in the service's retry budget.
+/// Waits until the next attempt, or returns the refusal if no further attempt is allowed. A retry
+/// needs a repeatable class or a failed attempt that did not run, and a retry in the service's
+/// budget.
 pub(super) async fn wait_for_retry(
     board: &Shared,
     call: &Call,
@@ -432,7 +433,7 @@
     })
 }
 
-/// Returns the record of a request that is sent to a configured endpoint now.
+/// Returns the target of a request that is sent to a configured endpoint now.
 pub(super) fn target(board: &Shared, endpoint: &name::Endpoint, address: SocketAddr) -> Target {
     Target {
         endpoint: endpoint.clone(),
--- a/src/scalewood/ops/entry/poll.rs
+++ b/src/scalewood/ops/entry/poll.rs
@@ -1,4 +1,4 @@
-//! Polls the load of endpoints, and whether they are about to leave.
+//! Polls the load of configured endpoints, and whether they are about to leave.
 //!
 //! Only the box that dispatches a service polls its endpoints, so the cost does not grow with
 //! the number of boxes. The protocol is that of common model servers: `GET /health` answers 200
@@ -20,7 +20,7 @@
 
 /// The pause between two polls of the endpoints.
 const PERIOD: Duration = Duration::from_millis(500);
-/// How long connecting may take, and how long the whole poll of an endpoint.
+/// How long connecting to an endpoint may take, and how long its whole poll may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The body of the answer to `GET /load`.
@@ -29,10 +29,11 @@
     server_load: u32,
 }
 
-/// What an endpoint reported.
+/// The state that an endpoint reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Status {
     leaving: bool,
+    /// The number of requests in the endpoint.
     load: u32,
 }
 
@@ -67,17 +68,17 @@
         });
     for (name, endpoint, state) in futures_util::future::join_all(asked).await {
         let Some(state) = state else { continue };
-        let inside = state.load.saturating_sub(endpoint.slots.0);
+        let backlog = state.load.saturating_sub(endpoint.slots.0);
         dispatchers::apply_input(
             board,
             service,
-            dispatch::Input::Backlog(name.clone(), inside),
+            dispatch::Input::Backlog(name.clone(), backlog),
         );
-        let known = leaving.insert(name.clone(), state.leaving).unwrap_or(false);
-        if state.leaving && !known {
+        let was_leaving = leaving.insert(name.clone(), state.leaving).unwrap_or(false);
+        if state.leaving && !was_leaving {
             event!(board.log, EndpointLeaving, "endpoint" => %name);
         }
-        // Passed on each time, since the dispatcher may be a new one.
+        // Passed on after each poll, since the dispatcher may be a new one.
         let leaves = state.leaving || endpoint.leaving;
         dispatchers::apply_input(
             board,
--- a/src/scalewood/ops/entry/reply.rs
+++ b/src/scalewood/ops/entry/reply.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the refusal of a request under which endpoints ended. Status 429 says that this
+    /// Returns the refusal of a request during which endpoints crashed. Status 429 says that this
     /// caller's request is over its limit, not that the system is busy, and most clients don't
     /// retry before the stated time. If an earlier attempt may have run, the status is 502 instead.
     pub(super) fn held_back(verdict: verdict::Verdict) -> Self {
--- a/src/scalewood/ops/entry/routed/attempt.rs
+++ b/src/scalewood/ops/entry/routed/attempt.rs
@@ -28,12 +28,13 @@
 /// The least time that a repeatable request waits for a silent endpoint before another one is
 /// tried.
 const MIN_HEAD_WAIT: Duration = Duration::from_millis(1000);
-/// How long a repeatable request waits for a silent endpoint, as a multiple of its target.
+/// How long a repeatable request waits for a silent endpoint, as a multiple of its route's target.
 const HEAD_WAIT_IN_TARGETS: u32 = 4;
-/// The wait after which a failure without any answer counts as silence. An endpoint that
-/// refuses or resets does so within a round trip; sent bytes stay unacknowledged for 0.7 s.
+/// The time from sending after which a failure without any answer counts as silence. An endpoint
+/// that refuses or resets a connection does so within a round trip; a connection whose sent bytes
+/// stay unacknowledged breaks after 0.7 s.
 const MIN_SILENCE: Duration = Duration::from_millis(500);
-/// How often to check whether a silent endpoint is merely busy.
+/// How often it is checked whether a silent endpoint is merely busy.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long the body of a refusal may take to arrive, for its connection to be kept.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
@@ -45,18 +46,20 @@
     pub(super) routed: Routed,
     pub(super) observer: Observer,
     ask: dispatch::Ask,
-    /// The attempts so far, those of them that did not reach their endpoint, and those that may
-    /// have run.
+    /// The number of attempts so far.
     pub(super) tries: u32,
+    /// The number of attempts that did not reach their endpoint.
     pub(super) misses: u32,
+    /// The number of attempts that may have run.
     pub(super) runs: u32,
+    /// Whether the request may have run, over all attempts.
     pub(super) verdict: verdict::Verdict,
     last_endpoint: Option<name::Endpoint>,
-    /// Where the last attempt was sent.
+    /// The target of the last attempt.
     sent_to: Option<Target>,
     /// The estimates by which the last endpoint was chosen.
     basis: dispatch::Basis,
-    /// After how long the caller was told to try again.
+    /// The retry time that the refusal stated.
     retry_after: Option<Duration>,
     /// Why the request was refused for lack of capacity, if it was and this box knows it.
     cause: Option<dispatch::Cause>,
@@ -147,8 +150,8 @@
         } = opened;
         // The endpoint has run the request, whatever the status.
         self.observer.begun();
-        let most = self.context.limits.max_answer.0;
-        let read = Limited::new(body, most).collect();
+        let max_bytes = self.context.limits.max_answer.0;
+        let read = Limited::new(body, max_bytes).collect();
         let read = match self.in_time(read).await {
             None => Err(Failure::SILENT),
             Some(Ok(whole)) => Ok(whole.to_bytes()),
@@ -357,7 +360,7 @@
         }
     }
 
-    /// Checks whether the head of an answer belongs to an answer to this request.
+    /// Returns the answer if its head shows that the endpoint answered this request.
     async fn check_head(
         &self,
         target: &Target,
@@ -379,8 +382,8 @@
             Disposition::Answer | Disposition::Mismatched => Err(Failure::BROKEN.into()),
             Disposition::Refused => {
                 let (parts, body) = response.into_parts();
-                let rest = Limited::new(body, self.context.limits.max_answer.0).collect();
-                if let Ok(Ok(_)) = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, rest).await {
+                let whole = Limited::new(body, self.context.limits.max_answer.0).collect();
+                if let Ok(Ok(_)) = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, whole).await {
                     self.keep_connection(endpoint, sender, &parts.headers);
                 }
                 Err(Failure::REFUSED.into())
@@ -388,7 +391,8 @@
             Disposition::Misdirected => {
                 event!(self.context.board.log, EndpointMistaken, "endpoint" => %endpoint,
                     "id" => id);
-                // Only the start that got the request: a later one may have announced itself since.
+                // Ends only the start to which the connection was made: a later one may have
+                // announced itself since.
                 lock(&self.context.board.registry).end(endpoint, sender.start());
                 Err(Failure::MISDIRECTED.into())
             }
@@ -417,10 +421,10 @@
         }
         self.misses += u32::from(failure.missed_endpoint());
         let wait = self.next_wait(failure);
-        let rest = self.context.board.remaining_backoff(endpoint);
+        let backoff = self.context.board.remaining_backoff(endpoint);
         event!(self.context.board.log, RequestRetried, "id" => self.routed.head.id.as_deref(),
             "endpoint" => %endpoint, "how" => ?failure.end, "tries" => self.tries,
-            "rest_ms" => rest.map(|rest| rest.as_millis()), "again" => wait.is_some(), "left_ms" => self.time_left().as_millis());
+            "rest_ms" => backoff.map(|backoff| backoff.as_millis()), "again" => wait.is_some(), "left_ms" => self.time_left().as_millis());
         let Some(wait) = wait else {
             return Err(match own {
                 Some((parts, body)) => self.pass_through(parts, body),
@@ -442,7 +446,7 @@
         let Some(target) = &self.sent_to else { return };
         let call = &self.routed.call;
         let id = self.routed.head.id.as_deref().unwrap_or_default();
-        crash::record_if_ended(&self.context.board, &call.content, id, target).await;
+        crash::record_if_crashed(&self.context.board, &call.content, id, target).await;
     }
 
     /// Restarts the caller's patience: it has received events, and waits for the next one.
@@ -466,7 +470,7 @@
         reply::refusal::<D>(refusal, self.routed.head.id.as_deref())
     }
 
-    /// Returns where the last attempt was allowed to run, or `None` if that is everywhere.
+    /// Returns the regions in which the last attempt was allowed to run, or `None` if all were.
     fn allowed(&self) -> Option<String> {
         let allowed = &self.ask.allowed;
         (!allowed.is_everywhere()).then(|| allowed.to_string())
--- a/src/scalewood/ops/entry/routed/mod.rs
+++ b/src/scalewood/ops/entry/routed/mod.rs
@@ -1,8 +1,9 @@
-//! Serves requests that go by routes, from the caller's head to the final answer.
+//! Serves requests of routes, from the caller's head to the final answer.
 //!
-//! - `outgoing`: the head and body that an endpoint gets.
+//! - `outgoing`: the head and body that are sent to an endpoint.
 //! - `pool`: idle connections to endpoints.
 //! - `attempt`: attempts at endpoints, until one answers or no further one is allowed.
+//! - `retries`: decides whether and when another attempt follows.
 //! - `stream`: relays a stream, and resumes it at another endpoint on failure.
 //! - `reply`: the answers to callers.
 //! - `returning`: detects callers that try again after a refusal.
@@ -40,13 +41,13 @@
 /// How long after its start a box has its routes and endpoints, if the voters start at the same
 /// time.
 const STARTUP_TIME: Duration = Duration::from_millis(1200);
-/// The shortest wait that a caller is told while this box has no routes.
+/// The least wait stated to callers while this box has no routes.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// How often idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What serving requests of routes needs of this box.
+/// The state of this box that serving requests of routes needs.
 #[derive(Clone, Debug)]
 pub(super) struct Context<D> {
     board: Shared,
@@ -54,6 +55,7 @@
     limits: Limits,
     retries: retry::Allowance,
     longest: returning::Longest,
+    /// When this box started, by the process's clock.
     started: Duration,
     dialect: PhantomData<D>,
 }
@@ -237,7 +239,8 @@
     ))
 }
 
-/// Returns the request in the form that dispatchers use.
+/// Returns the request with its service level. The caller sets the allowed regions and whether it
+/// is a retry.
 fn call(
     head: &Head,
     (caller, team): (name::Team, Option<&name::Team>),
--- a/src/scalewood/ops/entry/routed/outgoing.rs
+++ b/src/scalewood/ops/entry/routed/outgoing.rs
@@ -1,5 +1,5 @@
-//! Builds the request that an endpoint gets: the caller's own, without hop-by-hop headers, and
-//! with the system's instructions.
+//! Builds the request that is sent to an endpoint: the caller's own, without hop-by-hop and
+//! reserved headers, and with the system's instructions.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -28,7 +28,7 @@
     "expect",
 ];
 
-/// A caller's request in the form in which endpoints get it.
+/// A caller's request without the headers that are not forwarded.
 #[derive(Clone, Debug)]
 pub(super) struct Outgoing {
     method: Method,
@@ -38,7 +38,7 @@
 }
 
 impl Outgoing {
-    /// Takes a caller's request, and removes the headers that only the system may set.
+    /// Removes hop-by-hop headers and [`Dialect::RESERVED_HEADERS`] from a caller's request.
     pub(super) fn new<D: Dialect>(parts: request::Parts, body: Bytes) -> Self {
         let target = parts.uri.path_and_query().cloned();
         let mut headers = end_to_end(parts.headers);
@@ -68,7 +68,7 @@
     }
 }
 
-/// Removes hop-by-hop headers.
+/// Removes hop-by-hop headers, including those that `connection` names.
 pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -86,7 +86,8 @@
     headers
 }
 
-/// Returns the shared prefix by which a prompt is placed: all its parts but the last.
+/// Returns the shared prefix by which a dispatcher chooses the endpoint of a prompt: all its parts
+/// but the last. Returns `None` if the prompt has fewer than two.
 pub(super) fn placed(head: &Head) -> Option<dispatch::Placed> {
     let (_, shared) = head.parts.split_last()?;
     if shared.is_empty() {
--- a/src/scalewood/ops/entry/routed/pool.rs
+++ b/src/scalewood/ops/entry/routed/pool.rs
@@ -48,7 +48,9 @@
 #[derive(Debug)]
 struct Idle {
     sender: Sender,
+    /// Since when it has been idle.
     since: Duration,
+    /// Until when it may be used.
     until: Duration,
 }
 
@@ -67,8 +69,8 @@
 }
 
 impl Pool {
-    /// Returns a usable idle connection to a start of an endpoint, if there is one; closes those to
-    /// other starts that it comes across.
+    /// Returns a usable idle connection to a start of an endpoint, if there is one. Closes the
+    /// unusable ones that it finds before it, such as those to other starts.
     pub(super) fn take(
         &self,
         endpoint: &name::Endpoint,
@@ -85,9 +87,9 @@
         None
     }
 
-    /// Closes the connections to an endpoint that have been idle since before a time. A connection
-    /// used then got no response, and those idle for longer may be dead too: each would cost a
-    /// request to find out, and one that may run only once would be lost.
+    /// Closes the connections to an endpoint that have been idle since before a time. A request
+    /// sent at that time got no response, so connections that were idle then may be dead too. Each
+    /// would cost a request to find out, and a request that may run only once would be lost.
     pub(super) fn forget(&self, endpoint: &name::Endpoint, before: Duration) {
         if let Some(kept) = lock(&self.idle).get_mut(endpoint) {
             kept.retain(|connection| connection.since > before);
@@ -117,8 +119,8 @@
         }
     }
 
-    /// Closes connections that were idle for too long or whose start of an endpoint is gone.
-    /// `known` returns the current start of each known endpoint.
+    /// Closes connections that were idle for too long, or whose endpoint is gone or has started
+    /// again. `known` returns the current start of an endpoint, or `None` if it is gone.
     pub(super) fn sweep(
         &self,
         now: Duration,
--- a/src/scalewood/ops/entry/routed/reply.rs
+++ b/src/scalewood/ops/entry/routed/reply.rs
@@ -42,7 +42,7 @@
     response
 }
 
-/// The wait that callers are told after a failure that did not run.
+/// The wait stated to callers after a failed request that did not run.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Returns the refusal of a request that got no answer.
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the refusal of a request that was shed, before any attempt or after one that got no
+/// Returns the refusal of a request that was shed before any attempt, or after attempts that got no
 /// answer.
 pub(super) fn shed(
     reason: dispatch::Reason,
--- a/src/scalewood/ops/entry/routed/retries.rs
+++ b/src/scalewood/ops/entry/routed/retries.rs
@@ -19,12 +19,13 @@
 const MAX_MISSES: u32 = 7;
 /// The least remaining time for which another attempt is worth while.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
-/// The longest wait before the first retry, and before any. They are short since requests are
-/// due within some hundred milliseconds.
+/// The longest wait before the first retry. It is short since requests are due within some hundred
+/// milliseconds.
 const MAX_FIRST_WAIT: Duration = Duration::from_millis(10);
+/// The longest wait before any retry.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 
-/// Records a request of a service, which earns its budget a fraction of a retry.
+/// Adds the fraction of a retry that each new request earns to the service's budget.
 pub(super) fn earn<D>(context: &Context<D>, service: &name::Service) {
     let board = &context.board;
     let share = context.retries.share(board.sharers.load(Ordering::Relaxed));
@@ -48,21 +49,22 @@
         self.tries - self.misses
     }
 
+    /// Returns whether the service's budget holds a retry.
     pub(super) fn has_budget(&self) -> bool {
         let service = &self.routed.call.key.service;
         let shard = self.context.board.budgets.shard(service);
         shard.get(service).is_some_and(retry::Budget::has_any)
     }
 
-    /// Takes a retry from the service's budget, after so many attempts of this request; returns how
-    /// long to wait first, or `None` if the budget is used up.
+    /// Takes a retry from the service's budget after `tries` attempts of this request. Returns how
+    /// long to wait first, or `None` if the budget allows no retry.
     fn take_retry(&self, tries: u32) -> Option<Duration> {
         let service = &self.routed.call.key.service;
         let mut shard = self.context.board.budgets.shard(service);
         shard.get_mut(service)?.spend(tries, rand::random())
     }
 
-    /// Returns how long to wait before the next attempt, or `None` if there may be none.
+    /// Returns how long to wait before the next attempt, or `None` if no further one is allowed.
     pub(super) fn next_wait(&self, failure: Failure) -> Option<Duration> {
         let route = &self.routed.route;
         let is_last = if failure.missed_endpoint() {
@@ -80,9 +82,10 @@
         match failure.end {
             // The endpoint received nothing, so the next attempt costs no budget.
             dispatch::End::Unreachable => Some(Duration::ZERO),
-            // By the next tick the dispatcher here knows what barred it, such as a cordon.
+            // By the next tick the dispatcher here knows why the request was not sent, such as a
+            // cordon.
             dispatch::End::Unused => Some(dispatchers::TICK),
-            // A wrong endpoint received the request and turned it away: this costs budget, but
+            // A wrong endpoint received the request and rejected it: this costs budget, but
             // does not count against `MAX_ATTEMPTS`.
             dispatch::End::Mistaken => self.take_retry(0).map(|_| Duration::ZERO),
             _ => self.take_retry(self.reached()),
@@ -90,7 +93,8 @@
     }
 }
 
-/// Returns a service's retry budget. A new one gets the rates that a box may earn and save.
+/// Returns a service's retry budget. A new one is full, with this box's share: the retries that
+/// each request earns, and the most that the budget holds.
 fn budget<'a>(
     budgets: &'a mut HashMap<name::Service, retry::Budget>,
     service: &name::Service,
--- a/src/scalewood/ops/entry/routed/returning.rs
+++ b/src/scalewood/ops/entry/routed/returning.rs
@@ -1,7 +1,7 @@
 //! Detects callers that try again after a refusal.
 //!
-//! A caller states the time that it has left. All first attempts of a class state about the same
-//! time, so one that states clearly less has probably been refused before.
+//! A caller states how long it waits for the answer. All first attempts of a class state about the
+//! same time, so a request that states clearly less has probably been refused before.
 
 use std::{
     collections::HashMap,
--- a/src/scalewood/ops/entry/routed/stream.rs
+++ b/src/scalewood/ops/entry/routed/stream.rs
@@ -1,7 +1,7 @@
 //! Relays a stream to the caller, event by event, and resumes it at another endpoint on failure.
 //!
 //! Only whole events are relayed, so that a stream that breaks off can be resumed after the
-//! last event that the caller has. A stream that can't be resumed is cut off without its regular
+//! last event that was relayed. A stream that can't be resumed is cut off without its regular
 //! end, so the caller never takes it for complete.
 
 use std::time::Duration;
@@ -70,6 +70,7 @@
     pieces: mpsc::Sender<Piece>,
     /// The id of the last event that was relayed.
     last_id: Option<String>,
+    /// The number of pieces that were relayed; each holds one or more events.
     events: u64,
 }
 
@@ -132,6 +133,7 @@
             .give_back(endpoint, sender, keep, now);
     }
 
+    /// Ends the caller's stream with an error, so that the connection is closed.
     async fn cut(self) {
         let _ = self.pieces.send(Err(Truncated)).await;
     }
@@ -144,7 +146,7 @@
         mut body: Incoming,
     ) -> Result<(), Failure> {
         let mut buffer = BytesMut::new();
-        let mut stream = pace::Sampler::default();
+        let mut sampler = pace::Sampler::default();
         let gap = self.request.routed.call.class.gap();
         let mut paused = false;
         loop {
@@ -176,7 +178,7 @@
                     paused = true;
                     turn.report_pause();
                 }
-                self.measure(&mut stream, endpoint);
+                self.measure(&mut sampler, endpoint);
                 let taken =
                     tokio::time::timeout(self.request.time_left(), self.pieces.send(Ok(events)));
                 match taken.await {
@@ -189,11 +191,11 @@
         }
     }
 
-    /// Records an event for the endpoint's token rate.
-    fn measure(&self, stream: &mut pace::Sampler, endpoint: &name::Endpoint) {
+    /// Records an event for the endpoint's pace.
+    fn measure(&self, sampler: &mut pace::Sampler, endpoint: &name::Endpoint) {
         let board = &self.request.context.board;
         let now = now(board);
-        if let Some(pace) = stream.record_event(now) {
+        if let Some(pace) = sampler.record_event(now) {
             let call = &self.request.routed.call;
             let long = call.prompt >= dispatch::LONG_PROMPT;
             lock(&board.paces).observe(&call.key.service, endpoint, pace, long, now);
@@ -215,9 +217,9 @@
 
 /// Returns the position after the last whole event of a buffer.
 fn end_of_events(buffer: &[u8]) -> Option<usize> {
-    let plain = buffer.windows(2).rposition(|pair| pair == b"\n\n");
-    let returns = buffer.windows(4).rposition(|four| four == b"\r\n\r\n");
-    let plain = plain.map(|at| at + 2);
-    let returns = returns.map(|at| at + 4);
-    plain.max(returns)
+    let lf = buffer.windows(2).rposition(|pair| pair == b"\n\n");
+    let crlf = buffer.windows(4).rposition(|four| four == b"\r\n\r\n");
+    let lf = lf.map(|at| at + 2);
+    let crlf = crlf.map(|at| at + 4);
+    lf.max(crlf)
 }
--- a/src/scalewood/ops/entry/server.rs
+++ b/src/scalewood/ops/entry/server.rs
@@ -19,8 +19,8 @@
 /// The maximum number of orders in one message.
 const MAX_ORDERS_PER_MESSAGE: usize = 512;
 
-/// How long a box whose subscription ended has to subscribe again before the dispatchers forget
-/// its requests.
+/// How long a box whose subscription has ended may take to subscribe again before the dispatchers
+/// here remove its requests.
 const RECONNECT_GRACE: Duration = Duration::from_secs(3);
 
 /// Handles the calls of other boxes.
--- a/src/scalewood/ops/entry/status.rs
+++ b/src/scalewood/ops/entry/status.rs
@@ -12,7 +12,7 @@
     wire::control::{ControlClient as _, Heartbeat},
 };
 
-/// The interval between two reports to a voter.
+/// The longest interval between two reports to a voter, and the wait after a failed report.
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// Reports to all voters, for ever. A voter that can't be reached is tried again after `PERIOD`.
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -11,8 +11,8 @@
     util::lock::lock,
 };
 
-/// Records the limit in an answer's headers. A missing header ends the limit only if the answer
-/// is the endpoint's own to the request (`is_own`).
+/// Records the limit in an answer's headers. A missing header ends the limit only if the endpoint
+/// ran the request and this is its answer (`is_own`).
 pub(super) fn observe<D: Dialect, B>(
     board: &Shared,
     target: &Target,
@@ -71,8 +71,8 @@
     }
 }
 
-/// Logs changed limits, with the box or voter they came from, and applies them to the dispatchers
-/// of this box.
+/// Logs changed limits with `by`, the box or voter that reported them, and applies them to the
+/// dispatchers of this box.
 fn apply(board: &Shared, changes: Vec<dispatch::LimitChange>, by: impl fmt::Display) {
     for change in &changes {
         let endpoint = &change.endpoint;
@@ -118,8 +118,8 @@
     wanted
 }
 
-/// Gives the permits that a voter issued to the dispatchers of this box. Their validity counts
-/// from when they were asked for.
+/// Passes the permits that a voter issued to the dispatchers of this box. Their validity counts
+/// from when they were requested.
 pub(super) fn apply_permits(board: &Shared, issued: Vec<throttle::Issued>, asked_at: Duration) {
     if issued.is_empty() {
         return;
--- a/src/scalewood/ops/entry/turn.rs
+++ b/src/scalewood/ops/entry/turn.rs
@@ -23,18 +23,19 @@
     /// The request was shed and may be retried after the given time. The cause is known if the
     /// reason is a lack of capacity and a dispatcher of this box decided.
     Shed(dispatch::Reason, Duration, Option<dispatch::Cause>),
-    /// Endpoints ended under the request, so it is sent to none.
+    /// Endpoints crashed during the request, so it is sent to none.
     HeldBack,
 }
 
-/// How long after its deadline a request waits for a dispatcher to shed it, and how long the caller
-/// is then told to wait if none did.
+/// How long after its deadline a request waits for a dispatcher to shed it, and the time after
+/// which the caller may retry if none did.
 const SHED_GRACE: Duration = Duration::from_secs(1);
 
-/// A request's turn at a slot. Its attempt number rises with each new ask.
+/// A request's turn at a slot. The attempt number of its ticket rises with each new ask.
 #[derive(Debug)]
 pub(super) struct Turn {
     board: Shared,
+    /// The attempt as first asked for, or as granted once it runs.
     attempt: attempt::Attempt,
     orders: mpsc::UnboundedReceiver<dispatch::Order>,
     content: crash::Content,
@@ -43,7 +44,7 @@
     state: State,
     /// The tokens that this attempt has delivered.
     tokens: unit::Tokens,
-    /// Whether the run may be preempted, which is when the dispatcher needs its progress.
+    /// Whether the run may be preempted; only then its progress is reported to the dispatcher.
     preemptible: bool,
 }
 
@@ -65,7 +66,7 @@
         content: &crash::Content,
     ) -> Self {
         let now = now(board);
-        // Each attempt goes by the configuration in force, not by that of the request's arrival.
+        // Each attempt uses the configuration in force, not that of the request's arrival.
         let allowed = source.in_force(&board.view.load().document, &ask.allowed);
         let ask = dispatch::Ask { allowed, ..ask };
         let attempt = ask.attempt;
@@ -181,7 +182,8 @@
             return self.renew_residency();
         }
         self.release();
-        // A dispatcher that was not told of backoffs and leaving avoids the endpoint by this alone.
+        // A dispatcher that doesn't know of the backoff, or that the endpoint is leaving, avoids
+        // the endpoint only because of this.
         self.with_ticket(|ticket| ticket.ask.avoid = Some(endpoint.clone()));
         tokio::time::sleep(dispatchers::TICK).await;
         self.ask_again();
@@ -368,11 +370,11 @@
 enum Bar {
     /// The endpoint's zone is cordoned.
     Cordon,
-    /// It asked this box to send it nothing for a while.
+    /// The endpoint has requested a backoff.
     Backoff,
-    /// It is leaving.
+    /// The endpoint is leaving.
     Leaving,
-    /// It has a request limit that was not known yet when the slot was granted.
+    /// The endpoint has a request limit that was not known yet when the slot was granted.
     Limit,
     /// The request may not be served in the endpoint's region.
     Residency,
--- a/src/scalewood/ops/entry/upstream.rs
+++ b/src/scalewood/ops/entry/upstream.rs
@@ -63,7 +63,8 @@
         verdict: verdict::Verdict::NotRun,
     };
 
-    /// The caller read nothing of the answer until the request's time was over.
+    /// The caller read a stream so slowly that no further piece could be queued for it before the
+    /// request's time was over.
     pub(super) const UNREAD: Failure = Failure {
         end: dispatch::End::Cancelled,
         verdict: verdict::Verdict::MayHaveRun,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Why no answer came over a connection.
+/// Why a request over a connection got no answer head.
 enum SendError {
     /// No byte of the request was written; it can be sent over another connection.
     NotWritten(Box<Request<Full<Bytes>>>),
--- a/src/scalewood/ops/entry/warming.rs
+++ b/src/scalewood/ops/entry/warming.rs
@@ -68,13 +68,13 @@
         "age_ms" => age.map(|age| age.as_millis()));
 }
 
-/// Updates the metrics of requests that the dispatchers of this box sent to warming endpoints, and
-/// of those that they kept back from warming endpoints and from endpoints with a limit.
+/// Adds to the metrics the requests that the dispatchers of this box sent to warming endpoints, and
+/// those that they kept back from warming endpoints and from endpoints with a limit.
 pub(super) fn update_metrics(board: &Shared) {
     board.dispatchers.for_each(|shard| {
         for (service, dispatcher) in shard.iter_mut() {
-            let limited = u64::from(dispatcher.take_limit_diversions());
-            board.metrics.limit_kept_back.inc_by(limited);
+            let diverted = u64::from(dispatcher.take_limit_diversions());
+            board.metrics.limit_kept_back.inc_by(diverted);
             let (sent, kept_back) = dispatcher.take_warm_up_counts();
             if sent == 0 && kept_back == 0 {
                 continue;
