--- a/src/scalewood/ops/entry/dispatchers.rs
+++ b/src/scalewood/ops/entry/dispatchers.rs
@@ -24,7 +24,7 @@
 };
 
 /// The interval between two ticks of the dispatchers.
-pub(super) const TICK: Duration = Duration::from_millis(20);
+pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// How often each request is checked to be at the right dispatcher.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(200);
 /// The least interval between two full configurations of the dispatchers, for each endpoint
@@ -265,7 +265,7 @@
         controller.refresh_registry();
         controller.refresh_dispatchers();
         controller.tick();
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
--- a/src/scalewood/ops/entry/exchange.rs
+++ b/src/scalewood/ops/entry/exchange.rs
@@ -23,7 +23,7 @@
 };
 
 /// The least regular interval between two exchanges.
-const PERIOD: Duration = Duration::from_millis(100);
+const MIN_PERIOD: Duration = Duration::from_millis(100);
 /// The least interval for each box that uses the same voter, so that a voter can serve any number
 /// of boxes: it gets at most 250 calls a second, which take a tenth of a core.
 const PERIOD_PER_BOX: Duration = Duration::from_millis(4);
@@ -75,7 +75,7 @@
 
 /// Returns the interval between two exchanges if so many boxes use the same voter.
 fn period(boxes: u32, idle: bool) -> Duration {
-    let busy = PERIOD.max(PERIOD_PER_BOX * boxes);
+    let busy = MIN_PERIOD.max(PERIOD_PER_BOX * boxes);
     if !idle {
         return busy;
     }
--- a/src/scalewood/ops/entry/member.rs
+++ b/src/scalewood/ops/entry/member.rs
@@ -17,7 +17,7 @@
 };
 
 /// How often the membership state is advanced.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a probe may take.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often one box of the other zones, chosen at random, is probed.
@@ -51,7 +51,7 @@
                 tokio::spawn(probe(board.clone(), clients.clone(), peer, false));
             }
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
--- a/src/scalewood/ops/entry/poll.rs
+++ b/src/scalewood/ops/entry/poll.rs
@@ -19,7 +19,7 @@
 };
 
 /// The pause between two polls of the endpoints.
-const PERIOD: Duration = Duration::from_millis(500);
+const POLL_PAUSE: Duration = Duration::from_millis(500);
 /// How long connecting to an endpoint may take, and how long its whole poll may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -44,7 +44,7 @@
         for service in dispatchers::services(&board) {
             poll(&board, &service, &mut leaving).await;
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(POLL_PAUSE).await;
     }
 }
 
--- a/src/scalewood/ops/entry/routed/retries.rs
+++ b/src/scalewood/ops/entry/routed/retries.rs
@@ -84,7 +84,7 @@
             dispatch::End::Unreachable => Some(Duration::ZERO),
             // By the next tick the dispatcher here knows why the request was not sent, such as a
             // cordon.
-            dispatch::End::Unused => Some(dispatchers::TICK),
+            dispatch::End::Unused => Some(dispatchers::TICK_INTERVAL),
             // A wrong endpoint received the request and rejected it: this costs budget, but
             // does not count against `MAX_ATTEMPTS`.
             dispatch::End::Mistaken => self.take_retry(0).map(|_| Duration::ZERO),
--- a/src/scalewood/ops/entry/status.rs
+++ b/src/scalewood/ops/entry/status.rs
@@ -13,9 +13,10 @@
 };
 
 /// The longest interval between two reports to a voter, and the wait after a failed report.
-const PERIOD: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reports to all voters, for ever. A voter that can't be reached is tried again after `PERIOD`.
+/// Reports to all voters, for ever. A voter that can't be reached is tried again after
+/// `REPORT_INTERVAL`.
 pub(super) async fn run(board: Shared, voters: Vec<SocketAddr>) {
     for voter in voters {
         tokio::spawn(report_to(board.clone(), voter));
@@ -28,10 +29,10 @@
         if let Ok(client) = rpc::connect(voter).await {
             while client.beat(report(&board)).await.is_ok() {
                 // A new revision is reported at once.
-                let _ = tokio::time::timeout(PERIOD, feed.changed()).await;
+                let _ = tokio::time::timeout(REPORT_INTERVAL, feed.changed()).await;
             }
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
--- a/src/scalewood/ops/entry/turn.rs
+++ b/src/scalewood/ops/entry/turn.rs
@@ -178,14 +178,14 @@
     async fn decline_barred(&mut self, endpoint: &name::Endpoint, bar: Bar) {
         self.log_bar(endpoint, bar);
         if bar == Bar::Residency {
-            tokio::time::sleep(dispatchers::TICK).await;
+            tokio::time::sleep(dispatchers::TICK_INTERVAL).await;
             return self.renew_residency();
         }
         self.release();
         // A dispatcher that doesn't know of the backoff, or that the endpoint is leaving, avoids
         // the endpoint only because of this.
         self.with_ticket(|ticket| ticket.ask.avoid = Some(endpoint.clone()));
-        tokio::time::sleep(dispatchers::TICK).await;
+        tokio::time::sleep(dispatchers::TICK_INTERVAL).await;
         self.ask_again();
     }
 
