--- a/src/bin/scalewood-standin/engine.rs
+++ b/src/bin/scalewood-standin/engine.rs
@@ -58,9 +58,9 @@
                 });
             }
             state.arrivals += 1;
-            let place = (priority, state.arrivals);
+            let position = (priority, state.arrivals);
             let (sender, receiver) = oneshot::channel();
-            state.waiting.insert(place, sender);
+            state.waiting.insert(position, sender);
             receiver
         };
         receiver.await.ok()
--- a/src/bin/scalewood-standin/orders.rs
+++ b/src/bin/scalewood-standin/orders.rs
@@ -19,24 +19,24 @@
 /// The orders that were accepted.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
-    taken: Mutex<Vec<Order>>,
+    accepted: Mutex<Vec<Order>>,
 }
 
 impl Orders {
     /// Accepts an order; returns false if fencing refuses it.
     pub(crate) fn take(&self, order: Order, fencing: bool) -> bool {
-        let mut taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
-        let last = taken.last().map(|last| (last.term, last.number));
+        let mut accepted = self.accepted.lock().unwrap_or_else(PoisonError::into_inner);
+        let last = accepted.last().map(|last| (last.term, last.number));
         if fencing && last >= Some((order.term, order.number)) {
             return false;
         }
-        taken.push(order);
+        accepted.push(order);
         true
     }
 
     /// Returns all orders that were accepted.
-    pub(crate) fn taken(&self) -> Vec<Order> {
-        self.taken
+    pub(crate) fn accepted(&self) -> Vec<Order> {
+        self.accepted
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
--- a/src/bin/scalewood-standin/serve.rs
+++ b/src/bin/scalewood-standin/serve.rs
@@ -34,7 +34,7 @@
 
 /// A request whose text contains this ends the process once it runs.
 const CRASH_TEXT: &str = "end the endpoint";
-/// The exit code of a process that such a request has ended.
+/// The exit code of a process that such a request ends.
 const CRASH_EXIT_CODE: i32 = 3;
 
 /// The state of a stand-in.
@@ -157,9 +157,10 @@
         (Method::GET, "/standin/runs") => {
             whole(StatusCode::OK, &json!({ "runs": standin.record.runs() }))
         }
-        (Method::GET, "/standin/orders") => {
-            whole(StatusCode::OK, &json!({ "orders": standin.orders.taken() }))
-        }
+        (Method::GET, "/standin/orders") => whole(
+            StatusCode::OK,
+            &json!({ "orders": standin.orders.accepted() }),
+        ),
         (Method::GET, "/standin/turned-away") => {
             let turned_away = standin.turned_away.lock();
             let turned_away = turned_away.unwrap_or_else(PoisonError::into_inner);
--- a/src/bin/scalewood/commands/config.rs
+++ b/src/bin/scalewood/commands/config.rs
@@ -108,5 +108,5 @@
         println!("nothing to change at revision {}", before.revision);
         return Ok(());
     }
-    commands::make(matches, &client, before.revision, edits).await
+    commands::submit_change(matches, &client, before.revision, edits).await
 }
--- a/src/bin/scalewood/commands/item.rs
+++ b/src/bin/scalewood/commands/item.rs
@@ -176,7 +176,7 @@
     let edit = change::Edit::Set(kind.item(name, &json)?);
     let client = commands::client(matches)?;
     let current = client.config().await?.revision;
-    commands::make(matches, &client, current, vec![edit]).await
+    commands::submit_change(matches, &client, current, vec![edit]).await
 }
 
 async fn remove(kind: Kind, matches: &ArgMatches) -> Exit {
@@ -184,5 +184,5 @@
     let edit = change::Edit::Remove(kind.key(name)?);
     let client = commands::client(matches)?;
     let current = client.config().await?.revision;
-    commands::make(matches, &client, current, vec![edit]).await
+    commands::submit_change(matches, &client, current, vec![edit]).await
 }
--- a/src/bin/scalewood/commands/mod.rs
+++ b/src/bin/scalewood/commands/mod.rs
@@ -130,7 +130,7 @@
 }
 
 /// Sends a change and prints the answer.
-async fn make(
+async fn submit_change(
     matches: &ArgMatches,
     client: &operate::Client,
     current: unit::Revision,
--- a/src/bin/scalewood/commands/status.rs
+++ b/src/bin/scalewood/commands/status.rs
@@ -38,9 +38,9 @@
     for node in status.voter.members.learners() {
         println!("learner {node}");
     }
-    for one in &status.boxes {
-        let beat = &one.beat;
-        let state = match (one.age_ms > SILENT_MS, one.current, beat.ready) {
+    for known in &status.boxes {
+        let beat = &known.beat;
+        let state = match (known.age_ms > SILENT_MS, known.current, beat.ready) {
             (true, _, _) => "silent",
             (_, false, _) => "behind",
             (_, _, false) => "not ready",
@@ -53,7 +53,7 @@
             beat.zone,
             beat.revision,
             services.join(", "),
-            one.age_ms
+            known.age_ms
         );
         for (endpoint, left_ms) in &beat.backoffs {
             println!("  {endpoint} wants nothing from it for {left_ms} ms more");
--- a/src/bin/scalewood/commands/zone.rs
+++ b/src/bin/scalewood/commands/zone.rs
@@ -60,8 +60,8 @@
 
 pub(crate) async fn exec(matches: &ArgMatches) -> Exit {
     match matches.subcommand() {
-        Some(("cordon", matches)) => give(matches, cordon::Action::Cordon).await,
-        Some(("uncordon", matches)) => give(matches, cordon::Action::Uncordon).await,
+        Some(("cordon", matches)) => submit_order(matches, cordon::Action::Cordon).await,
+        Some(("uncordon", matches)) => submit_order(matches, cordon::Action::Uncordon).await,
         Some(("list", matches)) => list(matches).await,
         _ => Ok(()),
     }
@@ -83,7 +83,7 @@
     matches.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-async fn give(matches: &ArgMatches, act: cordon::Action) -> Exit {
+async fn submit_order(matches: &ArgMatches, act: cordon::Action) -> Exit {
     let zone = text(matches, "zone")
         .parse()
         .map_err(|error: name::Error| Failure::Usage(error.to_string()))?;
--- a/src/scalewood/ops/control/admin.rs
+++ b/src/scalewood/ops/control/admin.rs
@@ -1,7 +1,7 @@
 //! The administration API: JSON over HTTP, served with warp.
 //!
-//! Every path but `/healthz` and `/metrics` requires an operator's bearer token. The status tells
-//! what became of a change: `409` not applied, `503` not run, `504` outcome unknown.
+//! Every path but `/healthz` and `/metrics` requires an operator's bearer token. The HTTP status
+//! states the outcome of a change: `409` not applied, `503` not run, `504` unknown.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -249,8 +249,8 @@
             Err(error) => return malformed(&error),
         };
         let id = change.id.clone();
-        let passed = self.handle.change(change, operator.clone()).await;
-        match &passed {
+        let outcome = self.handle.change(change, operator.clone()).await;
+        match &outcome {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 event!(self.log, ChangeAccepted, "change" => %id, "operator" => %operator,
                     "revision" => %revision);
@@ -260,7 +260,7 @@
             }
             _ => {}
         }
-        answer(passed, |answer| match &answer {
+        answer(outcome, |answer| match &answer {
             change::Answer::Accepted { .. } => (StatusCode::OK, warp::reply::json(&answer)),
             change::Answer::NotApplied { .. } => (StatusCode::CONFLICT, warp::reply::json(&answer)),
         })
@@ -298,10 +298,10 @@
 }
 
 pub(super) fn answer<A>(
-    passed: Forwarded<A>,
+    outcome: Forwarded<A>,
     decided: impl FnOnce(A) -> (StatusCode, warp::reply::Json),
 ) -> warp::reply::Response {
-    match passed {
+    match outcome {
         Forwarded::Answer(answer) => {
             let (status, body) = decided(answer);
             warp::reply::with_status(body, status).into_response()
--- a/src/scalewood/ops/control/collect.rs
+++ b/src/scalewood/ops/control/collect.rs
@@ -23,14 +23,14 @@
     wire::registry::{Gathered, RegistryClient as _, Stamps},
 };
 
-/// How often the other voters are queried. A notice of an endpoint's end may be late by this time,
-/// and this much usage is lost if a box and its voter fail together.
+/// How often the other voters are queried. The end of an endpoint may be noticed later by this
+/// time, and the usage of this time is lost if a box and its voter fail together.
 pub(super) const PERIOD: Duration = Duration::from_millis(250);
 /// The timeout of a query, including the connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The heartbeat periods without news of an endpoint after which it is removed.
+/// The number of heartbeat intervals after which an endpoint is removed if no voter has heard it.
 const EXPIRY_HEARTBEATS: u32 = 3;
-/// The time added to those periods for heartbeats that arrive late.
+/// The time added to those intervals for heartbeats that arrive late.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(400);
 
 /// All endpoints, merged from the registries of all voters.
@@ -116,8 +116,8 @@
         for record in gathered.changed {
             registry.merge(record, now);
         }
-        for told in &gathered.leaving {
-            registry.record_leaving(&told.name, told.start);
+        for report in &gathered.leaving {
+            registry.record_leaving(&report.name, report.start);
         }
         registry.apply_ends(&gathered.gone, &gathered.ended, &gathered.left);
         for name in gathered.heard {
--- a/src/scalewood/ops/control/cordon.rs
+++ b/src/scalewood/ops/control/cordon.rs
@@ -18,7 +18,7 @@
     pub async fn cordon(&self, order: cordon::Order) -> Forwarded<change::Answer> {
         match self.cordon_here(order.clone()).await {
             Forwarded::NotLeader => self.links.forward_cordon(self.leader(), order).await,
-            passed => passed,
+            outcome => outcome,
         }
     }
 
@@ -32,8 +32,7 @@
     }
 }
 
-/// Returns why orders for a zone are refused, which is so if zones are configured and it is none of
-/// them.
+/// Returns an error message if zones are configured and the given one is not among them.
 pub(super) fn check_zone(zone: &name::Zone, zones: &region::Map) -> Option<String> {
     if zones.is_empty() || zones.has_zone(zone) {
         return None;
@@ -84,9 +83,9 @@
             why,
             at_unix_ms: unix_ms(),
         };
-        let passed = self.handle.cordon(order).await;
+        let forwarded = self.handle.cordon(order).await;
         let took = self.clock.now().saturating_sub(arrived);
-        let outcome = match &passed {
+        let outcome = match &forwarded {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 event!(self.log, CordonAccepted, "zone" => %mark.zone, "act" => %mark.act,
                     "operator" => %operator, "change" => %id, "revision" => %revision,
@@ -105,7 +104,7 @@
             }
         };
         self.metrics.record_cordon(outcome, took);
-        admin::answer(passed, |answer| match &answer {
+        admin::answer(forwarded, |answer| match &answer {
             change::Answer::Accepted { .. } => (StatusCode::OK, warp::reply::json(&answer)),
             change::Answer::NotApplied { .. } => (StatusCode::CONFLICT, warp::reply::json(&answer)),
         })
--- a/src/scalewood/ops/control/crash.rs
+++ b/src/scalewood/ops/control/crash.rs
@@ -11,8 +11,8 @@
 };
 
 impl admin::Admin {
-    /// Returns the requests that this voter knows to be held back. It learns of every one within
-    /// some tenths of a second.
+    /// Returns the held-back requests that this voter knows. It learns of each one within some
+    /// tenths of a second after a box has held it back.
     pub(super) fn held_back(&self) -> warp::reply::Response {
         let hub = lock(self.endpoints.hub());
         let known = hub.crashes().held_back();
@@ -24,8 +24,8 @@
         warp::reply::json(&HeldBack { held_back }).into_response()
     }
 
-    /// Releases a request that is held back. The other voters and the boxes are told in the same
-    /// way as of a request that completed.
+    /// Releases a request that is held back. The release is passed to the other voters and the
+    /// boxes in the same way as the completion of a request.
     pub(super) fn pardon(
         &self,
         operator: &name::Operator,
--- a/src/scalewood/ops/control/guarded.rs
+++ b/src/scalewood/ops/control/guarded.rs
@@ -95,8 +95,9 @@
         !self.sender.is_closed()
     }
 
-    /// Makes a call while the lease lasts; `holds` returns whether it is held for a given time from
-    /// now. `unix_ms` is what a date in `Retry-After` is compared with if the answer has no date.
+    /// Makes a call while the lease lasts; `holds` returns whether the lease is held for a given
+    /// time from now. `unix_ms` is the time of day with which a date in `Retry-After` is compared
+    /// if the answer has no `Date`.
     pub(super) async fn call(
         &mut self,
         mut request: Request<Full<Bytes>>,
--- a/src/scalewood/ops/control/link.rs
+++ b/src/scalewood/ops/control/link.rs
@@ -119,10 +119,10 @@
     /// Returns a connection to the leader, which is kept between calls.
     async fn leader(&self, leader: Option<raft::Node>) -> Option<Arc<WsClient>> {
         let address = lock(&self.addresses).get(&leader?).copied()?;
-        let kept = lock(&self.leader)
+        let cached = lock(&self.leader)
             .clone()
             .filter(|(at, client)| *at == address && client.is_connected());
-        if let Some((_, client)) = kept {
+        if let Some((_, client)) = cached {
             return Some(client);
         }
         let client = rpc::connect(address).await.ok()?;
@@ -130,7 +130,8 @@
         Some(client)
     }
 
-    /// Calls the leader. On a timeout the outcome is unknown, and the connection is dropped.
+    /// Calls the leader; returns `NotLeader` if it can't be reached. On a timeout the outcome is
+    /// unknown, and the connection is dropped.
     async fn call<T, F>(
         &self,
         leader: Option<raft::Node>,
@@ -146,7 +147,7 @@
             call(client).await.unwrap_or(Forwarded::Unknown)
         };
         match tokio::time::timeout(CALL_TIMEOUT, response).await {
-            Ok(passed) => passed,
+            Ok(outcome) => outcome,
             Err(_) => {
                 *lock(&self.leader) = None;
                 Forwarded::Unknown
--- a/src/scalewood/ops/control/mod.rs
+++ b/src/scalewood/ops/control/mod.rs
@@ -71,7 +71,8 @@
     pub timing: core_registry::Timing,
     /// The operators, with the hashes of their access tokens.
     pub operators: BTreeMap<name::Operator, secret::Hash>,
-    /// The most orders to endpoints per second, limited by the load on the weight store.
+    /// The most orders to endpoints per second. Each order makes an endpoint load a model, and the
+    /// weight store can serve only so many of them.
     pub orders_per_second: unit::Rate,
     /// The settings of the tasks done for a provider.
     pub provider: provider::Settings,
@@ -242,7 +243,7 @@
 fn initialise(
     settings: &Settings,
     identity: raft::Identity,
-    kept: impl FnOnce(raft::Node) -> raft::Persisted<ledger::Ledger>,
+    initial_state: impl FnOnce(raft::Node) -> raft::Persisted<ledger::Ledger>,
 ) -> Result<raft::Node, Report<Error>> {
     let folder = open_folder(settings)?;
     identity::check_unused(&folder).change_context(Error)?;
@@ -251,7 +252,7 @@
         identity,
     };
     // The identity is written last, so a folder that has one is complete even after a power loss.
-    let journal = journal::Journal::create(folder, kept(node)).change_context(Error)?;
+    let journal = journal::Journal::create(folder, initial_state(node)).change_context(Error)?;
     let mut folder = journal.into_media();
     identity::create(&mut folder, &settings.name, identity).change_context(Error)
 }
@@ -315,14 +316,14 @@
     if opened.dropped > 0 {
         event!(log, StoreRepaired, "bytes" => opened.dropped);
     }
-    let place = hints::Store::new(&settings.data);
-    let hints = read_hints(&place, &log);
+    let store = hints::Store::new(&settings.data);
+    let hints = read_hints(&store, &log);
     let feed = Arc::new(feed::Feed::default());
-    let keeper = journal::Writer::new(opened.journal, opened.kept);
+    let writer = journal::Writer::new(opened.journal, opened.kept);
     let (mut handle, failed) = replica::start(
         &settings,
         node,
-        keeper,
+        writer,
         hints.committed,
         feed.clone(),
         clock,
@@ -337,7 +338,7 @@
     let endpoints =
         registry::Endpoints::new(settings.name.clone(), settings.timing, clock, log.clone());
     endpoints.restore_hints(&hints);
-    tokio::spawn(endpoints.clone().store_hints(place, handle.clone()));
+    tokio::spawn(endpoints.clone().store_hints(store, handle.clone()));
     let registry = registry::Server {
         endpoints: endpoints.clone(),
         feed,
@@ -430,29 +431,29 @@
     };
     let hold = provider::Hold::new(handle.clone(), settings.quiet_period, clock, log.clone());
     tokio::spawn(hold.clone().keep());
-    let gathering = collect::Collector::default();
+    let collector = collect::Collector::default();
     tokio::spawn(
-        gathering
+        collector
             .clone()
             .run(hold.clone(), handle.clone(), endpoints.clone(), clock),
     );
     if tasks.contains(&provider::Task::Scaling) {
-        let orderer = scaling::Controller {
+        let controller = scaling::Controller {
             handle: handle.clone(),
             endpoints: endpoints.clone(),
-            gathering: gathering.clone(),
+            collector: collector.clone(),
             settings: settings.scaling.clone(),
             clock,
             log: log.clone(),
         };
         let client = provider::Client::new(hold.clone(), address, settings);
-        tokio::spawn(orderer.run::<D>(client));
+        tokio::spawn(controller.run::<D>(client));
     }
     if tasks.contains(&provider::Task::Usage) {
         let reporter = || usage::Reporter {
             handle: handle.clone(),
             endpoints: endpoints.clone(),
-            gathering: gathering.clone(),
+            collector: collector.clone(),
             clock,
             settings: settings.clone(),
             hold: hold.clone(),
@@ -465,8 +466,8 @@
 }
 
 /// Reads the hints that an earlier process stored beside the journal; empty if they can't be read.
-fn read_hints(place: &hints::Store, log: &slog::Logger) -> hints::Hints {
-    match place.load() {
+fn read_hints(store: &hints::Store, log: &slog::Logger) -> hints::Hints {
+    match store.load() {
         Ok(hints) => {
             event!(log, HintsRead, "paces" => hints.paces.len(),
                 "endpoints" => hints.endpoints.len(), "committed" => %hints.committed);
@@ -487,8 +488,9 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// How long a caller waits for a proposal before its outcome is reported as unknown.
+/// How long a caller waits for the outcome of a proposal before it is reported as unknown, and for
+/// the voter's thread to stop.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The rate of orders to endpoints, per second, if the settings name none.
+/// The default of `orders_per_second`.
 const DEFAULT_ORDERS_PER_SECOND: f64 = 2.0;
--- a/src/scalewood/ops/control/order.rs
+++ b/src/scalewood/ops/control/order.rs
@@ -120,11 +120,11 @@
         }
     }
 
-    /// Returns whether the lease is valid for longer than `long`.
-    fn has_lease_for(&self, published: &Published, long: Duration) -> bool {
+    /// Returns whether the lease is valid for longer than `duration`.
+    fn has_lease_for(&self, published: &Published, duration: Duration) -> bool {
         published
             .lease
-            .is_some_and(|until| until > self.clock.now() + long)
+            .is_some_and(|until| until > self.clock.now() + duration)
     }
 
     /// Sends an order if the lease is still valid for long enough when it is written.
@@ -132,12 +132,12 @@
         let Some(request) = request(order) else {
             return Outcome::Failed;
         };
-        let holds = |long| {
+        let holds = |duration| {
             // Checked again, since connecting may have taken long.
             let published = self.handle.published();
             let current = published.status.term.0 == order.term;
             let cordoned = is_cordoned(&published, endpoint);
-            let may_send = current && !cordoned && self.has_lease_for(&published, long);
+            let may_send = current && !cordoned && self.has_lease_for(&published, duration);
             if may_send {
                 self.check_lease(&published, order);
             }
@@ -191,6 +191,7 @@
 }
 
 /// Returns the orders that the configuration asks for and that were not accepted in this term.
+/// Endpoints in cordoned zones get none.
 fn due(published: &Published, progress: &Progress) -> Vec<Due> {
     let endpoints = published.ledger.document().endpoints.iter();
     let wanted = endpoints.filter_map(|(name, endpoint)| {
--- a/src/scalewood/ops/control/provider/client.rs
+++ b/src/scalewood/ops/control/provider/client.rs
@@ -23,7 +23,7 @@
 /// The longest `Retry-After` that is obeyed: usage reports and orders are overdue after some
 /// minutes.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// How long a caller waits whose call the rate limit or a backoff does not allow.
+/// The wait before a call that the rate limit or a backoff does not allow is reported as busy.
 const RATE_LIMIT_WAIT: Duration = Duration::from_millis(100);
 
 /// Calls the provider, one call at a time.
@@ -77,7 +77,8 @@
         })
     }
 
-    /// Makes a call, and waits before returning if it failed. `what` names the call in the log.
+    /// Makes a call; waits before returning if it failed or was not allowed yet. `what` names the
+    /// call in the log.
     pub(in crate::ops::control) async fn call(
         &mut self,
         authority: &Authority,
@@ -129,8 +130,8 @@
         authority: &Authority,
         request: Request<Full<Bytes>>,
     ) -> Result<guarded::Answer, guarded::Failure> {
-        let kept = self.connection.take().filter(guarded::Connection::is_open);
-        let mut connection = match kept {
+        let reusable = self.connection.take().filter(guarded::Connection::is_open);
+        let mut connection = match reusable {
             Some(connection) => connection,
             None => guarded::Connection::open(self.address).await?,
         };
--- a/src/scalewood/ops/control/provider/hold.rs
+++ b/src/scalewood/ops/control/provider/hold.rs
@@ -16,7 +16,7 @@
     wire::control::Forwarded,
 };
 
-/// How often the holder's state is updated.
+/// How often `keep` updates the state.
 const PERIOD: Duration = Duration::from_millis(100);
 
 /// This voter's state as a holder or candidate, updated by `keep`.
@@ -60,8 +60,8 @@
             }
             if step == fencing::Step::Acquire {
                 let node = self.handle.published().status.node;
-                let taken = self.handle.propose(ledger::Command::Hold(node)).await;
-                event!(self.log, HolderTakesOver, "agreed" => matches!(taken, Forwarded::Answer(_)));
+                let proposed = self.handle.propose(ledger::Command::Hold(node)).await;
+                event!(self.log, HolderTakesOver, "agreed" => matches!(proposed, Forwarded::Answer(_)));
             }
         }
     }
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Returns whether this voter may act under a token now and its lease lasts for `duration` more.
+    /// Returns whether this voter may act under a token now and its lease lasts for `duration`
+    /// more.
     pub(super) fn is_valid_for(&self, token: fencing::Token, duration: Duration) -> bool {
         let published = self.handle.published();
         let until = self.clock.now() + duration;
--- a/src/scalewood/ops/control/provider/settings.rs
+++ b/src/scalewood/ops/control/provider/settings.rs
@@ -55,7 +55,8 @@
     pub window: Duration,
     /// The time after a window's end by which its report is due.
     pub due: Duration,
-    /// The time within which no other holder's calls may lie between two calls of one holder.
+    /// How long a voter that becomes the holder again waits since its own last call, so that within
+    /// this time no other holder's calls lie between two of its own.
     pub quiet_period: Duration,
     /// How the number of endpoints is scaled with demand.
     pub scaling: scaling::Settings,
--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -40,8 +40,8 @@
 
 /// The largest body, in bytes.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
-/// The largest heartbeat, in bytes. A heartbeat has some hundred, or some thousand if it names many
-/// models.
+/// The largest heartbeat, in bytes. A usual one has some hundred bytes, or some thousand if it
+/// names many models.
 const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 /// How long a connection may be idle, and a request's head may take to arrive.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -102,7 +102,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with the reason if the body can't be parsed.
+    /// Fails with the reason if the body can't be parsed, or if a field is invalid or names another
+    /// endpoint.
     fn record(name: name::Endpoint, body: &[u8]) -> Result<registry::Record, registry::Refusal>;
 }
 
@@ -278,9 +279,9 @@
     fn refuse_record(&self, name: &name::Endpoint, refusal: &registry::Refusal) -> Reply {
         self.metrics.record_refused(refusal.reason);
         let unlogged = lock(&self.refusals).record(refusal.reason, self.clock.now());
-        if let Some(untold) = unlogged {
+        if let Some(unlogged) = unlogged {
             event!(self.log, BadAnnouncement, "endpoint" => %name,
-                "reason" => refusal.reason.as_str(), "why" => &refusal.detail, "untold" => untold);
+                "reason" => refusal.reason.as_str(), "why" => &refusal.detail, "untold" => unlogged);
         }
         let status = match refusal.reason {
             registry::Reason::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
@@ -329,13 +330,13 @@
             operator: publisher(),
             at_unix_ms: unix_ms(),
         };
-        let passed = with_timeout(self.handle.publish(publication)).await;
-        self.publish_reply(version, passed)
+        let outcome = with_timeout(self.handle.publish(publication)).await;
+        self.publish_reply(version, outcome)
     }
 
     /// Logs the outcome of a routing, and returns the reply.
-    fn publish_reply(&self, version: u64, passed: Forwarded<change::Answer>) -> Reply {
-        match passed {
+    fn publish_reply(&self, version: u64, outcome: Forwarded<change::Answer>) -> Reply {
+        match outcome {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 event!(self.log, VersionPublished, "version" => version, "revision" => %revision);
                 reply(StatusCode::OK, "{}")
@@ -350,7 +351,7 @@
         }
     }
 
-    /// Logs that a routing is refused, and returns the reply.
+    /// Logs that a routing was refused, and returns the reply.
     fn refuse(&self, version: Option<u64>, why: &str) -> Reply {
         event!(self.log, VersionRefused, "version" => version, "why" => why);
         failure(StatusCode::BAD_REQUEST, why)
@@ -372,19 +373,19 @@
             why: String::new(),
             at_unix_ms: unix_ms(),
         };
-        let passed = with_timeout(self.handle.cordon(order)).await;
+        let outcome = with_timeout(self.handle.cordon(order)).await;
         let took = self.clock.now().saturating_sub(arrived);
-        self.cordon_reply(&mark, passed, took)
+        self.cordon_reply(&mark, outcome, took)
     }
 
-    /// Records the outcome of an order, and returns the reply.
+    /// Logs and counts the outcome of an order to cordon or uncordon, and returns the reply.
     fn cordon_reply(
         &self,
         mark: &cordon::Mark,
-        passed: Forwarded<change::Answer>,
+        outcome: Forwarded<change::Answer>,
         took: Duration,
     ) -> Reply {
-        match passed {
+        match outcome {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 self.metrics.record_cordon("accepted", took);
                 event!(self.log, CordonAccepted, "zone" => %mark.zone, "act" => %mark.act,
@@ -404,7 +405,7 @@
         }
     }
 
-    /// Records that an order is refused, and returns the reply.
+    /// Logs and counts that an order to cordon or uncordon was refused, and returns the reply.
     fn refuse_cordon(&self, mark: &cordon::Mark, why: &str) -> Reply {
         self.metrics.record_cordon("refused", Duration::ZERO);
         event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act, "why" => why);
@@ -472,7 +473,7 @@
     if body.size_hint().lower() > 0 {
         return true;
     }
-    // The length is unknown, so this waits for the first frame.
+    // The length is unknown, so this waits for the first frame. A timeout counts as a body.
     let first = tokio::time::timeout(ANSWER_TIMEOUT, body.frame()).await;
     !matches!(first, Ok(None))
 }
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -45,7 +45,7 @@
 
 /// The number of endpoints with reported paces above which those that are not in the registry are
 /// dropped.
-const MAX_MEASURED: usize = 32_768;
+const MAX_PACED_ENDPOINTS: usize = 32_768;
 
 /// A voter's soft state, shared between its tasks.
 #[derive(Clone, Debug)]
@@ -61,8 +61,8 @@
     /// When endpoints that fell silent were last looked for.
     swept_at: Arc<Mutex<Duration>>,
     /// The paces that boxes reported of each endpoint.
-    measured: Arc<Mutex<BTreeMap<name::Endpoint, pace::Reports>>>,
-    /// The endpoints that served before this process, or that of another voter, started.
+    pace_reports: Arc<Mutex<BTreeMap<name::Endpoint, pace::Reports>>>,
+    /// The endpoints that served before this process, or the process of another voter, started.
     restored: Arc<Mutex<registry::Remembered>>,
     /// The loads of boxes at endpoints.
     hub: Arc<Mutex<load::Hub>>,
@@ -100,7 +100,7 @@
             voters: Arc::default(),
             behind_since: Arc::default(),
             swept_at: Arc::default(),
-            measured: Arc::default(),
+            pace_reports: Arc::default(),
             restored: Arc::default(),
             hub: Arc::default(),
             issuer: Arc::new(Mutex::new(throttle::Issuer::new(own))),
@@ -139,7 +139,7 @@
         let merged = lock(&self.registry).merge(record, now);
         if merged == registry::Merged::Restarted {
             // The reported paces are those of an earlier start.
-            lock(&self.measured).remove(&name);
+            lock(&self.pace_reports).remove(&name);
             lock(&self.hub).restarted(&name);
             event!(self.log, EndpointRestarted, "endpoint" => %name,
                 "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
@@ -160,8 +160,8 @@
             let known = registry.get(name).map(|record| record.incarnation);
             (known, registry.leave(name))
         };
-        // The start may be known here from another voter only. It is named, since the receivers may
-        // know a different one.
+        // This voter may know the endpoint's start only from another voter. The end names the
+        // start, since the receivers may know a different one.
         let ended = match known {
             Some(start) => lock(&self.own).end(name, start),
             None => lock(&self.own).leave(name),
@@ -198,19 +198,20 @@
         own.record_leaving(&report.name, report.start);
     }
 
-    /// Records the paces that a box measured. Followers are sent the medians with the next message,
-    /// and at once if this changes which endpoints count as slow.
+    /// Records the paces that a box measured. Followers are sent the changed medians with the next
+    /// message, which is sent at once if an endpoint had no known pace before or if other endpoints
+    /// now count as slow.
     fn record_paces(&self, from: &name::Box, paces: Vec<pace::Paced>) {
         let mut changed = false;
         let mut medians = Vec::with_capacity(paces.len());
         {
             let mut registry = lock(&self.registry);
-            let mut measured = lock(&self.measured);
-            if measured.len() > MAX_MEASURED {
-                measured.retain(|name, _| registry.get(name).is_some());
+            let mut pace_reports = lock(&self.pace_reports);
+            if pace_reports.len() > MAX_PACED_ENDPOINTS {
+                pace_reports.retain(|name, _| registry.get(name).is_some());
             }
             for paced in paces {
-                let reports = measured.entry(paced.endpoint.clone()).or_default();
+                let reports = pace_reports.entry(paced.endpoint.clone()).or_default();
                 let median = reports.record(from.clone(), paced.pace);
                 changed |= registry.set_pace(&paced.endpoint, median);
                 medians.push((paced.endpoint, median));
@@ -243,21 +244,21 @@
     }
 
     /// Writes the hints to the data folder whenever they have changed, for ever.
-    pub(super) async fn store_hints(self, place: hints::Store, handle: Handle) {
-        let mut kept = hints::Hints::default();
+    pub(super) async fn store_hints(self, store: hints::Store, handle: Handle) {
+        let mut stored = hints::Hints::default();
         let mut failing = false;
         loop {
             tokio::time::sleep(HINTS_PERIOD).await;
             let fresh = self.hints(handle.published().status.committed);
-            if fresh == kept {
+            if fresh == stored {
                 continue;
             }
-            let (place, written) = (place.clone(), fresh.clone());
+            let (store, written) = (store.clone(), fresh.clone());
             // A disk that hangs blocks this task only.
-            let saved = tokio::task::spawn_blocking(move || place.save(&written)).await;
+            let saved = tokio::task::spawn_blocking(move || store.save(&written)).await;
             match saved {
                 Ok(Ok(())) => {
-                    kept = fresh;
+                    stored = fresh;
                     failing = false;
                 }
                 Ok(Err(error)) if !failing => {
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Returns what a later start of this process should know.
+    /// Returns the hints for the next start of this voter.
     fn hints(&self, committed: raft::Index) -> hints::Hints {
         let held_back = lock(&self.hub).crashes().held_back_rows();
         let registry = lock(&self.registry);
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Restores what an earlier start of this process stored.
+    /// Restores the hints that an earlier start of this voter stored.
     pub(super) fn restore_hints(&self, hints: &hints::Hints) {
         lock(&self.hub).restore(&hints.held_back, self.clock.now());
         let mut registry = lock(&self.registry);
@@ -367,8 +368,9 @@
         number
     }
 
-    /// Waits until a box has subscribed again. It does so after its earlier connection fell silent,
-    /// and what is sent over that would be counted and buffered without a receiver.
+    /// Waits until a box has a later subscription than this one. A box subscribes again after its
+    /// connection fell silent; messages on the earlier connection would be counted and buffered
+    /// although nobody receives them.
     async fn superseded(&self, who: &name::Box, number: u64) {
         let mut followers = self.followers.subscribe();
         let is_later = |followers: &BTreeMap<_, _>| followers.get(who) > Some(&number);
@@ -393,8 +395,8 @@
         lock(&self.readings).record(from, unix_ms, asked_at, answered);
     }
 
-    /// Returns the time of day on which that many voters agree, in milliseconds since the Unix
-    /// epoch.
+    /// Returns the time of day that the voters agree on, in milliseconds since the Unix epoch;
+    /// `voters` is their number.
     pub(super) fn unix_ms(&self, voters: usize) -> u64 {
         let now = self.clock.now();
         let offset = lock(&self.readings).agree(self.clock.unix_ms(), voters, now);
@@ -408,9 +410,9 @@
     }
 }
 
-/// Returns the endpoints that left within a range of stamps while no start of them was known here.
-/// They are not sent to a receiver at its first request: it may know a start that began long after
-/// that.
+/// Returns the endpoints that left within a range of stamps while this voter knew no start of them.
+/// A receiver's first request returns none: the receiver may know a start that began long after the
+/// endpoint left.
 fn left_since_stamp(registry: &registry::Registry, span: registry::Span) -> Vec<name::Endpoint> {
     if span.after == 0 {
         return Vec::new();
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -10,7 +10,7 @@
     wire::registry::RegistryUpdate,
 };
 
-/// How long after its start a voter that hears no majority yet counts as one that does.
+/// How long after its start a voter counts as in touch with a majority even if it hears none yet.
 const STARTUP_GRACE: Duration = Duration::from_secs(3);
 /// How long a voter may have an older configuration than another voter before it counts as behind.
 const BEHIND_TIMEOUT: Duration = Duration::from_millis(500);
@@ -47,7 +47,7 @@
             let (name, incarnation) = (record.name.clone(), record.incarnation);
             let sequence = record.sequence;
             if registry.merge(record, now) == registry::Merged::Restarted {
-                lock(&self.measured).remove(&name);
+                lock(&self.pace_reports).remove(&name);
                 lock(&self.hub).restarted(&name);
                 event!(self.log, EndpointRestarted, "endpoint" => %name,
                     "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
@@ -80,17 +80,17 @@
         }
     }
 
-    /// Records the median paces that another voter reports of its boxes. They count as the report
-    /// of one box.
+    /// Records the medians of the paces that another voter's boxes reported. They count as the
+    /// report of one box.
     fn record_peer_paces(
         &self,
         registry: &mut registry::Registry,
         from: &name::Box,
         paces: Vec<pace::Paced>,
     ) {
-        let mut measured = lock(&self.measured);
+        let mut pace_reports = lock(&self.pace_reports);
         for paced in paces {
-            let reports = measured.entry(paced.endpoint.clone()).or_default();
+            let reports = pace_reports.entry(paced.endpoint.clone()).or_default();
             let median = reports.record(from.clone(), paced.pace);
             registry.set_pace(&paced.endpoint, median);
         }
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Registers the process of another voter as one that vouches for endpoints from now on; `None`
-    /// if there are too many.
+    /// Registers the process of another voter as one that vouches for endpoints from now on;
+    /// returns `None` if there are too many such processes.
     pub(in crate::ops::control) fn voucher(&self, voter: &name::Box) -> Option<registry::Voucher> {
         lock(&self.registry).register_voucher(voter)
     }
 
-    /// Forgets another voter that can no longer be heard.
+    /// Forgets another voter whose subscription was lost.
     pub(in crate::ops::control) fn forget_voter(&self, voter: SocketAddr) {
         lock(&self.voters).remove(&voter);
     }
@@ -135,8 +135,8 @@
         (own + others).div_ceil(tracked).max(own)
     }
 
-    /// Returns whether another voter has had a newer configuration than this one for a while. This
-    /// voter's disk may have stalled even though it hears all others.
+    /// Returns whether another voter has had a newer configuration than this one for
+    /// `BEHIND_TIMEOUT`. This voter's disk may have stalled even though it hears all others.
     pub(super) fn is_behind(&self, own: unit::Revision) -> bool {
         let now = self.clock.now();
         let newest = lock(&self.voters).values().map(|peer| peer.revision).max();
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -51,7 +51,7 @@
 struct Cursor {
     /// The registry's stamp up to which changes were sent.
     stamp: u64,
-    /// The time up to which it was sent the names of the endpoints that were heard.
+    /// When it was last sent the names of the endpoints that were heard.
     heard_until: Duration,
     /// The number of restored endpoints that were sent.
     restored: usize,
@@ -61,14 +61,14 @@
     zone_sent: bool,
     /// When the last message was built.
     sent_at: Duration,
-    /// Whether there are more changes than fitted in the last message.
+    /// Whether there are more changes than fitted into the last message.
     has_more: bool,
 }
 
 /// The kind of a follower, which decides what it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Follower {
-    /// A box that is sent the names of all endpoints that were heard.
+    /// A box that is regularly sent the names of the endpoints that were heard.
     ByNames,
     /// A box or voter for which this voter vouches that endpoints are alive, and that is sent the
     /// names of silent ones only.
--- a/src/scalewood/ops/control/replica.rs
+++ b/src/scalewood/ops/control/replica.rs
@@ -30,7 +30,7 @@
     wire::control::{Envelope, Forwarded},
 };
 
-/// The interval at which the state machine is told that time has passed.
+/// The interval between two `Tick` inputs to the consensus state machine.
 const TICK_PERIOD: Duration = Duration::from_millis(20);
 /// The most inputs that share one sync.
 const MAX_BATCH: usize = 256;
@@ -121,7 +121,7 @@
                     .forward_change(self.leader(), change, operator)
                     .await
             }
-            passed => passed,
+            outcome => outcome,
         }
     }
 
@@ -160,10 +160,10 @@
     pub async fn publish(&self, publication: ledger::Publication) -> Forwarded<change::Answer> {
         match self.publish_here(publication.clone()).await {
             Forwarded::NotLeader => {
-                let passed = self.links.forward_publication(self.leader(), publication);
-                passed.await
+                let forwarded = self.links.forward_publication(self.leader(), publication);
+                forwarded.await
             }
-            passed => passed,
+            outcome => outcome,
         }
     }
 
@@ -179,7 +179,7 @@
     pub async fn read(&self) -> Forwarded<Option<Arc<str>>> {
         match self.read_here() {
             Forwarded::NotLeader => self.links.forward_read(self.leader()).await,
-            passed => passed,
+            outcome => outcome,
         }
     }
 
@@ -215,7 +215,7 @@
     pub async fn change_members(&self, request: raft::MembersRequest) -> Forwarded<()> {
         match self.change_members_here(request.clone()).await {
             Forwarded::NotLeader => self.links.forward_members(self.leader(), request).await,
-            passed => passed,
+            outcome => outcome,
         }
     }
 
@@ -267,7 +267,7 @@
         if self.commands.try_send(Command::Stop(sender)).is_ok() {
             let _ = tokio::time::timeout(control::PROPOSAL_TIMEOUT, receiver).await;
         }
-        // The links still hold the last messages; this gives them time to send them.
+        // Gives the links time to send the messages that are still queued.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
@@ -285,11 +285,11 @@
 ) -> (Handle, oneshot::Receiver<String>) {
     let (commands, receiver) = mpsc::sync_channel(4096);
     let (fail, failed) = oneshot::channel();
-    let kept = writer.kept().clone();
+    let persisted = writer.kept().clone();
     let mut voter = raft::Voter::new(
         settings.agree.clone(),
         node,
-        kept,
+        persisted,
         rand::random(),
         clock.now(),
     );
@@ -436,9 +436,9 @@
     /// Replaces the voter by one that starts from the stored state.
     fn restart(&mut self, writer: Writer) {
         let node = self.voter.node().clone();
-        let kept = writer.kept().clone();
+        let persisted = writer.kept().clone();
         let settings = self.settings.agree.clone();
-        self.voter = raft::Voter::new(settings, node, kept, rand::random(), self.clock.now());
+        self.voter = raft::Voter::new(settings, node, persisted, rand::random(), self.clock.now());
         event!(self.log, StoreRecovered, "bytes" => writer.journal().len());
         self.writer = Some(writer);
     }
@@ -497,9 +497,10 @@
         });
     }
 
-    /// Publishes committed configurations in the feed. Right after a start this is the last one
-    /// that is known to have been committed before: boxes without any configuration use it until
-    /// a leader is elected, and all others already have it or a later one.
+    /// Publishes committed configurations in the feed. Right after a start this is the last
+    /// configuration that is known to have been committed before the start: boxes without any
+    /// configuration use it until a leader is elected, and all others already have it or a later
+    /// one.
     fn publish_feed(&self) {
         let ledger = self.voter.state();
         let published = self.feed.current().revision;
--- a/src/scalewood/ops/control/scaling.rs
+++ b/src/scalewood/ops/control/scaling.rs
@@ -23,14 +23,15 @@
 pub(super) struct Controller {
     pub(super) handle: Handle,
     pub(super) endpoints: Endpoints,
-    pub(super) gathering: collect::Collector,
+    pub(super) collector: collect::Collector,
     pub(super) settings: scaling::Settings,
     pub(super) clock: clock::System,
     pub(super) log: slog::Logger,
 }
 
 impl Controller {
-    /// Scales for ever. Orders are sent only while this voter is the holder.
+    /// Evaluates the demand for ever while this voter leads, and sends orders while it is the
+    /// holder.
     pub(super) async fn run<D: provider::Dialect>(self, mut client: provider::Client) {
         let mut scalers = BTreeMap::new();
         let mut unusable = BTreeSet::new();
@@ -41,7 +42,7 @@
                 continue;
             }
             let may_act = client.authority().is_some();
-            let Some(records) = self.gathering.endpoints(self.clock.now()) else {
+            let Some(records) = self.collector.endpoints(self.clock.now()) else {
                 continue;
             };
             for (service, offer) in self.offers() {
@@ -59,8 +60,8 @@
                 let scaler =
                     scaler.or_insert_with(|| scaling::Scaler::new(self.settings.clone(), now));
                 let orders = scaler.step(&offer, &seen, now);
-                // A leader that may not act yet keeps observing, so that it knows the demand once it
-                // may, but sends no orders.
+                // A leader that may not act yet keeps observing, so that it knows the demand once
+                // it may, but sends no orders.
                 for order in orders.into_iter().filter(|_| may_act) {
                     self.send_order::<D>(&mut client, &service, scaler, &order)
                         .await;
@@ -110,7 +111,8 @@
         seen
     }
 
-    /// Commits an order to the voters' log, then sends it to the provider.
+    /// Commits an order to the voters' log, then sends it to the provider. An order that could not
+    /// be committed is not sent.
     async fn send_order<D: provider::Dialect>(
         &self,
         client: &mut provider::Client,
--- a/src/scalewood/ops/control/share.rs
+++ b/src/scalewood/ops/control/share.rs
@@ -1,8 +1,9 @@
 //! Exchanges soft state with the other voters: sends them the loads of the boxes of this voter, and
 //! follows their registries of endpoints.
 //!
-//! Each voter sums up the loads of the boxes in its own availability zone. So the loads of the
-//! others are about two periods old when they reach a box, however many boxes there are.
+//! Each voter sums up the loads of the boxes that report to it, which are mostly those of its own
+//! availability zone. So the loads of all other boxes are about two periods old when they reach a
+//! box, however many boxes there are.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -128,13 +129,13 @@
     /// Follows the voter's registry until it falls silent.
     async fn track(&self, client: &Arc<WsClient>) {
         let own = self.own.clone();
-        let update = match client.track(own.clone(), Tracker::Voter).await {
-            Ok(update) => Ok(update),
+        let updates = match client.track(own.clone(), Tracker::Voter).await {
+            Ok(updates) => Ok(updates),
             // An older build without `track` sends the same changes to subscribers of `follow`.
             Err(_) => client.follow(own).await,
         };
-        let mut update = match update {
-            Ok(update) => update,
+        let mut updates = match updates {
+            Ok(updates) => updates,
             Err(error) => {
                 event!(self.log, RegistryNotTracked, "voter" => %self.name, "why" => %error);
                 return;
@@ -142,14 +143,14 @@
         };
         event!(self.log, RegistryFound, "voter" => %self.address);
         let voucher = self.endpoints.voucher(&self.name);
-        while let Ok(Some(Ok(next))) = tokio::time::timeout(SILENCE_TIMEOUT, update.next()).await {
+        while let Ok(Some(Ok(next))) = tokio::time::timeout(SILENCE_TIMEOUT, updates.next()).await {
             self.endpoints
                 .apply_update(&self.name, self.address, voucher, next);
         }
         event!(self.log, RegistryLost, "voter" => %self.address);
     }
 
-    /// Returns the shortest time between two reports, given the number of voters.
+    /// Returns the shortest time between two reports, given the number of other voters.
     fn min_period(&self) -> Duration {
         let peers = u32::try_from(self.endpoints.peer_count()).unwrap_or(u32::MAX);
         MIN_PERIOD_PER_PEER
--- a/src/scalewood/ops/control/usage.rs
+++ b/src/scalewood/ops/control/usage.rs
@@ -22,8 +22,9 @@
 /// How long after a window's end a box must have reported for its counts to be complete. It covers
 /// the error of the box's estimate of the agreed time of day.
 const CLOCK_MARGIN: Duration = Duration::from_millis(100);
-/// The part of the time until a report is due for which the reporter waits for boxes that have not
-/// reported since the window's end: longer than most network partitions, with time left to report.
+/// The fraction of the time until a report is due for which the reporter waits for boxes and voters
+/// that have not been heard since the window's end: longer than most network partitions, with time
+/// left to report.
 const MAX_WAIT_RATIO: f64 = 0.7;
 /// The windows before the one being closed whose totals are kept.
 const RETAINED_WINDOWS: u64 = 12;
@@ -32,7 +33,7 @@
 pub(super) struct Reporter {
     pub(super) handle: Handle,
     pub(super) endpoints: Endpoints,
-    pub(super) gathering: collect::Collector,
+    pub(super) collector: collect::Collector,
     pub(super) clock: clock::System,
     pub(super) settings: provider::Settings,
     pub(super) hold: provider::Hold,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Returns the agreed time of day.
+    /// Returns the time of day that the voters agree on, in milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64 {
         self.endpoints.unix_ms(self.handle.voter_count())
     }
@@ -74,21 +75,21 @@
         let end = window.end_ms(self.settings.window);
         let now = self.unix_ms();
         let after = |duration: Duration| end + millis(duration);
-        let running = end.saturating_sub(2 * millis(self.settings.window));
+        let running_since = end.saturating_sub(2 * millis(self.settings.window));
         let (missing, counts) = {
             let mut book = lock(self.endpoints.usage());
-            let missing = book.lagging(running, after(CLOCK_MARGIN));
+            let missing = book.lagging(running_since, after(CLOCK_MARGIN));
             let counts = book.totals(window);
             book.forget(
                 usage::Window(window.0.saturating_sub(RETAINED_WINDOWS)),
-                running,
+                running_since,
             );
             (missing, counts)
         };
         let wait = self.settings.due.mul_f64(MAX_WAIT_RATIO);
         let ago = Duration::from_millis(now.saturating_sub(after(CLOCK_MARGIN)));
         let since = self.clock.now().saturating_sub(ago);
-        let Some(unheard) = lock(self.gathering.voters()).unanswered_since(since) else {
+        let Some(unheard) = lock(self.collector.voters()).unanswered_since(since) else {
             return;
         };
         let is_complete = missing.is_empty() && unheard.is_empty();
--- a/src/scalewood/ops/explain.rs
+++ b/src/scalewood/ops/explain.rs
@@ -18,7 +18,8 @@
     pub text: String,
 }
 
-/// Fields that every line has, or that the explanation shows elsewhere.
+/// The fields that are not listed with the others, since every line has them or the explanation
+/// shows them elsewhere.
 const COMMON: [&str; 6] = ["msg", "level", "ts", "program", "event", "id"];
 
 /// Returns explanations of the lines about a request, the earliest first.
@@ -77,12 +78,12 @@
             Some(true) => "another attempt follows",
             _ => "no attempt follows",
         };
-        let rests = match fields.get("rest_ms").and_then(Value::as_u64) {
+        let backoff = match fields.get("rest_ms").and_then(Value::as_u64) {
             Some(rest_ms) => format!(", which wants nothing from this box for {rest_ms} ms"),
             None => String::new(),
         };
         return format!(
-            "attempt {} at {}{rests} came to nothing ({}); {follows}, {} ms are left",
+            "attempt {} at {}{backoff} came to nothing ({}); {follows}, {} ms are left",
             field("tries"),
             field("endpoint"),
             field("how"),
--- a/src/scalewood/ops/operate.rs
+++ b/src/scalewood/ops/operate.rs
@@ -188,11 +188,11 @@
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Report<Error>> {
         let mut behind = None;
         for voter in &self.voters {
-            let one = Self {
+            let client = Self {
                 voters: vec![*voter],
                 token: self.token.clone(),
             };
-            match one.call::<()>(Method::GET, path, None).await {
+            match client.call::<()>(Method::GET, path, None).await {
                 Ok(answer) if answer.status == StatusCode::OK => return parse(&answer),
                 Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
                     behind = Some(failure_report(&answer));
--- a/src/scalewood/ops/source.rs
+++ b/src/scalewood/ops/source.rs
@@ -29,10 +29,10 @@
 const MAX_RETRY_WAIT: Duration = Duration::from_millis(200);
 /// The wait before the next source is tried at first.
 const MIN_RETRY_WAIT: Duration = Duration::from_millis(50);
-/// How long a box that has just started waits for a first configuration from elsewhere before it
-/// follows a source: several times as long as a voter on the same network takes to send one.
+/// How long a box that has just started waits for another task to get a first configuration before
+/// it follows a source: several times as long as a voter on the same network takes to send one.
 const FIRST_CONFIG_WAIT: Duration = Duration::from_millis(400);
-/// Consecutive failures after which sources are tried less often.
+/// The number of consecutive failures after which sources are tried less often.
 const FAST_RETRIES: u32 = 12;
 
 /// Serves a feed to followers.
@@ -140,9 +140,10 @@
 }
 
 impl Follower {
-    /// Waits briefly for the box to get a first configuration from elsewhere. A voter of its own zone
-    /// sends a whole document at less cost than the voters named here, each of which would have to
-    /// send it to a share of all boxes and hold as many copies.
+    /// Waits for a first configuration to be published to the feed by another task, for at most
+    /// `FIRST_CONFIG_WAIT`. Fetching the whole document from a voter of the box's own zone costs
+    /// less than following one of `voters`, each of which would have to send the document to a
+    /// share of all boxes and hold as many copies of it.
     async fn wait_for_first(&self) {
         let mut watch = self.feed.watch();
         let has_any = watch.wait_for(|state| state.revision > unit::Revision(0));
@@ -209,8 +210,8 @@
         self.voters.iter().copied().chain(peers).collect()
     }
 
-    /// Follows one source until it falls silent, then returns the revision reached. Returns `None` if
-    /// the source could not be followed.
+    /// Follows one source until it falls silent, then returns the revision reached. Returns `None`
+    /// if the source could not be followed.
     async fn follow(&self, source: SocketAddr, timeout: Duration) -> Option<unit::Revision> {
         let client = rpc::connect_within(source, timeout).await.ok()?;
         let from = self.feed.current().revision;
--- a/src/scalewood/store/identity.rs
+++ b/src/scalewood/store/identity.rs
@@ -1,8 +1,9 @@
 //! The identity of a data folder.
 //!
 //! A voter is identified by its box and this identity, which `scalewood-control init` or `join`
-//! creates once. A voter never creates one by itself, so that a box with an empty folder or that
-//! of another box can't vote in place of the voter whose folder was lost.
+//! creates once. A voter creates one by itself only in an empty folder and if its settings say
+//! `unattended`; any other voter refuses to start without one, so that a box with an empty folder
+//! or that of another box can't vote in place of the voter whose folder was lost.
 
 use std::{fmt, io};
 
@@ -32,7 +33,7 @@
     Empty,
     /// The folder was initialised before, for this node.
     Used(raft::Node),
-    /// The folder belongs to the given node and not to the given box, which is this one.
+    /// The folder belongs to this node, and not to the box that this process runs on.
     Foreign(raft::Node, name::Box),
     /// The file can't be parsed.
     Damaged(String),
@@ -105,7 +106,7 @@
     })
 }
 
-/// Writes an identity into an empty folder. No other folder may ever have had this identity.
+/// Writes an identity into an empty folder. No other folder of this box may ever have had it.
 ///
 /// # Errors
 ///
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -93,8 +93,8 @@
     /// # Errors
     ///
     /// Fails if the file can't be written.
-    pub fn create<S: State>(mut media: M, kept: Persisted<S>) -> Result<Self, Error> {
-        let bytes = encode_state(&kept)?;
+    pub fn create<S: State>(mut media: M, state: Persisted<S>) -> Result<Self, Error> {
+        let bytes = encode_state(&state)?;
         media.replace(FILE_NAME, &bytes)?;
         Ok(Self {
             media,
@@ -167,8 +167,8 @@
     /// # Errors
     ///
     /// Fails if the file can't be written; the old journal then remains.
-    pub fn compact<S: State>(&mut self, kept: &Persisted<S>) -> Result<(), Error> {
-        let bytes = encode_state(kept)?;
+    pub fn compact<S: State>(&mut self, state: &Persisted<S>) -> Result<(), Error> {
+        let bytes = encode_state(state)?;
         self.media.replace(FILE_NAME, &bytes)?;
         self.length = bytes.len();
         self.syncs += 1;
@@ -192,13 +192,13 @@
 }
 
 /// Encodes a state as a journal of a single record.
-fn encode_state<S: State>(kept: &Persisted<S>) -> Result<Vec<u8>, Error> {
+fn encode_state<S: State>(state: &Persisted<S>) -> Result<Vec<u8>, Error> {
     let mut writes = vec![
-        Write::Restart(kept.snapshot.clone()),
-        Write::Vote(kept.term, kept.voted.clone()),
+        Write::Restart(state.snapshot.clone()),
+        Write::Vote(state.term, state.voted.clone()),
     ];
-    if !kept.entries.is_empty() {
-        writes.push(Write::Append(kept.entries.clone()));
+    if !state.entries.is_empty() {
+        writes.push(Write::Append(state.entries.clone()));
     }
     encode(&Record(writes))
 }
@@ -265,18 +265,18 @@
 #[derive(Debug)]
 pub struct Writer<M, S: State> {
     journal: Journal<M>,
-    kept: Persisted<S>,
+    state: Persisted<S>,
 }
 
 impl<M: media::Media, S: State> Writer<M, S> {
-    /// Returns a keeper of a journal, which holds the given state.
-    pub fn new(journal: Journal<M>, kept: Persisted<S>) -> Self {
-        Self { journal, kept }
+    /// Creates a writer of a journal whose records add up to the given state.
+    pub fn new(journal: Journal<M>, state: Persisted<S>) -> Self {
+        Self { journal, state }
     }
 
     /// Returns the state that the journal holds.
     pub fn kept(&self) -> &Persisted<S> {
-        &self.kept
+        &self.state
     }
 
     /// Returns the journal.
@@ -292,15 +292,15 @@
     pub fn write(&mut self, writes: Vec<raft::Write<S>>) -> Result<bool, Error> {
         if !needs_compaction(&writes) {
             for write in &writes {
-                self.kept.replay(write.clone());
+                self.state.replay(write.clone());
             }
             self.journal.write(writes)?;
             return Ok(false);
         }
         for write in writes {
-            self.kept.replay(write);
+            self.state.replay(write);
         }
-        self.journal.compact(&self.kept)?;
+        self.journal.compact(&self.state)?;
         Ok(true)
     }
 }
--- a/src/scalewood/util/lock.rs
+++ b/src/scalewood/util/lock.rs
@@ -55,7 +55,7 @@
 }
 
 /// The number of shards of a map, so that a few threads rarely contend for one.
-const SHARDS: usize = 32;
+const SHARD_COUNT: usize = 32;
 
 /// A hash map that is split into shards with a lock each.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
 
 impl<K: Hash + Eq, V> Default for Sharded<K, V> {
     fn default() -> Self {
-        let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
+        let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Self {
             shards,
             hasher: RandomState::new(),
@@ -78,7 +78,7 @@
     /// Locks the shard that a key belongs to.
     pub fn shard(&self, key: &K) -> Guard<'_, HashMap<K, V>> {
         // The remainder is below the number of shards, so the cast is exact.
-        let index = self.hasher.hash_one(key) % SHARDS as u64;
+        let index = self.hasher.hash_one(key) % SHARD_COUNT as u64;
         lock(&self.shards[index as usize])
     }
 
--- a/src/scalewood/util/metric.rs
+++ b/src/scalewood/util/metric.rs
@@ -1,7 +1,7 @@
 //! Metrics, in the text format of Prometheus.
 //!
-//! The first ones are the three by which users judge the system: attainment by class, goodput and
-//! wasted work.
+//! They include the three by which users judge the system: attainment by class, goodput and wasted
+//! work.
 
 use std::sync::atomic::AtomicU64;
 
--- a/src/scalewood/util/settings/reader.rs
+++ b/src/scalewood/util/settings/reader.rs
@@ -149,7 +149,7 @@
         default
     }
 
-    /// Reads a whole number.
+    /// Reads a number that parses as `T`.
     pub fn number<T: FromStr>(&mut self, key: &'static str, default: T) -> T {
         let Some((line, value)) = self.take(key) else {
             return default;
--- a/src/scalewood/wire/registry.rs
+++ b/src/scalewood/wire/registry.rs
@@ -12,13 +12,14 @@
 
 use crate::core::{change, load, name, pace, registry, throttle, unit, usage};
 
-/// An update of the registry; the first one of a subscription contains everything.
+/// An update of the registry; the first ones of a subscription together contain everything.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RegistryUpdate {
     /// Endpoints that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changed: Vec<registry::Record>,
-    /// Endpoints that served before the voter started; only in the first update after its start.
+    /// Endpoints that served before this voter, or another one, started; sent once, and only for
+    /// some time after the start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub restored: Vec<registry::Record>,
     /// Endpoints that are gone, or of which a start has ended.
@@ -34,7 +35,7 @@
     /// Starts of endpoints that announced in a response that they are leaving.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<registry::Leaving>,
-    /// Endpoints that sent a heartbeat since the last update.
+    /// Endpoints that sent a heartbeat since the last update with names; sent every few seconds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub heard: Vec<name::Endpoint>,
     /// Endpoints whose pace has changed.
@@ -47,7 +48,7 @@
     /// The voter's availability zone, if it knows it; only in the first update.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<name::Zone>,
-    /// The addresses of all voters and learners.
+    /// The addresses of all voters and learners; only in the first update and after a change.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub voters: Vec<SocketAddr>,
     /// Whether all endpoints that the voter has reported are alive, except those that it has
@@ -161,7 +162,8 @@
 /// The calls by which a voter shares endpoints, loads and, on demand, the configuration.
 #[rpc(server, client, namespace = "registry")]
 pub trait Registry {
-    /// Subscribes to the registry, with the names of all endpoints heard of in each update.
+    /// Subscribes to the registry; every few seconds, an update names the endpoints that sent a
+    /// heartbeat.
     #[subscription(name = "follow" => "news", unsubscribe = "leave", item = RegistryUpdate)]
     async fn follow(&self, who: name::Box) -> SubscriptionResult;
 
@@ -178,9 +180,9 @@
     #[method(name = "measured")]
     async fn measured(&self, who: name::Box, paces: Vec<pace::Paced>) -> RpcResult<()>;
 
-    /// Records a box's loads at endpoints (the changed ones, or all if `anew`), its placements and
-    /// its usage counts; returns what the other boxes have. Returns `None` if the voter has no
-    /// state of the box, which then has to send everything with `anew`.
+    /// Records a box's loads at endpoints (the changed ones, or all if `anew` is set), its
+    /// placements and its usage counts; returns the loads of the other boxes. Returns `None` if the
+    /// voter has no state of the box, which then has to send everything with `anew` set.
     #[method(name = "exchange")]
     async fn exchange(
         &self,
@@ -190,7 +192,7 @@
         usage: usage::Report,
     ) -> RpcResult<Option<Exchanged>>;
 
-    /// Records the loads of another voter's boxes: the changed ones, or all if `anew`.
+    /// Records the loads of another voter's boxes: the changed ones, or all if `anew` is set.
     #[method(name = "share")]
     async fn share(&self, who: name::Box, anew: bool, told: load::Update) -> RpcResult<Shared>;
 
--- a/src/scalewood/wire/source.rs
+++ b/src/scalewood/wire/source.rs
@@ -28,7 +28,8 @@
     pub text: String,
 }
 
-/// The size of a piece in bytes. A piece ends at the first character boundary from here on.
+/// The size of a piece in bytes. A piece ends at the first character boundary at or after this
+/// size.
 pub const PIECE_BYTES: usize = 128 * 1024;
 
 /// Distributes the configuration.
