--- a/benches/decisions/ours.rs
+++ b/benches/decisions/ours.rs
@@ -183,11 +183,11 @@
             target: class.config.target,
             deadline,
             patience: None,
-            returned: false,
+            is_client_retry: false,
             prompt: unit::Tokens(offered.prompt),
             delivered: unit::Tokens(progress.delivered),
             prefix: None,
-            placed: None,
+            placement_key: None,
             allowed: Default::default(),
             preemptible: world.service.model && class.config.preemptible,
             preempted: progress.preempted,
@@ -307,7 +307,7 @@
                 ask,
                 endpoint: endpoint_name(run.engine),
                 tokens: unit::Tokens(0),
-                held: world.now - state.granted,
+                held_for: world.now - state.granted,
             }),
         }
     }
--- a/src/bin/scalewood/commands/provider.rs
+++ b/src/bin/scalewood/commands/provider.rs
@@ -38,7 +38,7 @@
             println!("  {team} {count}");
         }
     }
-    for (item, count) in &provider.ordered {
+    for (item, count) in &provider.last_scaling_counts {
         println!("ordered {count} {item}");
     }
 }
--- a/src/scalewood/board/entry.rs
+++ b/src/scalewood/board/entry.rs
@@ -102,7 +102,7 @@
                 ask,
                 endpoint: endpoint.clone(),
                 tokens: self.tokens,
-                held: now.saturating_sub(*since),
+                held_for: now.saturating_sub(*since),
             }),
         }
     }
--- a/src/scalewood/core/dispatch/endpoint.rs
+++ b/src/scalewood/core/dispatch/endpoint.rs
@@ -34,7 +34,7 @@
 
 pub use eligible::Admission;
 pub(super) use eligible::Constraints;
-pub use throttle::{Change as LimitChange, Pass};
+pub use throttle::{Change as LimitChange, IssuedPermits};
 pub(super) use {
     cost::{Model, Prompt},
     slots::Wanted,
--- a/src/scalewood/core/dispatch/endpoint/cost.rs
+++ b/src/scalewood/core/dispatch/endpoint/cost.rs
@@ -65,7 +65,7 @@
     /// The constraints of its request.
     pub(in crate::core::dispatch) constraints: Constraints<'a>,
     /// Its shared prefix.
-    pub(in crate::core::dispatch) placed: message::Placed,
+    pub(in crate::core::dispatch) placement_key: message::PlacementKey,
     /// Its length in tokens, with the shared prefix.
     pub(in crate::core::dispatch) tokens: u64,
     /// The tier of its request.
@@ -95,7 +95,11 @@
 impl Prompt<'_> {
     /// Returns the tokens to be prefilled, depending on whether the shared prefix is cached.
     pub(super) fn prefill_tokens(&self, is_cached: bool) -> u64 {
-        let shared = if is_cached { self.placed.shared.0 } else { 0 };
+        let shared = if is_cached {
+            self.placement_key.shared.0
+        } else {
+            0
+        };
         self.tokens.saturating_sub(shared)
     }
 
@@ -134,7 +138,7 @@
 pub(super) fn step_cost(prompt: &Prompt<'_>, model: &Model<'_>) -> Cost {
     let again = model
         .prefill
-        .time(prompt.placed.shared.0)
+        .time(prompt.placement_key.shared.0)
         .mul_f64(PREFILL_AGAIN_FACTOR);
     micros(again.max(prompt.target))
 }
--- a/src/scalewood/core/dispatch/endpoint/select.rs
+++ b/src/scalewood/core/dispatch/endpoint/select.rs
@@ -133,7 +133,7 @@
                 excess,
             }));
         }
-        let prefix = prompt.placed.prefix;
+        let prefix = prompt.placement_key.prefix;
         if self.cached.record(prefix, index, now) {
             self.cached.unreported.push((prefix, index));
         }
@@ -163,7 +163,7 @@
         candidates.dedup_by_key(|(_, eligible)| eligible.index());
         let best = candidates.first().map(|(weight, _)| *weight);
         self.count_diverted(prompt, best, now);
-        let mut cached_at = self.cached.endpoints(prompt.placed.prefix, now);
+        let mut cached_at = self.cached.endpoints(prompt.placement_key.prefix, now);
         // Ignores endpoints of the other group, where the prompt would disturb the streams.
         cached_at.retain(|index| !self.is_foreign(*index, prompt));
         let step_cost = cost::step_cost(prompt, model);
@@ -203,7 +203,7 @@
         if self.ready.len() <= MAX_COMPARED_ENDPOINTS {
             return self.eligible(prompt.constraints, now).collect();
         }
-        let prefix = prompt.placed.prefix;
+        let prefix = prompt.placement_key.prefix;
         let at = |index| self.eligible_at(index, prompt.constraints, now);
         let mut candidates = self.ring.candidates(prefix.0, |index| at(index).is_some());
         candidates.extend(self.cached.endpoints(prefix, now));
@@ -271,7 +271,7 @@
     }
 
     fn weight(&self, index: Index, prompt: &Prompt<'_>) -> u64 {
-        rendezvous::mix(prompt.placed.prefix.0 ^ self.endpoints[index.0].hash)
+        rendezvous::mix(prompt.placement_key.prefix.0 ^ self.endpoints[index.0].hash)
     }
 
     /// Returns the fraction of the slots of the endpoints for short prompts that is in use.
--- a/src/scalewood/core/dispatch/endpoint/throttle.rs
+++ b/src/scalewood/core/dispatch/endpoint/throttle.rs
@@ -33,7 +33,7 @@
 
 /// Permits issued to this box.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pass {
+pub struct IssuedPermits {
     /// The endpoint.
     pub endpoint: name::Endpoint,
     /// The number of permits.
@@ -84,12 +84,16 @@
     }
 
     /// Adds permits that were issued.
-    pub(in crate::core::dispatch) fn add_permits(&mut self, passes: &[Pass], now: Duration) {
-        for pass in passes {
-            if let Some(index) = self.names.get(&pass.endpoint) {
+    pub(in crate::core::dispatch) fn add_permits(
+        &mut self,
+        issued: &[IssuedPermits],
+        now: Duration,
+    ) {
+        for issued in issued {
+            if let Some(index) = self.names.get(&issued.endpoint) {
                 let permits = &mut self.endpoints[index.0].permits;
-                permits.add(pass.count, pass.until);
-                self.issue_rate.add(pass.count, now);
+                permits.add(issued.count, issued.until);
+                self.issue_rate.add(issued.count, now);
             }
         }
     }
--- a/src/scalewood/core/dispatch/grant.rs
+++ b/src/scalewood/core/dispatch/grant.rs
@@ -60,7 +60,7 @@
             allowed: &ask.allowed,
             origin,
         };
-        let Some(placed) = ask.placed else {
+        let Some(placement_key) = ask.placement_key else {
             let wanted = endpoint::Wanted {
                 constraints,
                 prefix: ask.prefix,
@@ -78,12 +78,12 @@
         let remaining = |limit: Duration| limit.saturating_sub(ask.age);
         let prompt = endpoint::Prompt {
             constraints,
-            placed,
+            placement_key,
             tokens: ask.prompt.0,
             tier: ask.tier,
             target: ask.target,
             patience: remaining(ask.patience.unwrap_or(ask.deadline)),
-            client_may_retry: ask.attempt.number == 0 && !ask.returned,
+            client_may_retry: ask.attempt.number == 0 && !ask.is_client_retry,
             deadline: remaining(ask.deadline),
             mean_hold: Duration::from_secs_f64(hold),
             mean_length: class.and_then(|class| class.length.get()),
--- a/src/scalewood/core/dispatch/message.rs
+++ b/src/scalewood/core/dispatch/message.rs
@@ -6,7 +6,7 @@
 
 use crate::core::{attempt, backoff, name, residency, unit};
 
-pub use crate::core::prompt::{Placed, Prefix};
+pub use crate::core::prompt::{PlacementKey, Prefix};
 
 /// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -29,8 +29,12 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub patience: Option<Duration>,
     /// Whether the request is likely a retry of one that was refused before.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub returned: bool,
+    #[serde(
+        rename = "returned",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
+    pub is_client_retry: bool,
     /// The estimated size of the prompt.
     pub prompt: unit::Tokens,
     /// Tokens that earlier attempts have delivered.
@@ -38,8 +42,8 @@
     /// The prompt's prefix, if the class benefits from an engine's prefix cache.
     pub prefix: Option<Prefix>,
     /// What decides the prompt's placement, if endpoints cache prefixes that prompts share.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub placed: Option<Placed>,
+    #[serde(rename = "placed", default, skip_serializing_if = "Option::is_none")]
+    pub placement_key: Option<PlacementKey>,
     /// The regions in which the request may be served.
     #[serde(default, skip_serializing_if = "residency::Allowed::is_everywhere")]
     pub allowed: residency::Allowed,
@@ -68,7 +72,8 @@
     /// Tokens that this attempt has delivered.
     pub tokens: unit::Tokens,
     /// The time since the slot was granted.
-    pub held: Duration,
+    #[serde(rename = "held")]
+    pub held_for: Duration,
 }
 
 /// How an attempt ended.
@@ -98,8 +103,8 @@
 impl Ask {
     /// Returns whether the caller may retry after a delay if the request is refused now: it has
     /// not been refused before, it was not sent to any endpoint, and the caller waits that long.
-    pub fn may_return(&self, after: Duration) -> bool {
-        let is_first = self.attempt.number == 0 && !self.returned;
+    pub fn client_may_retry(&self, after: Duration) -> bool {
+        let is_first = self.attempt.number == 0 && !self.is_client_retry;
         is_first && self.age + after < self.patience.unwrap_or(self.deadline)
     }
 
--- a/src/scalewood/core/dispatch/mod.rs
+++ b/src/scalewood/core/dispatch/mod.rs
@@ -49,8 +49,8 @@
 mod zone;
 
 pub use cause::Cause;
-pub use endpoint::{Admission, LimitChange, Pass, Spec, View};
-pub use message::{Ask, End, Held, Order, Placed, Prefix, Reason, Report};
+pub use endpoint::{Admission, IssuedPermits, LimitChange, Spec, View};
+pub use message::{Ask, End, Held, Order, PlacementKey, Prefix, Reason, Report};
 pub use placement::LONG_PROMPT;
 pub use precedence::{Precedence, Tally};
 
@@ -135,7 +135,7 @@
     /// is not in this one are void.
     LiveBoxes(BTreeSet<name::Box>),
     /// How many boxes dispatch to the same endpoints, including this one.
-    Sharers(u32),
+    BoxCount(u32),
     /// The load that the other boxes put on the endpoints, if it is known.
     OtherLoads(Option<load::Loads>),
     /// The load that the other boxes put on some endpoints; replaces what was known of these.
@@ -151,13 +151,13 @@
     /// All bounds on less urgent requests of this service that follow from refusals at any box.
     Bounds(Vec<load::Bound>),
     /// The endpoints that warm up and that this box has a lease to send to, the end of the lease,
-    /// and the number of hubs that issue such leases.
+    /// and the number of load hubs that issue such leases.
     Leases(Vec<name::Endpoint>, Duration, u32),
     /// Endpoints' limits on the requests per second from all boxes together, where they
     /// changed.
     Limits(Vec<LimitChange>),
     /// Permits of this box for requests to rate-limited endpoints.
-    Permits(Vec<Pass>),
+    Permits(Vec<IssuedPermits>),
     /// Since when no voter issues permits, if none does: this box then uses an equal share of
     /// each limit.
     PermitsUnavailable(Option<Duration>),
@@ -215,14 +215,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Basis {
     /// Tokens of the prompt to be prefilled at the endpoint: those that are not cached there.
-    pub unread: unit::Tokens,
+    pub uncached: unit::Tokens,
     /// Prompt tokens of other requests, from all boxes, that waited for prefill there and are at
     /// least as urgent.
-    pub ahead: unit::Tokens,
+    pub pending_ahead: unit::Tokens,
     /// Prompt tokens of less urgent requests, from all boxes, that waited for prefill there.
-    pub later: unit::Tokens,
+    pub pending_less_urgent: unit::Tokens,
     /// Whether the endpoint likely cached the prompt's shared prefix.
-    pub kept: bool,
+    pub prefix_cached: bool,
 }
 
 impl Dispatcher {
@@ -269,7 +269,7 @@
             }
             Input::BoxGone(origin) => self.drop_box(&origin),
             Input::LiveBoxes(alive) => self.set_boxes(alive),
-            Input::Sharers(count) => self.endpoints.set_box_count(count),
+            Input::BoxCount(count) => self.endpoints.set_box_count(count),
             Input::OtherLoads(loads) => self.endpoints.set_others(loads.as_ref()),
             Input::OtherLoadsChanged(changed) => self.endpoints.change_others(&changed),
             Input::Placements(placements) => self.endpoints.record_placed(&placements, now),
@@ -283,7 +283,7 @@
                 self.endpoints.set_leases(&leased, until, hubs, now);
             }
             Input::Limits(changes) => self.endpoints.set_limits(&changes),
-            Input::Permits(passes) => self.endpoints.add_permits(&passes, now),
+            Input::Permits(permits) => self.endpoints.add_permits(&permits, now),
             Input::PermitsUnavailable(since) => self.endpoints.set_permits_unavailable(since),
             Input::Tick => self.tick(now),
         }
@@ -355,7 +355,7 @@
         }
         self.request_rate.add(1, now);
         self.endpoints.record_backoffs(&origin, &ask.backoffs, now);
-        if ask.placed.is_some() {
+        if ask.placement_key.is_some() {
             self.placement.record(&ask);
         }
         if attempt.number == 0 {
@@ -470,7 +470,7 @@
             origin,
             ask: held.ask,
             endpoint,
-            granted: now.saturating_sub(held.held),
+            granted: now.saturating_sub(held.held_for),
             prefill_tokens,
             ahead: prefill::Ahead::default(),
             cached: false,
--- a/src/scalewood/core/dispatch/precedence.rs
+++ b/src/scalewood/core/dispatch/precedence.rs
@@ -114,7 +114,7 @@
     pub(super) fn record_arrived(&mut self, ask: &message::Ask, now: Duration) {
         let counts = load::Counts {
             arrived: 1,
-            client_retries: u32::from(ask.returned),
+            client_retries: u32::from(ask.is_client_retry),
             ..load::Counts::default()
         };
         self.count(ask, counts, now);
@@ -133,7 +133,7 @@
     /// Counts a request that was refused for lack of capacity and may be retried after `retry`; as
     /// lost if its caller can't retry then.
     pub(super) fn record_refused(&mut self, ask: &message::Ask, retry: Duration, now: Duration) {
-        if !ask.may_return(retry) {
+        if !ask.client_may_retry(retry) {
             return self.record_lost(ask, now);
         }
         let counts = load::Counts {
--- a/src/scalewood/core/dispatch/status.rs
+++ b/src/scalewood/core/dispatch/status.rs
@@ -30,10 +30,10 @@
     pub fn basis(&self, attempt: attempt::Attempt) -> Option<Basis> {
         let run = self.runs.get(attempt)?;
         Some(Basis {
-            unread: unit::Tokens(run.prefill_tokens),
-            ahead: unit::Tokens(run.ahead.as_urgent),
-            later: unit::Tokens(run.ahead.less_urgent),
-            kept: run.cached,
+            uncached: unit::Tokens(run.prefill_tokens),
+            pending_ahead: unit::Tokens(run.ahead.as_urgent),
+            pending_less_urgent: unit::Tokens(run.ahead.less_urgent),
+            prefix_cached: run.cached,
         })
     }
 
--- a/src/scalewood/core/ledger.rs
+++ b/src/scalewood/core/ledger.rs
@@ -111,8 +111,8 @@
     #[serde(default)]
     usage: usage::Log,
     /// The count in the last scaling order for each service, zone and kind.
-    #[serde(default)]
-    ordered: BTreeMap<String, u32>,
+    #[serde(rename = "ordered", default)]
+    last_scaling_counts: BTreeMap<String, u32>,
     /// The state of cordons that is kept outside the document.
     #[serde(default)]
     cordons: cordon::History,
@@ -392,7 +392,7 @@
     fn scale(&mut self, scale: &Scale) {
         let scaling::Order { zone, kind, count } = &scale.order;
         let item = format!("endpoints of {} in {zone}, {kind}", scale.service);
-        let before = self.ordered.insert(item.clone(), *count);
+        let before = self.last_scaling_counts.insert(item.clone(), *count);
         if before == Some(*count) {
             return;
         }
@@ -413,7 +413,7 @@
 
     /// Returns the counts in the last scaling orders, by service, zone and kind.
     pub fn last_scaling_counts(&self) -> &BTreeMap<String, u32> {
-        &self.ordered
+        &self.last_scaling_counts
     }
 
     /// Returns an acceptance at the revision in force.
--- a/src/scalewood/core/load/hub.rs
+++ b/src/scalewood/core/load/hub.rs
@@ -118,7 +118,7 @@
 
 /// Where a shared prefix was placed, and who reported it.
 #[derive(Debug)]
-struct Placed {
+struct ReportedPlacement {
     sender: name::Box,
     /// Whether the sender is a box of this hub, not another hub.
     own: bool,
@@ -146,7 +146,7 @@
     /// When stalled endpoints were last looked for.
     stalls_checked_at: Duration,
     /// The last placements, and the number of earlier ones that were dropped.
-    placements: VecDeque<Placed>,
+    placements: VecDeque<ReportedPlacement>,
     dropped: u64,
     /// The boxes that may send to endpoints that warm up.
     leases: warm_up::Leases,
@@ -357,7 +357,7 @@
     }
 
     fn take_placements(&mut self, from: &name::Box, own: bool, placements: Vec<Placement>) {
-        let placed = placements.into_iter().map(|placement| Placed {
+        let placed = placements.into_iter().map(|placement| ReportedPlacement {
             sender: from.clone(),
             own,
             placement: Some(placement),
@@ -536,10 +536,10 @@
 
 /// Returns the placements from `next` on, and moves `next` behind the last one.
 fn unsent<'a>(
-    placements: &'a VecDeque<Placed>,
+    placements: &'a VecDeque<ReportedPlacement>,
     dropped: u64,
     next: &mut u64,
-) -> impl Iterator<Item = &'a Placed> {
+) -> impl Iterator<Item = &'a ReportedPlacement> {
     let sent = next.saturating_sub(dropped);
     *next = dropped + placements.len() as u64;
     placements
--- a/src/scalewood/core/pace.rs
+++ b/src/scalewood/core/pace.rs
@@ -55,7 +55,7 @@
 
 /// An endpoint with its pace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Paced {
+pub struct EndpointPace {
     /// The endpoint.
     pub endpoint: name::Endpoint,
     /// Its pace.
@@ -198,10 +198,10 @@
 
     /// Returns the paces measured here that changed after a stamp, and the stamp to pass next time.
     /// Paces adopted from other boxes are not included.
-    pub fn measured_since(&self, stamp: u64) -> (Vec<Paced>, u64) {
+    pub fn measured_since(&self, stamp: u64) -> (Vec<EndpointPace>, u64) {
         let changed = self.changed.range(stamp.saturating_add(1)..);
         let paced = changed.filter_map(|(_, name)| {
-            Some(Paced {
+            Some(EndpointPace {
                 endpoint: name.clone(),
                 pace: self.endpoints.get(name)?.reported?.0,
             })
--- a/src/scalewood/core/prompt.rs
+++ b/src/scalewood/core/prompt.rs
@@ -12,7 +12,7 @@
 
 /// The placement key of a prompt whose beginning other prompts share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct PlacementKey {
     /// The hash of the shared beginning.
     pub prefix: Prefix,
     /// The length of the shared beginning.
--- a/src/scalewood/core/registry.rs
+++ b/src/scalewood/core/registry.rs
@@ -529,7 +529,7 @@
     }
 
     /// Returns the paces that changed within a range of stamps.
-    pub fn paces_since(&self, span: impl Into<Span>) -> Vec<pace::Paced> {
+    pub fn paces_since(&self, span: impl Into<Span>) -> Vec<pace::EndpointPace> {
         self.paces.since(span.into())
     }
 
--- a/src/scalewood/core/registry/paces.rs
+++ b/src/scalewood/core/registry/paces.rs
@@ -67,10 +67,10 @@
     }
 
     /// Returns the paces that changed within a range of stamps.
-    pub(super) fn since(&self, span: Span) -> Vec<pace::Paced> {
+    pub(super) fn since(&self, span: Span) -> Vec<pace::EndpointPace> {
         let changed = self.changes.since(span);
         let paced = changed.filter_map(|name| {
-            Some(pace::Paced {
+            Some(pace::EndpointPace {
                 endpoint: name.clone(),
                 pace: self.get(name)?,
             })
--- a/src/scalewood/ops/control/admin.rs
+++ b/src/scalewood/ops/control/admin.rs
@@ -238,7 +238,7 @@
         warp::reply::json(&Provider {
             holder: ledger.holder().cloned(),
             usage: ledger.usage().windows().clone(),
-            ordered: ledger.last_scaling_counts().clone(),
+            last_scaling_counts: ledger.last_scaling_counts().clone(),
         })
         .into_response()
     }
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -201,7 +201,7 @@
     /// Records the paces that a box measured. Followers are sent the changed medians with the next
     /// message, which is sent at once if an endpoint had no known pace before or if other endpoints
     /// now count as slow.
-    fn record_paces(&self, from: &name::Box, paces: Vec<pace::Paced>) {
+    fn record_paces(&self, from: &name::Box, paces: Vec<pace::EndpointPace>) {
         let mut changed = false;
         let mut medians = Vec::with_capacity(paces.len());
         {
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -86,7 +86,7 @@
         &self,
         registry: &mut registry::Registry,
         from: &name::Box,
-        paces: Vec<pace::Paced>,
+        paces: Vec<pace::EndpointPace>,
     ) {
         let mut pace_reports = lock(&self.pace_reports);
         for paced in paces {
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -119,7 +119,7 @@
         Ok(places.collect())
     }
 
-    async fn measured(&self, who: name::Box, paces: Vec<pace::Paced>) -> RpcResult<()> {
+    async fn measured(&self, who: name::Box, paces: Vec<pace::EndpointPace>) -> RpcResult<()> {
         self.endpoints.record_paces(&who, paces);
         Ok(())
     }
--- a/src/scalewood/ops/entry/call.rs
+++ b/src/scalewood/ops/entry/call.rs
@@ -36,7 +36,7 @@
     /// The hash of the prompt's beginning, for requests to scalewood's own model API.
     pub(super) prefix: Option<dispatch::Prefix>,
     /// The shared prefix that the caller stated, for requests of routes.
-    pub(super) placed: Option<dispatch::Placed>,
+    pub(super) placement_key: Option<dispatch::PlacementKey>,
     /// The regions that may serve it, by the configuration in force at its arrival.
     pub(super) allowed: residency::Allowed,
     /// The configuration entries from which the regions are derived again for later attempts.
@@ -124,7 +124,7 @@
         arrived_at: arrived,
         prompt: size.prompt,
         prefix,
-        placed: None,
+        placement_key: None,
         first_token_patience: None,
         is_client_retry: false,
         content,
@@ -286,11 +286,11 @@
             target: self.class.target,
             deadline: self.class.deadline,
             patience: self.first_token_patience,
-            returned: self.is_client_retry,
+            is_client_retry: self.is_client_retry,
             prompt: self.prompt,
             delivered: unit::Tokens(0),
             prefix: self.prefix,
-            placed: self.placed,
+            placement_key: self.placement_key,
             allowed: self.allowed.clone(),
             preemptible: preemptible && self.class.preemptible,
             preempted: 0,
--- a/src/scalewood/ops/entry/directory.rs
+++ b/src/scalewood/ops/entry/directory.rs
@@ -443,6 +443,6 @@
         return;
     }
     for service in dispatchers::services(board) {
-        dispatchers::apply_input(board, &service, dispatch::Input::Sharers(count));
+        dispatchers::apply_input(board, &service, dispatch::Input::BoxCount(count));
     }
 }
--- a/src/scalewood/ops/entry/dispatchers.rs
+++ b/src/scalewood/ops/entry/dispatchers.rs
@@ -117,7 +117,7 @@
     let mut outputs = dispatcher.step(configuration(board, &view, service), now);
     outputs.extend(dispatcher.step(dispatch::Input::LiveBoxes(alive(board)), now));
     let sharers = board.sharers.load(Ordering::Relaxed);
-    outputs.extend(dispatcher.step(dispatch::Input::Sharers(sharers), now));
+    outputs.extend(dispatcher.step(dispatch::Input::BoxCount(sharers), now));
     (dispatcher, outputs)
 }
 
--- a/src/scalewood/ops/entry/routed/mod.rs
+++ b/src/scalewood/ops/entry/routed/mod.rs
@@ -271,7 +271,7 @@
         arrived_at: arrived,
         prompt: head.prompt,
         prefix: None,
-        placed: outgoing::placed(head),
+        placement_key: outgoing::placement_key(head),
         allowed: residency::Allowed::default(),
         source: residency::Source::Route {
             route: name.clone(),
--- a/src/scalewood/ops/entry/routed/outgoing.rs
+++ b/src/scalewood/ops/entry/routed/outgoing.rs
@@ -88,7 +88,7 @@
 
 /// Returns the shared prefix by which a dispatcher chooses the endpoint of a prompt: all its parts
 /// but the last. Returns `None` if the prompt has fewer than two.
-pub(super) fn placed(head: &Head) -> Option<dispatch::Placed> {
+pub(super) fn placement_key(head: &Head) -> Option<dispatch::PlacementKey> {
     let (_, shared) = head.parts.split_last()?;
     if shared.is_empty() {
         return None;
@@ -96,7 +96,7 @@
     let ids: Vec<String> = shared.iter().map(|part| format!("{:x}", part.id)).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let tokens = shared.iter().map(|part| part.tokens.0).sum();
-    Some(dispatch::Placed {
+    Some(dispatch::PlacementKey {
         prefix: dispatch::Prefix(rendezvous::hash(&ids)),
         shared: unit::Tokens(tokens),
     })
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -126,14 +126,14 @@
     }
     let count: u32 = issued.iter().map(|issued| issued.count).sum();
     board.metrics.permits.inc_by(u64::from(count));
-    let passes = issued.into_iter().map(|issued| dispatch::Pass {
+    let permits = issued.into_iter().map(|issued| dispatch::IssuedPermits {
         endpoint: issued.endpoint,
         count: issued.count,
         until: asked_at + issued.remaining,
     });
-    let passes: Vec<_> = passes.collect();
+    let permits: Vec<_> = permits.collect();
     for service in dispatchers::services(board) {
-        dispatchers::apply_input(board, &service, dispatch::Input::Permits(passes.clone()));
+        dispatchers::apply_input(board, &service, dispatch::Input::Permits(permits.clone()));
     }
 }
 
--- a/src/scalewood/store/hints.rs
+++ b/src/scalewood/store/hints.rs
@@ -23,7 +23,7 @@
 #[serde(default)]
 pub struct Hints {
     /// The paces of endpoints.
-    pub paces: Vec<pace::Paced>,
+    pub paces: Vec<pace::EndpointPace>,
     /// The endpoints that took work and whose last heartbeat was recent.
     pub endpoints: Vec<registry::Record>,
     /// The requests that were held back. Without this, each of them would crash three more
--- a/src/scalewood/wire/admin.rs
+++ b/src/scalewood/wire/admin.rs
@@ -57,7 +57,8 @@
     /// The usage windows that are retained.
     pub usage: BTreeMap<usage::Window, usage::Agreed>,
     /// The number of endpoints in the last order, by service, zone and kind.
-    pub ordered: BTreeMap<String, u32>,
+    #[serde(rename = "ordered")]
+    pub last_scaling_counts: BTreeMap<String, u32>,
 }
 
 /// The zones that are cordoned.
--- a/src/scalewood/wire/registry.rs
+++ b/src/scalewood/wire/registry.rs
@@ -40,7 +40,7 @@
     pub heard: Vec<name::Endpoint>,
     /// Endpoints whose pace has changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub paces: Vec<pace::Paced>,
+    pub paces: Vec<pace::EndpointPace>,
     /// The highest revision that the voter knows.
     pub revision: unit::Revision,
     /// The number of boxes that follow the voter.
@@ -178,7 +178,7 @@
 
     /// Records the paces of endpoints that a box has measured.
     #[method(name = "measured")]
-    async fn measured(&self, who: name::Box, paces: Vec<pace::Paced>) -> RpcResult<()>;
+    async fn measured(&self, who: name::Box, paces: Vec<pace::EndpointPace>) -> RpcResult<()>;
 
     /// Records a box's loads at endpoints (the changed ones, or all if `anew` is set), its
     /// placements and its usage counts; returns the loads of the other boxes. Returns `None` if the
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -345,7 +345,7 @@
         tier: unit::Tier(if urgent { 0 } else { 4 }),
         prompt: unit::Tokens(prompt),
         preemptible: !urgent,
-        placed: None,
+        placement_key: None,
         ..placement::ask(number, "short", 1)
     };
     let own: name::Box = "e1".parse().unwrap();
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -270,9 +270,9 @@
     };
     let plain = |request: u64, class: &str, tier| Ask {
         tier: unit::Tier(tier),
-        placed: None,
+        placement_key: None,
         prompt: unit::Tokens(0),
-        returned: false,
+        is_client_retry: false,
         // Ages are reported in whole milliseconds.
         age: Duration::from_millis(1),
         deadline: Duration::from_secs(4),
--- a/tests/testsuite/pace.rs
+++ b/tests/testsuite/pace.rs
@@ -8,7 +8,7 @@
     core::{
         dispatch::Input,
         name,
-        pace::{classify, Meter, Meters, Pace, Paced, Reports, Sampler},
+        pace::{classify, EndpointPace, Meter, Meters, Pace, Reports, Sampler},
         region,
         registry::{Record, Registry, State},
         unit,
@@ -221,7 +221,7 @@
     let dir = tempfile::tempdir().unwrap();
     let place = hints::Store::new(dir.path());
     assert_eq!(place.load().unwrap(), hints::Hints::default());
-    let paced = |name: &str, pace| Paced {
+    let paced = |name: &str, pace| EndpointPace {
         endpoint: name.parse().unwrap(),
         pace: Pace(pace),
     };
--- a/tests/testsuite/placement.rs
+++ b/tests/testsuite/placement.rs
@@ -10,7 +10,7 @@
     attempt::{Attempt, Request},
     config,
     dispatch::{
-        Ask, Dispatcher, End, Input, Order, Placed, Prefix, Reason, Report, Settings, Spec,
+        Ask, Dispatcher, End, Input, Order, PlacementKey, Prefix, Reason, Report, Settings, Spec,
     },
     load::{Load, Loads, Placement, Prompts, Risk},
     name, risk, unit,
@@ -81,12 +81,12 @@
         target: Duration::from_millis(250),
         deadline: Duration::from_secs(10),
         patience: None,
-        returned: true,
+        is_client_retry: true,
         allowed: Default::default(),
         prompt: unit::Tokens(own + 200),
         delivered: unit::Tokens(0),
         prefix: None,
-        placed: Some(Placed {
+        placement_key: Some(PlacementKey {
             prefix: Prefix(prefix),
             shared: unit::Tokens(200),
         }),
@@ -316,7 +316,7 @@
 #[test]
 fn lower_classes_make_way_before_the_first_fills_the_endpoints_for_short_prompts() {
     let mut dispatcher = dispatcher();
-    dispatcher.step(Input::Sharers(8), START);
+    dispatcher.step(Input::BoxCount(8), START);
     let mut at: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
     for request in 0..600 {
         let now = START + Duration::from_millis(20 * request);
@@ -514,7 +514,7 @@
         dispatcher.step(Input::Report(own.clone(), Report::Ask(asked)), START)
     };
     let never_refused = Ask {
-        returned: false,
+        is_client_retry: false,
         ..ask(1, "short", 7)
     };
     let first = orders(&mut dispatcher, never_refused);
@@ -531,7 +531,7 @@
     // early refusal.
     let again = Ask {
         attempt: Attempt::first(Request(3)).next(),
-        returned: false,
+        is_client_retry: false,
         ..ask(3, "short", 7)
     };
     let third = orders(&mut dispatcher, again);
@@ -665,7 +665,7 @@
     );
     // Requests without a shared prefix are spread by load, and avoid an endpoint that may fail.
     let call = |request| Ask {
-        placed: None,
+        placement_key: None,
         prompt: unit::Tokens(0),
         ..ask(request, "short", 0)
     };
@@ -688,7 +688,7 @@
         };
         let mut dispatcher = configure_dispatcher(Dispatcher::new(settings, START), &[]);
         let call = Ask {
-            placed: None,
+            placement_key: None,
             ..ask(1, "short", 0)
         };
         chosen.insert(grant(&mut dispatcher, call, true, START));
--- a/tests/testsuite/precedence/world.rs
+++ b/tests/testsuite/precedence/world.rs
@@ -13,7 +13,7 @@
     attempt::{Attempt, Request},
     config,
     dispatch::{
-        Admission, Ask, Dispatcher, End, Input, Order, Placed, Prefix, Report, Settings, Spec,
+        Admission, Ask, Dispatcher, End, Input, Order, PlacementKey, Prefix, Report, Settings, Spec,
     },
     load::{self, Hub, Loads, Update},
     name, unit,
@@ -244,7 +244,7 @@
     dispatcher.step(Input::LiveBoxes(BTreeSet::from([own.clone()])), START);
     dispatcher.step(Input::Report(own.clone(), Report::Hello), START);
     dispatcher.step(Input::Report(own, Report::Announced), START);
-    dispatcher.step(Input::Sharers(u32::try_from(plan.boxes).unwrap()), START);
+    dispatcher.step(Input::BoxCount(u32::try_from(plan.boxes).unwrap()), START);
     dispatcher
 }
 
@@ -384,11 +384,11 @@
             target: class.target.min(left),
             deadline: left,
             patience: Some(left),
-            returned: call.tries > 1,
+            is_client_retry: call.tries > 1,
             prompt: unit::Tokens(call.tokens),
             delivered: unit::Tokens(0),
             prefix: None,
-            placed: Some(Placed {
+            placement_key: Some(PlacementKey {
                 prefix: Prefix(call.prefix),
                 shared: unit::Tokens(SHARED),
             }),
--- a/tests/testsuite/random/dispatch.rs
+++ b/tests/testsuite/random/dispatch.rs
@@ -351,7 +351,7 @@
                     ask,
                     endpoint: format!("m{endpoint}").parse().unwrap(),
                     tokens: unit::Tokens(1),
-                    held: now - since,
+                    held_for: now - since,
                 }),
             });
         }
@@ -526,14 +526,14 @@
             target: Duration::from_millis(500),
             deadline: Duration::from_secs(8),
             patience: None,
-            returned: false,
+            is_client_retry: false,
             allowed: Default::default(),
             prompt: unit::Tokens(10),
             delivered: unit::Tokens(0),
             prefix: takes
                 .is_multiple_of(2)
                 .then_some(dispatch::Prefix(takes % 5)),
-            placed: takes.is_multiple_of(3).then_some(dispatch::Placed {
+            placement_key: takes.is_multiple_of(3).then_some(dispatch::PlacementKey {
                 prefix: dispatch::Prefix(takes % 7),
                 shared: unit::Tokens(5),
             }),
--- a/tests/testsuite/regions.rs
+++ b/tests/testsuite/regions.rs
@@ -53,7 +53,7 @@
     let mut counts = BTreeMap::new();
     for number in 0..count {
         let mut ask = ask(number, "short", number);
-        ask.placed = None;
+        ask.placement_key = None;
         let input = Input::Report("e1".parse().unwrap(), Report::Ask(ask));
         let orders = dispatcher.step(input, START);
         let [(_, Order::Grant(_, endpoint))] = orders.as_slice() else {
--- a/tests/testsuite/residency.rs
+++ b/tests/testsuite/residency.rs
@@ -201,7 +201,7 @@
 ) -> Vec<Order> {
     let mut ask = ask(number, "short", number);
     ask.allowed = allowed.clone();
-    ask.placed = ask.placed.filter(|_| placed);
+    ask.placement_key = ask.placement_key.filter(|_| placed);
     report(dispatcher, Report::Ask(ask))
 }
 
@@ -280,7 +280,7 @@
     let mut dispatcher = dispatcher(&[spec("i-0", 1, "r0"), spec("i-1", 1, "r1")]);
     for (number, region) in [(1, "r0"), (2, "r1")] {
         let mut low = ask(number, "short", number);
-        low.placed = None;
+        low.placement_key = None;
         low.tier = unit::Tier(4);
         low.preemptible = true;
         low.allowed = only(&[region]);
@@ -289,7 +289,7 @@
         report(&mut dispatcher, Report::Started(low.attempt));
     }
     let mut urgent = ask(3, "short", 3);
-    urgent.placed = None;
+    urgent.placement_key = None;
     urgent.age = Duration::from_millis(240);
     urgent.allowed = only(&["r1"]);
     let preempted = report(&mut dispatcher, Report::Ask(urgent));
--- a/tests/testsuite/size.rs
+++ b/tests/testsuite/size.rs
@@ -14,7 +14,7 @@
     attempt::{Attempt, Request},
     config,
     dispatch::{
-        Ask, Dispatcher, End, Input, Order, Output, Placed, Prefix, Report, Settings, Spec,
+        Ask, Dispatcher, End, Input, Order, Output, PlacementKey, Prefix, Report, Settings, Spec,
     },
     load::{self, Hub, Loads, Update},
     name, unit,
@@ -230,12 +230,12 @@
             target: TARGET,
             deadline: DEADLINE,
             patience: None,
-            returned: false,
+            is_client_retry: false,
             allowed: Default::default(),
             prompt: unit::Tokens(PROMPT_TOKENS),
             delivered: unit::Tokens(0),
             prefix: None,
-            placed: Some(Placed {
+            placement_key: Some(PlacementKey {
                 prefix: Prefix(attempt.request.0 % PREFIXES),
                 shared: unit::Tokens(SHARED_TOKENS),
             }),
--- a/tests/testsuite/support/voter.rs
+++ b/tests/testsuite/support/voter.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    async fn measured(&self, _who: name::Box, _paces: Vec<pace::Paced>) -> RpcResult<()> {
+    async fn measured(&self, _who: name::Box, _paces: Vec<pace::EndpointPace>) -> RpcResult<()> {
         Ok(())
     }
 
--- a/tests/testsuite/throttle_dispatch.rs
+++ b/tests/testsuite/throttle_dispatch.rs
@@ -9,8 +9,8 @@
     attempt::{Attempt, Request},
     config,
     dispatch::{
-        Admission, Ask, Dispatcher, End, Input, LimitChange, Order, Pass, Reason, Report, Settings,
-        Spec,
+        Admission, Ask, Dispatcher, End, Input, IssuedPermits, LimitChange, Order, Reason, Report,
+        Settings, Spec,
     },
     name, unit,
 };
@@ -49,7 +49,7 @@
     let mut dispatcher = Dispatcher::new(Settings::default(), START);
     dispatcher.step(Input::Configure(specs, BTreeMap::from([class])), START);
     dispatcher.step(Input::LiveBoxes(BTreeSet::from([own()])), START);
-    dispatcher.step(Input::Sharers(1), START);
+    dispatcher.step(Input::BoxCount(1), START);
     dispatcher.step(Input::Report(own(), Report::Hello), START);
     dispatcher.step(Input::Report(own(), Report::Announced), START);
     dispatcher
@@ -67,7 +67,7 @@
 /// Adds permits for an endpoint that are valid for 1.5 seconds from `START`, and returns the
 /// orders.
 fn add_permits(dispatcher: &mut Dispatcher, number: u32, count: u32) -> Vec<Order> {
-    let pass = Pass {
+    let pass = IssuedPermits {
         endpoint: endpoint(number),
         count,
         until: START + Duration::from_millis(1500),
@@ -85,11 +85,11 @@
         target: Duration::from_millis(250),
         deadline: DEADLINE,
         patience: None,
-        returned: false,
+        is_client_retry: false,
         prompt: unit::Tokens(100),
         delivered: unit::Tokens(0),
         prefix: None,
-        placed: None,
+        placement_key: None,
         allowed: Default::default(),
         preemptible: true,
         preempted: 0,
