--- a/src/scalewood/core/audit.rs
+++ b/src/scalewood/core/audit.rs
@@ -57,13 +57,13 @@
 }
 
 /// Returns the difference that cordoning or uncordoning a zone makes.
-pub fn cordon_difference(mark: &cordon::Mark) -> Difference {
-    let (before, after) = match mark.act {
+pub fn cordon_difference(change: &cordon::ZoneChange) -> Difference {
+    let (before, after) = match change.act {
         cordon::Action::Cordon => (None, Some(true.into())),
         cordon::Action::Uncordon => (Some(true.into()), None),
     };
     Difference {
-        item: format!("cordon {}", mark.zone),
+        item: format!("cordon {}", change.zone),
         before,
         after,
     }
--- a/src/scalewood/core/cordon.rs
+++ b/src/scalewood/core/cordon.rs
@@ -19,7 +19,7 @@
 const MAX_ANSWERS: usize = 1000;
 /// The number of effective orders that are remembered for differences; it is also how many a box
 /// may lag behind and still get differences.
-const MAX_MARKS: usize = 256;
+const MAX_RECENT_CHANGES: usize = 256;
 /// The most zones that may be cordoned at once. It is many times the number in any deployment, and
 /// keeps misspelt names from growing the document without bound.
 pub const MAX_ZONES: usize = 256;
@@ -52,14 +52,14 @@
 
 /// A zone and what is done to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct ZoneChange {
     /// The zone.
     pub zone: name::Zone,
     /// What is done to it.
     pub act: Action,
 }
 
-impl Mark {
+impl ZoneChange {
     /// Applies the change. Returns false if it has no effect.
     fn apply(&self, cordoned: &mut BTreeSet<name::Zone>) -> bool {
         match self.act {
@@ -82,7 +82,7 @@
     }
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for ZoneChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.act, self.zone)
     }
@@ -92,7 +92,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     /// The zone, and what is done to it.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub change: ZoneChange,
     /// The operator who gave it.
     pub operator: name::Operator,
     /// The id that the operator chose for it. An order sent again under the same id gets its first
@@ -148,7 +149,8 @@
 struct FirstAnswer {
     id: change::Id,
     operator: name::Operator,
-    mark: Mark,
+    #[serde(rename = "mark")]
+    change: ZoneChange,
     answer: change::Answer,
 }
 
@@ -157,7 +159,8 @@
 pub struct History {
     // Shared, since the state is copied for each snapshot and each reader.
     answers: VecDeque<Arc<FirstAnswer>>,
-    marks: VecDeque<(unit::Revision, Mark)>,
+    #[serde(rename = "marks")]
+    recent_changes: VecDeque<(unit::Revision, ZoneChange)>,
 }
 
 impl History {
@@ -166,7 +169,7 @@
     pub fn first_answer(&self, order: &Order, current: unit::Revision) -> Option<change::Answer> {
         let id = order.id.as_ref()?;
         let first = self.answers.iter().rev().find(|first| first.id == *id)?;
-        if first.mark == order.mark && first.operator == order.operator {
+        if first.change == order.change && first.operator == order.operator {
             return Some(first.answer.clone());
         }
         let why = format!("id {id} was used for another order; take a new id");
@@ -182,7 +185,7 @@
         self.answers.push_back(Arc::new(FirstAnswer {
             id,
             operator: order.operator.clone(),
-            mark: order.mark.clone(),
+            change: order.change.clone(),
             answer: answer.clone(),
         }));
         if self.answers.len() > MAX_ANSWERS {
@@ -191,17 +194,17 @@
     }
 
     /// Records an order that took effect.
-    pub fn record(&mut self, revision: unit::Revision, mark: Mark) {
-        self.marks.push_back((revision, mark));
-        if self.marks.len() > MAX_MARKS {
-            self.marks.pop_front();
+    pub fn record(&mut self, revision: unit::Revision, change: ZoneChange) {
+        self.recent_changes.push_back((revision, change));
+        if self.recent_changes.len() > MAX_RECENT_CHANGES {
+            self.recent_changes.pop_front();
         }
     }
 
     /// Returns the steps of the remembered orders after a revision.
     pub fn steps_since(&self, from: unit::Revision) -> impl Iterator<Item = change::Step> + '_ {
-        let newer = self.marks.iter().filter(move |(at, _)| *at > from);
-        newer.map(|(at, mark)| change::Step::from_cordon(*at, mark.difference()))
+        let newer = self.recent_changes.iter().filter(move |(at, _)| *at > from);
+        newer.map(|(at, change)| change::Step::from_cordon(*at, change.difference()))
     }
 }
 
@@ -211,11 +214,11 @@
 ///
 /// Fails if too many zones would be cordoned.
 pub fn evaluate(
-    mark: &Mark,
+    change: &ZoneChange,
     cordoned: &BTreeSet<name::Zone>,
 ) -> Result<Option<BTreeSet<name::Zone>>, String> {
     let mut after = cordoned.clone();
-    if !mark.apply(&mut after) {
+    if !change.apply(&mut after) {
         return Ok(None);
     }
     if after.len() > MAX_ZONES {
--- a/src/scalewood/core/dispatch/endpoint.rs
+++ b/src/scalewood/core/dispatch/endpoint.rs
@@ -172,7 +172,7 @@
     /// The part of the score that is due to the risk, in thousandths of its slots.
     risk_penalty: u64,
     /// The outcomes of requests of this box that are not reported to other boxes yet.
-    outcomes: load::Count,
+    outcomes: load::OutcomeCounts,
     /// This box's constant penalty for it, in thousandths of its slots; see [`MAX_BIAS`].
     bias: u64,
     /// When the last first token came or, if that is later, when `pending_runs` last rose from 0.
@@ -460,7 +460,7 @@
             pending_runs: 0,
             risk: risk::Risk::default(),
             risk_penalty: 0,
-            outcomes: load::Count::default(),
+            outcomes: load::OutcomeCounts::default(),
             bias,
             waiting_since: Duration::ZERO,
             score: None,
--- a/src/scalewood/core/dispatch/endpoint/health.rs
+++ b/src/scalewood/core/dispatch/endpoint/health.rs
@@ -163,7 +163,7 @@
         for index in std::mem::take(&mut self.unreported) {
             let count = std::mem::take(&mut self.endpoints[index.0].outcomes);
             // Outcomes of an earlier start do not apply to the current one of the same name.
-            if count != load::Count::default() && self.is_latest(index) {
+            if count != load::OutcomeCounts::default() && self.is_latest(index) {
                 let endpoint = self.endpoints[index.0].name.clone();
                 outcomes.push(load::Outcome { endpoint, count });
             }
--- a/src/scalewood/core/dispatch/endpoint/select.rs
+++ b/src/scalewood/core/dispatch/endpoint/select.rs
@@ -303,8 +303,8 @@
     }
 
     /// Updates the load of other boxes at some endpoints.
-    pub(in crate::core::dispatch) fn change_others(&mut self, changed: &[load::Loaded]) {
-        for load::Loaded { endpoint, load } in changed {
+    pub(in crate::core::dispatch) fn change_others(&mut self, changed: &[load::EndpointLoad]) {
+        for load::EndpointLoad { endpoint, load } in changed {
             if let Some(index) = self.names.get(endpoint).copied() {
                 self.endpoints[index.0].others = *load;
                 self.rescore(index);
--- a/src/scalewood/core/dispatch/mod.rs
+++ b/src/scalewood/core/dispatch/mod.rs
@@ -139,7 +139,7 @@
     /// The load that the other boxes put on the endpoints, if it is known.
     OtherLoads(Option<load::Loads>),
     /// The load that the other boxes put on some endpoints; replaces what was known of these.
-    OtherLoadsChanged(Vec<load::Loaded>),
+    OtherLoadsChanged(Vec<load::EndpointLoad>),
     /// Prefixes that other boxes have recently placed; those at endpoints of other services are
     /// ignored.
     Placements(Vec<load::Placement>),
--- a/src/scalewood/core/dispatch/precedence.rs
+++ b/src/scalewood/core/dispatch/precedence.rs
@@ -60,7 +60,7 @@
     bounds: BTreeMap<name::Class, Bound>,
     /// Results that are not reported to other boxes yet, and the number of exchanges since the
     /// last report.
-    unreported: BTreeMap<name::Class, load::Counts>,
+    unreported: BTreeMap<name::Class, load::ClassCounts>,
     exchanges: u32,
     /// Less urgent requests that were held back or started while a class was refused.
     tallies: BTreeMap<ClassPair, Tally>,
@@ -112,20 +112,20 @@
 impl Refusals {
     /// Counts a request that arrived.
     pub(super) fn record_arrived(&mut self, ask: &message::Ask, now: Duration) {
-        let counts = load::Counts {
+        let counts = load::ClassCounts {
             arrived: 1,
             client_retries: u32::from(ask.is_client_retry),
-            ..load::Counts::default()
+            ..load::ClassCounts::default()
         };
         self.count(ask, counts, now);
     }
 
     /// Counts a request that started for the first time.
     pub(super) fn record_started(&mut self, ask: &message::Ask, now: Duration) {
-        let counts = load::Counts {
+        let counts = load::ClassCounts {
             started: 1,
             started_tokens: ask.prompt.0,
-            ..load::Counts::default()
+            ..load::ClassCounts::default()
         };
         self.count(ask, counts, now);
     }
@@ -136,26 +136,26 @@
         if !ask.client_may_retry(retry) {
             return self.record_lost(ask, now);
         }
-        let counts = load::Counts {
+        let counts = load::ClassCounts {
             deferred: 1,
             deferred_tokens: ask.prompt.0,
-            ..load::Counts::default()
+            ..load::ClassCounts::default()
         };
         self.count(ask, counts, now);
     }
 
     /// Counts a request that failed for good for lack of capacity.
     pub(super) fn record_lost(&mut self, ask: &message::Ask, now: Duration) {
-        let counts = load::Counts {
+        let counts = load::ClassCounts {
             lost: 1,
             lost_tokens: ask.prompt.0,
-            ..load::Counts::default()
+            ..load::ClassCounts::default()
         };
         self.count(ask, counts, now);
     }
 
-    fn count(&mut self, ask: &message::Ask, counts: load::Counts, now: Duration) {
-        let counts = load::Counts {
+    fn count(&mut self, ask: &message::Ask, counts: load::ClassCounts, now: Duration) {
+        let counts = load::ClassCounts {
             tier: ask.tier,
             ..counts
         };
@@ -164,9 +164,9 @@
     }
 
     /// Returns the results that are due to be reported to other boxes.
-    pub(super) fn take_unreported(&mut self) -> Vec<(name::Class, load::Counts)> {
+    pub(super) fn take_unreported(&mut self) -> Vec<(name::Class, load::ClassCounts)> {
         self.exchanges += 1;
-        let is_due = |counts: &load::Counts| {
+        let is_due = |counts: &load::ClassCounts| {
             counts.lost > 0 || counts.deferred > 0 || counts.arrived >= MIN_REPORTED_REQUESTS
         };
         if self.exchanges < MAX_REPORT_EXCHANGES && !self.unreported.values().any(is_due) {
--- a/src/scalewood/core/dispatch/status.rs
+++ b/src/scalewood/core/dispatch/status.rs
@@ -71,7 +71,7 @@
 
     /// Returns the results of requests here, by class, that are due to be reported to other
     /// boxes.
-    pub fn take_counts(&mut self) -> Vec<(name::Class, load::Counts)> {
+    pub fn take_counts(&mut self) -> Vec<(name::Class, load::ClassCounts)> {
         self.refusals.take_unreported()
     }
 
--- a/src/scalewood/core/ledger.rs
+++ b/src/scalewood/core/ledger.rs
@@ -355,7 +355,7 @@
         if let Some(answer) = self.previous_cordon_answer(order) {
             return answer;
         }
-        let answer = match cordon::evaluate(&order.mark, &self.document.cordoned) {
+        let answer = match cordon::evaluate(&order.change, &self.document.cordoned) {
             Ok(Some(cordoned)) => self.accept_cordon(order, cordoned),
             Ok(None) => self.accepted(),
             Err(why) => self.refuse(vec![why]),
@@ -379,12 +379,12 @@
             operator: order.operator.clone(),
             at_unix_ms: order.at_unix_ms,
             why: order.why.clone(),
-            differences: vec![audit::cordon_difference(&order.mark)],
+            differences: vec![audit::cordon_difference(&order.change)],
         });
         let mut document = config::Document::clone(&self.document);
         document.cordoned = cordoned;
         self.document = Arc::new(document);
-        self.cordons.record(self.revision, order.mark.clone());
+        self.cordons.record(self.revision, order.change.clone());
         self.accepted()
     }
 
--- a/src/scalewood/core/load/delta.rs
+++ b/src/scalewood/core/load/delta.rs
@@ -6,7 +6,7 @@
 
 use std::{cmp::Reverse, collections::btree_map};
 
-use super::{Load, Loaded, Loads};
+use super::{EndpointLoad, Load, Loads};
 use crate::core::name;
 
 /// The most rows of one message: 8 KB. So the size of a message grows with the number of
@@ -40,7 +40,7 @@
 /// Returns the loads to send to a receiver that knows `sent`, so that it knows `total` without
 /// its `own` part: changed loads first, then those that have dropped to zero. If there are more
 /// than `MAX_ROWS`, returns only the largest changes, the largest first.
-pub(super) fn significant_changes(sent: &Loads, total: &Loads, own: &Loads) -> Vec<Loaded> {
+pub(super) fn significant_changes(sent: &Loads, total: &Loads, own: &Loads) -> Vec<EndpointLoad> {
     let mut updates = Vec::new();
     let mut ended = Vec::new();
     let mut sent = Cursor::new(sent);
@@ -68,7 +68,7 @@
 
 /// Adds a load, with the size of its change, if the change is large enough to be sent.
 fn add_if_significant(
-    updates: &mut Vec<(u64, Loaded)>,
+    updates: &mut Vec<(u64, EndpointLoad)>,
     endpoint: &name::Endpoint,
     load: Load,
     sent: Load,
@@ -76,7 +76,7 @@
     if load == sent || !load.differs_enough(sent) {
         return;
     }
-    let loaded = Loaded {
+    let loaded = EndpointLoad {
         endpoint: endpoint.clone(),
         load,
     };
--- a/src/scalewood/core/load/hub.rs
+++ b/src/scalewood/core/load/hub.rs
@@ -16,7 +16,7 @@
     refused::{Sums, Unsent},
     set_or_remove,
     sizes::Sizes,
-    Answer, Count, Load, Loaded, Loads, Outcome, Placement, Prompts, Risk, Update,
+    Answer, EndpointLoad, Load, Loads, Outcome, OutcomeCounts, Placement, Prompts, Risk, Update,
 };
 use crate::core::{
     crash,
@@ -81,7 +81,7 @@
     fn count_outcomes(&mut self, outcomes: &[Outcome], now: Duration) -> f64 {
         let passed = now.saturating_sub(self.heard_at).as_secs_f64();
         let decay = (-passed / COUNT_DECAY_S).exp();
-        let sum = |part: fn(&Count) -> u32| -> f64 {
+        let sum = |part: fn(&OutcomeCounts) -> u32| -> f64 {
             outcomes.iter().map(|o| f64::from(part(&o.count))).sum()
         };
         self.answered = self.answered * decay + sum(|count| count.answered);
@@ -107,7 +107,7 @@
     /// The serial number of the next placement to send to it.
     next: u64,
     /// Outcomes that were not sent to it yet.
-    outcomes: BTreeMap<name::Endpoint, Count>,
+    outcomes: BTreeMap<name::Endpoint, OutcomeCounts>,
     /// Prompts that were not sent to it yet.
     prompts: Sizes,
     /// Requests that arrived, started or were refused, and were not sent to it yet.
@@ -218,7 +218,7 @@
 
     /// Forgets the failures, waits and placements of an endpoint that has restarted. Loads stay:
     /// the boxes report by themselves which of their requests have ended.
-    pub fn restarted(&mut self, endpoint: &name::Endpoint) {
+    pub fn forget_earlier_starts(&mut self, endpoint: &name::Endpoint) {
         self.risks.remove(endpoint);
         self.waiting_since.remove(endpoint);
         for link in self.links.values_mut() {
@@ -242,7 +242,13 @@
 
     /// Applies another hub's report: what has changed at its boxes, or its `full` state. Returns
     /// false if that hub has to send its full state.
-    pub fn apply(&mut self, from: &name::Box, full: bool, report: Update, now: Duration) -> bool {
+    pub fn apply_peer_update(
+        &mut self,
+        from: &name::Box,
+        full: bool,
+        report: Update,
+        now: Duration,
+    ) -> bool {
         self.forget_silent(now);
         if full {
             self.forget_peer(from);
@@ -334,7 +340,7 @@
         self.links.remove(peer);
     }
 
-    fn take_own_loads(&mut self, from: &name::Box, changed: Vec<Loaded>) {
+    fn take_own_loads(&mut self, from: &name::Box, changed: Vec<EndpointLoad>) {
         let Some(member) = self.members.get_mut(from) else {
             return;
         };
@@ -347,7 +353,7 @@
         merge(&mut member.own, changed);
     }
 
-    fn loads_for(&mut self, name: &name::Box) -> Vec<Loaded> {
+    fn loads_for(&mut self, name: &name::Box) -> Vec<EndpointLoad> {
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
@@ -548,7 +554,7 @@
 }
 
 /// Replaces `before`, an endpoint's part of the sum, by its new load.
-fn replace(loads: &mut Loads, loaded: &Loaded, before: Load) {
+fn replace(loads: &mut Loads, loaded: &EndpointLoad, before: Load) {
     let counted = loads.get(&loaded.endpoint).copied().unwrap_or_default();
     set_or_remove(
         loads,
--- a/src/scalewood/core/load/losses.rs
+++ b/src/scalewood/core/load/losses.rs
@@ -41,7 +41,7 @@
 
 /// Numbers of requests of a class, by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ClassCounts {
     /// The least urgent tier among them: teams differ within a class.
     pub tier: unit::Tier,
     /// Requests that arrived.
@@ -62,7 +62,7 @@
     pub started_tokens: u64,
 }
 
-impl AddAssign for Counts {
+impl AddAssign for ClassCounts {
     fn add_assign(&mut self, other: Self) {
         self.tier = self.tier.max(other.tier);
         self.arrived = self.arrived.saturating_add(other.arrived);
@@ -76,7 +76,7 @@
     }
 }
 
-impl Counts {
+impl ClassCounts {
     /// Returns the mean prompt size of the refused requests, in tokens.
     fn refused_size(&self) -> f64 {
         mean(
@@ -131,13 +131,13 @@
 struct History {
     /// The least urgent tier seen or configured for the class.
     tier: unit::Tier,
-    window: Window<Counts>,
+    window: Window<ClassCounts>,
     /// When a request of the class was last refused.
     refused_at: Option<Duration>,
 }
 
 impl History {
-    fn add(&mut self, counts: Counts, now: Duration) {
+    fn add(&mut self, counts: ClassCounts, now: Duration) {
         self.tier = self.tier.max(counts.tier);
         self.window.add(counts, now);
         if counts.lost > 0 || counts.deferred > 0 {
@@ -156,8 +156,8 @@
         // Other classes don't give way to a class without recent refusals.
         let parts = (!self.is_quiet(now)).then(|| [counts, self.window.sum(SHORT_WINDOW, now)]);
         let parts = parts.iter().flatten();
-        let refused = parts.clone().map(Counts::refused_share);
-        let lost = parts.map(Counts::lost_share);
+        let refused = parts.clone().map(ClassCounts::refused_share);
+        let lost = parts.map(ClassCounts::lost_share);
         Recent {
             tier: self.tier,
             counts,
@@ -173,7 +173,7 @@
     /// Its least urgent tier.
     tier: unit::Tier,
     /// Its requests over the long window.
-    counts: Counts,
+    counts: ClassCounts,
     /// The share that was refused, with or without a retry to come; the larger one of both
     /// windows.
     refused: f64,
@@ -206,7 +206,7 @@
 
 impl Losses {
     /// Adds the counts of a class.
-    pub fn add(&mut self, class: &name::Class, counts: Counts, now: Duration) {
+    pub fn add(&mut self, class: &name::Class, counts: ClassCounts, now: Duration) {
         // Looked up first, to clone the name only once per class: most calls find the class.
         if let Some(history) = self.0.get_mut(class) {
             return history.add(counts, now);
@@ -220,7 +220,7 @@
     pub fn forget_idle(&mut self, now: Duration) -> bool {
         self.0.retain(|_, history| {
             let counts = history.window.sum(LONG_WINDOW, now);
-            counts != Counts::default()
+            counts != ClassCounts::default()
         });
         !self.0.is_empty()
     }
--- a/src/scalewood/core/load/mod.rs
+++ b/src/scalewood/core/load/mod.rs
@@ -24,7 +24,7 @@
 
 pub use hub::Hub;
 pub use less_urgent::LessUrgent;
-pub use losses::{Counts, Limit, Losses};
+pub use losses::{ClassCounts, Limit, Losses};
 pub use refused::{Bound, Refused, Tally, Traffic};
 
 /// The smallest changes of a load that are sent: about what the smallest prompts cause.
@@ -81,8 +81,8 @@
 
 /// An endpoint with its load. Serialized as a row (tuple) for size, since there are many of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "LoadedRow", into = "LoadedRow")]
-pub struct Loaded {
+#[serde(from = "EndpointLoadRow", into = "EndpointLoadRow")]
+pub struct EndpointLoad {
     /// The endpoint.
     pub endpoint: name::Endpoint,
     /// Its load.
@@ -91,10 +91,10 @@
 
 /// Endpoint, pending prefill, cached, running, and the pending prefill of less urgent requests by
 /// tier.
-type LoadedRow = (name::Endpoint, u64, u64, u32, LessUrgent);
+type EndpointLoadRow = (name::Endpoint, u64, u64, u32, LessUrgent);
 
-impl From<LoadedRow> for Loaded {
-    fn from((endpoint, pending_prefill, cached, running, less_urgent): LoadedRow) -> Self {
+impl From<EndpointLoadRow> for EndpointLoad {
+    fn from((endpoint, pending_prefill, cached, running, less_urgent): EndpointLoadRow) -> Self {
         let load = Load {
             pending_prefill,
             less_urgent,
@@ -105,8 +105,8 @@
     }
 }
 
-impl From<Loaded> for LoadedRow {
-    fn from(Loaded { endpoint, load }: Loaded) -> Self {
+impl From<EndpointLoad> for EndpointLoadRow {
+    fn from(EndpointLoad { endpoint, load }: EndpointLoad) -> Self {
         (
             endpoint,
             load.pending_prefill,
@@ -149,12 +149,12 @@
     /// The endpoint.
     pub endpoint: name::Endpoint,
     /// The requests by outcome.
-    pub count: Count,
+    pub count: OutcomeCounts,
 }
 
 /// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct OutcomeCounts {
     /// Requests that got a first token or an answer.
     pub answered: u32,
     /// Requests that failed, or whose callers left before a first token or an answer.
@@ -166,7 +166,7 @@
 
 impl From<OutcomeRow> for Outcome {
     fn from((endpoint, answered, failed): OutcomeRow) -> Self {
-        let count = Count { answered, failed };
+        let count = OutcomeCounts { answered, failed };
         Self { endpoint, count }
     }
 }
@@ -238,7 +238,7 @@
 pub struct Update {
     /// Loads that have changed.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    pub loads: Vec<Loaded>,
+    pub loads: Vec<EndpointLoad>,
     /// Shared prefixes that were placed.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub placements: Vec<Placement>,
@@ -282,7 +282,12 @@
 
 impl Update {
     /// Adds the counts of a class's requests.
-    pub fn add_counts(&mut self, service: &name::Service, class: &name::Class, counts: Counts) {
+    pub fn add_counts(
+        &mut self,
+        service: &name::Service,
+        class: &name::Class,
+        counts: ClassCounts,
+    ) {
         self.refused.extend(Refused::of(service, class, counts));
         self.traffic.extend(Traffic::of(service, class, &counts));
     }
@@ -311,8 +316,8 @@
 pub type Loads = BTreeMap<name::Endpoint, Load>;
 
 /// Applies the changed loads of a message.
-pub fn merge(loads: &mut Loads, changed: Vec<Loaded>) {
-    for Loaded { endpoint, load } in changed {
+pub fn merge(loads: &mut Loads, changed: Vec<EndpointLoad>) {
+    for EndpointLoad { endpoint, load } in changed {
         if load == Load::default() {
             loads.remove(&endpoint);
         } else {
@@ -322,16 +327,16 @@
 }
 
 /// Returns the changes that turn `sent` into `loads`.
-pub fn difference(sent: &Loads, loads: &Loads) -> Vec<Loaded> {
+pub fn difference(sent: &Loads, loads: &Loads) -> Vec<EndpointLoad> {
     let changed = loads
         .iter()
         .filter(|(name, load)| sent.get(*name) != Some(*load));
-    let changed = changed.map(|(name, load)| Loaded {
+    let changed = changed.map(|(name, load)| EndpointLoad {
         endpoint: name.clone(),
         load: *load,
     });
     let ended = sent.keys().filter(|name| !loads.contains_key(*name));
-    let ended = ended.map(|name| Loaded {
+    let ended = ended.map(|name| EndpointLoad {
         endpoint: name.clone(),
         load: Load::default(),
     });
--- a/src/scalewood/core/load/refused.rs
+++ b/src/scalewood/core/load/refused.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    losses::{Counts, Losses},
+    losses::{ClassCounts, Losses},
     Update,
 };
 use crate::core::{name, unit};
@@ -30,7 +30,7 @@
 
 impl Refused {
     /// Returns the arrivals and final refusals among `counts`, if there are any.
-    pub fn of(service: &name::Service, class: &name::Class, counts: Counts) -> Option<Self> {
+    pub fn of(service: &name::Service, class: &name::Class, counts: ClassCounts) -> Option<Self> {
         let tally = Tally::from(counts);
         (!tally.is_empty()).then(|| Self {
             service: service.clone(),
@@ -60,8 +60,8 @@
     }
 }
 
-impl From<Counts> for Tally {
-    fn from(counts: Counts) -> Self {
+impl From<ClassCounts> for Tally {
+    fn from(counts: ClassCounts) -> Self {
         Self {
             tier: counts.tier,
             arrived: counts.arrived,
@@ -71,7 +71,7 @@
     }
 }
 
-impl From<Tally> for Counts {
+impl From<Tally> for ClassCounts {
     fn from(tally: Tally) -> Self {
         Self {
             tier: tally.tier,
@@ -153,7 +153,7 @@
 
 impl Traffic {
     /// Returns the counts that [`Tally`] leaves out, if any is above zero.
-    pub fn of(service: &name::Service, class: &name::Class, counts: &Counts) -> Option<Self> {
+    pub fn of(service: &name::Service, class: &name::Class, counts: &ClassCounts) -> Option<Self> {
         let has_counts = counts.client_retries > 0 || counts.deferred > 0 || counts.started > 0;
         has_counts.then(|| Self {
             service: service.clone(),
@@ -167,15 +167,15 @@
         })
     }
 
-    fn counts(&self) -> Counts {
-        Counts {
+    fn counts(&self) -> ClassCounts {
+        ClassCounts {
             tier: self.tier,
             client_retries: self.client_retries,
             deferred: self.deferred,
             deferred_tokens: self.deferred_tokens,
             started: self.started,
             started_tokens: self.started_tokens,
-            ..Counts::default()
+            ..ClassCounts::default()
         }
     }
 }
@@ -292,9 +292,9 @@
     }
 }
 
-/// Counts that were not sent to another hub yet.
+/// ClassCounts that were not sent to another hub yet.
 #[derive(Debug, Default)]
-pub(super) struct Unsent(BTreeMap<Key, Counts>);
+pub(super) struct Unsent(BTreeMap<Key, ClassCounts>);
 
 impl Unsent {
     /// Adds the counts of a message.
--- a/src/scalewood/core/registry.rs
+++ b/src/scalewood/core/registry.rs
@@ -28,7 +28,7 @@
 mod timing;
 mod vouch;
 
-pub use changes::Span;
+pub use changes::StampRange;
 pub use ended::{Ended, Start};
 pub use record::{Leaving, Record, State};
 pub use refusal::{Reason, Refusal};
@@ -276,7 +276,7 @@
 
     /// Returns the starts of which it became known, within a range of stamps, that they announced
     /// in a response that they are leaving.
-    pub fn leaving_since(&self, span: impl Into<Span>) -> Vec<Leaving> {
+    pub fn leaving_since(&self, span: impl Into<StampRange>) -> Vec<Leaving> {
         let span = span.into();
         let leaving = self.entries_since(span);
         let leaving = leaving.filter(|entry| entry.leaving_stamp.is_some_and(|at| at > span.after));
@@ -385,7 +385,7 @@
 
     /// Returns the endpoints that fell silent within a range of stamps and have not been heard
     /// since.
-    pub fn silent_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
+    pub fn silent_since(&self, span: impl Into<StampRange>) -> Vec<name::Endpoint> {
         self.silent.since(span.into()).cloned().collect()
     }
 
@@ -529,7 +529,7 @@
     }
 
     /// Returns the paces that changed within a range of stamps.
-    pub fn paces_since(&self, span: impl Into<Span>) -> Vec<pace::EndpointPace> {
+    pub fn paces_since(&self, span: impl Into<StampRange>) -> Vec<pace::EndpointPace> {
         self.paces.since(span.into())
     }
 
@@ -594,19 +594,19 @@
     }
 
     /// Returns the records that changed within a range of stamps.
-    pub fn changed_since(&self, span: impl Into<Span>) -> Vec<Record> {
+    pub fn changed_since(&self, span: impl Into<StampRange>) -> Vec<Record> {
         let changed = self.entries_since(span.into());
         changed.map(|entry| entry.record.clone()).collect()
     }
 
-    fn entries_since(&self, span: Span) -> impl Iterator<Item = &Entry> {
+    fn entries_since(&self, span: StampRange) -> impl Iterator<Item = &Entry> {
         let names = self.changes.since(span);
         names.filter_map(|name| self.entries.get(name))
     }
 
     /// Returns the records that changed within a range of stamps, with the remaining warm-up times,
     /// to be sent to another process.
-    pub fn records_since(&self, span: impl Into<Span>, now: Duration) -> Vec<Record> {
+    pub fn records_since(&self, span: impl Into<StampRange>, now: Duration) -> Vec<Record> {
         let mut records = self.changed_since(span);
         for record in &mut records {
             let state = self.warm_up(&record.name);
@@ -621,19 +621,19 @@
     }
 
     /// Returns the endpoints of which a start ended within a range of stamps.
-    pub fn gone_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
+    pub fn gone_since(&self, span: impl Into<StampRange>) -> Vec<name::Endpoint> {
         self.ended.names_since(span.into())
     }
 
     /// Returns the starts that ended within a range of stamps, of the endpoints that report
     /// incarnations.
-    pub fn ended_since(&self, span: impl Into<Span>) -> Vec<Ended> {
+    pub fn ended_since(&self, span: impl Into<StampRange>) -> Vec<Ended> {
         self.ended.since(span.into())
     }
 
     /// Returns the endpoints that left within a range of stamps while no start of them was known
     /// here.
-    pub fn left_without_start_since(&self, span: impl Into<Span>) -> Vec<name::Endpoint> {
+    pub fn left_without_start_since(&self, span: impl Into<StampRange>) -> Vec<name::Endpoint> {
         self.ended.without_start_since(span.into())
     }
 
--- a/src/scalewood/core/registry/changes.rs
+++ b/src/scalewood/core/registry/changes.rs
@@ -6,14 +6,14 @@
 
 /// A range of change stamps.
 #[derive(Clone, Copy, Debug)]
-pub struct Span {
+pub struct StampRange {
     /// The stamp before the first one of the range.
     pub after: u64,
     /// The last stamp of the range.
     pub to: u64,
 }
 
-impl From<u64> for Span {
+impl From<u64> for StampRange {
     /// Returns the range of all stamps after `after`.
     fn from(after: u64) -> Self {
         Self {
@@ -42,7 +42,7 @@
     }
 
     /// Returns the endpoints that changed within a range, sorted by name.
-    pub(super) fn since(&self, span: Span) -> impl Iterator<Item = &name::Endpoint> {
+    pub(super) fn since(&self, span: StampRange) -> impl Iterator<Item = &name::Endpoint> {
         let changed = self
             .0
             .range((Bound::Excluded(span.after), Bound::Unbounded));
--- a/src/scalewood/core/registry/ended.rs
+++ b/src/scalewood/core/registry/ended.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::changes::{Changes, Span};
+use super::changes::{Changes, StampRange};
 use crate::core::{name, unit};
 
 /// A start of an endpoint, or `None` if it reports no incarnation.
@@ -134,12 +134,12 @@
     }
 
     /// Returns the endpoints of which a start ended within a range of stamps.
-    pub(super) fn names_since(&self, span: Span) -> Vec<name::Endpoint> {
+    pub(super) fn names_since(&self, span: StampRange) -> Vec<name::Endpoint> {
         self.changes.since(span).cloned().collect()
     }
 
     /// Returns the starts that ended within a range of stamps, of those with an incarnation.
-    pub(super) fn since(&self, span: Span) -> Vec<Ended> {
+    pub(super) fn since(&self, span: StampRange) -> Vec<Ended> {
         let ended = self.changes.since(span).filter_map(|name| {
             Some(Ended {
                 name: name.clone(),
@@ -150,7 +150,7 @@
     }
 
     /// Returns the endpoints that left within a range of stamps while no start of them was known.
-    pub(super) fn without_start_since(&self, span: Span) -> Vec<name::Endpoint> {
+    pub(super) fn without_start_since(&self, span: StampRange) -> Vec<name::Endpoint> {
         self.without_start.since(span).cloned().collect()
     }
 }
--- a/src/scalewood/core/registry/paces.rs
+++ b/src/scalewood/core/registry/paces.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::changes::{Changes, Span};
+use super::changes::{Changes, StampRange};
 use crate::core::{name, pace};
 
 /// The most endpoints whose pace is kept, at some 150 B each. If there were more endpoints than
@@ -67,7 +67,7 @@
     }
 
     /// Returns the paces that changed within a range of stamps.
-    pub(super) fn since(&self, span: Span) -> Vec<pace::EndpointPace> {
+    pub(super) fn since(&self, span: StampRange) -> Vec<pace::EndpointPace> {
         let changed = self.changes.since(span);
         let paced = changed.filter_map(|name| {
             Some(pace::EndpointPace {
--- a/src/scalewood/core/retry.rs
+++ b/src/scalewood/core/retry.rs
@@ -85,7 +85,7 @@
     }
 
     /// Sets how much a first attempt adds, and the most that the budget holds.
-    pub fn set(&mut self, (earned, most): (f64, f64)) {
+    pub fn configure(&mut self, (earned, most): (f64, f64)) {
         self.settings.earned_per_request = earned;
         self.settings.capacity = most;
         self.available = self.available.min(most);
--- a/src/scalewood/core/usage/book.rs
+++ b/src/scalewood/core/usage/book.rs
@@ -15,14 +15,14 @@
 
 /// One start of a box.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Source {
+pub struct BoxStart {
     /// The box.
     pub name: name::Box,
     /// A random number drawn at each start of the box.
     pub start: u64,
 }
 
-impl fmt::Display for Source {
+impl fmt::Display for BoxStart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{:x}", self.name, self.start)
     }
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// The start.
-    pub source: Source,
+    pub source: BoxStart,
     /// When it last reported, in milliseconds since the Unix epoch by the agreed time of day.
     pub heard_ms: u64,
     /// The totals that have changed.
@@ -61,7 +61,7 @@
 /// The usage that boxes have reported to a voter.
 #[derive(Debug, Default)]
 pub struct Book {
-    sources: BTreeMap<Source, Entry>,
+    sources: BTreeMap<BoxStart, Entry>,
     stamp: u64,
 }
 
@@ -133,7 +133,7 @@
     /// Returns the starts that last reported at or after `running_ms` but before `end_ms`, with the
     /// time of that report: they may have counted more since. Only the latest start of each box is
     /// included, as earlier ones no longer count requests.
-    pub fn lagging(&self, running_ms: u64, end_ms: u64) -> Vec<(Source, u64)> {
+    pub fn lagging(&self, running_ms: u64, end_ms: u64) -> Vec<(BoxStart, u64)> {
         let mut latest: BTreeMap<&name::Box, u64> = BTreeMap::new();
         for (source, entry) in &self.sources {
             let latest_ms = latest.entry(&source.name).or_default();
--- a/src/scalewood/core/usage/mod.rs
+++ b/src/scalewood/core/usage/mod.rs
@@ -18,7 +18,7 @@
 mod log;
 mod voters;
 
-pub use book::{Book, Changes, Page, Source};
+pub use book::{Book, BoxStart, Changes, Page};
 pub use log::{Agreed, Closed, Log};
 pub use voters::Voters;
 
--- a/src/scalewood/ops/control/cordon.rs
+++ b/src/scalewood/ops/control/cordon.rs
@@ -69,15 +69,15 @@
             Ok(cordon) => cordon,
             Err(error) => return admin::malformed(&error),
         };
-        let mark = cordon::Mark { zone, act };
-        if let Some(why) = check_zone(&mark.zone, &self.zones) {
-            event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act,
+        let change = cordon::ZoneChange { zone, act };
+        if let Some(why) = check_zone(&change.zone, &self.zones) {
+            event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.act,
                 "operator" => %operator, "change" => %id, "why" => &why);
             return admin::failure(StatusCode::BAD_REQUEST, why, verdict::Verdict::NotRun);
         }
         let arrived = self.clock.now();
         let order = cordon::Order {
-            mark: mark.clone(),
+            change: change.clone(),
             operator: operator.clone(),
             id: Some(id.clone()),
             why,
@@ -87,18 +87,18 @@
         let took = self.clock.now().saturating_sub(arrived);
         let outcome = match &forwarded {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
-                event!(self.log, CordonAccepted, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.act,
                     "operator" => %operator, "change" => %id, "revision" => %revision,
                     "took_ms" => took.as_millis());
                 "accepted"
             }
             Forwarded::Answer(change::Answer::NotApplied { why, .. }) => {
-                event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.act,
                     "operator" => %operator, "change" => %id, "why" => why.join("; "));
                 "refused"
             }
             _ => {
-                event!(self.log, CordonUnclear, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.act,
                     "operator" => %operator, "change" => %id, "took_ms" => took.as_millis());
                 "unclear"
             }
--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -62,7 +62,7 @@
     /// Announces that an endpoint has shut down.
     Leave(name::Endpoint),
     /// Cordons or uncordons a zone.
-    Cordon(cordon::Mark),
+    Cordon(cordon::ZoneChange),
     /// A path of this API with an invalid argument, with the reason.
     Invalid(String),
     /// A method that the path does not support.
@@ -80,7 +80,7 @@
             _ => return Call::WrongMethod,
         };
         match zone.parse::<name::Zone>() {
-            Ok(zone) => Call::Cordon(cordon::Mark { zone, act }),
+            Ok(zone) => Call::Cordon(cordon::ZoneChange { zone, act }),
             Err(error) => Call::Invalid(error.to_string()),
         }
     }
@@ -223,7 +223,7 @@
                 self.endpoints.leave(&name);
                 reply(StatusCode::OK, "{}")
             }
-            Call::Cordon(mark) => self.cordon(mark, request).await,
+            Call::Cordon(change) => self.cordon(change, request).await,
             Call::Invalid(why) => failure(StatusCode::BAD_REQUEST, &why),
             Call::WrongMethod => failure(
                 StatusCode::METHOD_NOT_ALLOWED,
@@ -358,16 +358,16 @@
     }
 
     /// Handles an order to cordon or uncordon a zone.
-    async fn cordon(&self, mark: cordon::Mark, request: Request<Incoming>) -> Reply {
+    async fn cordon(&self, change: cordon::ZoneChange, request: Request<Incoming>) -> Reply {
         let arrived = self.clock.now();
-        if let Some(why) = control::cordon::check_zone(&mark.zone, &self.zones) {
-            return self.refuse_cordon(&mark, &why);
+        if let Some(why) = control::cordon::check_zone(&change.zone, &self.zones) {
+            return self.refuse_cordon(&change, &why);
         }
         if has_body(request).await {
-            return self.refuse_cordon(&mark, "the call takes no body");
+            return self.refuse_cordon(&change, "the call takes no body");
         }
         let order = cordon::Order {
-            mark: mark.clone(),
+            change: change.clone(),
             operator: publisher(),
             id: None,
             why: String::new(),
@@ -375,30 +375,30 @@
         };
         let outcome = with_timeout(self.handle.cordon(order)).await;
         let took = self.clock.now().saturating_sub(arrived);
-        self.cordon_reply(&mark, outcome, took)
+        self.cordon_reply(&change, outcome, took)
     }
 
     /// Logs and counts the outcome of an order to cordon or uncordon, and returns the reply.
     fn cordon_reply(
         &self,
-        mark: &cordon::Mark,
+        change: &cordon::ZoneChange,
         outcome: Forwarded<change::Answer>,
         took: Duration,
     ) -> Reply {
         match outcome {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 self.metrics.record_cordon("accepted", took);
-                event!(self.log, CordonAccepted, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.act,
                     "operator" => %publisher(), "revision" => %revision,
                     "took_ms" => took.as_millis());
                 reply(StatusCode::OK, "{}")
             }
             Forwarded::Answer(change::Answer::NotApplied { why, .. }) => {
-                self.refuse_cordon(mark, &why.join("; "))
+                self.refuse_cordon(change, &why.join("; "))
             }
             Forwarded::NotLeader | Forwarded::Unknown | Forwarded::Refused(_) => {
                 self.metrics.record_cordon("unclear", took);
-                event!(self.log, CordonUnclear, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.act,
                     "took_ms" => took.as_millis());
                 unclear()
             }
@@ -406,9 +406,9 @@
     }
 
     /// Logs and counts that an order to cordon or uncordon was refused, and returns the reply.
-    fn refuse_cordon(&self, mark: &cordon::Mark, why: &str) -> Reply {
+    fn refuse_cordon(&self, change: &cordon::ZoneChange, why: &str) -> Reply {
         self.metrics.record_cordon("refused", Duration::ZERO);
-        event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act, "why" => why);
+        event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.act, "why" => why);
         failure(StatusCode::BAD_REQUEST, why)
     }
 
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -140,7 +140,7 @@
         if merged == registry::Merged::Restarted {
             // The reported paces are those of an earlier start.
             lock(&self.pace_reports).remove(&name);
-            lock(&self.hub).restarted(&name);
+            lock(&self.hub).forget_earlier_starts(&name);
             event!(self.log, EndpointRestarted, "endpoint" => %name,
                 "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
         }
@@ -413,7 +413,10 @@
 /// Returns the endpoints that left within a range of stamps while this voter knew no start of them.
 /// A receiver's first request returns none: the receiver may know a start that began long after the
 /// endpoint left.
-fn left_since_stamp(registry: &registry::Registry, span: registry::Span) -> Vec<name::Endpoint> {
+fn left_since_stamp(
+    registry: &registry::Registry,
+    span: registry::StampRange,
+) -> Vec<name::Endpoint> {
     if span.after == 0 {
         return Vec::new();
     }
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -48,7 +48,7 @@
             let sequence = record.sequence;
             if registry.merge(record, now) == registry::Merged::Restarted {
                 lock(&self.pace_reports).remove(&name);
-                lock(&self.hub).restarted(&name);
+                lock(&self.hub).forget_earlier_starts(&name);
                 event!(self.log, EndpointRestarted, "endpoint" => %name,
                     "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
             }
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -146,7 +146,7 @@
         let throttle = self.issuer().handle_box(&who, full, throttled, now);
         let unix_ms = self.unix_ms();
         lock(&self.endpoints.book).merge(usage::Page {
-            source: usage::Source {
+            source: usage::BoxStart {
                 name: who,
                 start: usage.start,
             },
@@ -165,7 +165,7 @@
         let mut report = report;
         let throttled = std::mem::take(&mut report.throttle);
         Ok(Shared {
-            known: lock(&self.endpoints.hub).apply(&who, full, report, now),
+            known: lock(&self.endpoints.hub).apply_peer_update(&who, full, report, now),
             unix_ms: self.endpoints.clock.unix_ms(),
             throttle: Some(self.issuer().handle_voter(&who, throttled, now)),
         })
@@ -281,7 +281,7 @@
             update.heard = registry.heard_since(cursor.heard_until);
             cursor.heard_until = now;
         }
-        let span = registry::Span {
+        let span = registry::StampRange {
             after: cursor.stamp,
             to: registry.stamp_within(cursor.stamp, MAX_RECORDS),
         };
@@ -315,7 +315,7 @@
 fn add_changes(
     update: &mut RegistryUpdate,
     registry: &registry::Registry,
-    span: registry::Span,
+    span: registry::StampRange,
     now: Duration,
 ) {
     update.changed = registry.records_since(span, now);
--- a/src/scalewood/ops/entry/routed/retries.rs
+++ b/src/scalewood/ops/entry/routed/retries.rs
@@ -31,7 +31,7 @@
     let share = context.retries.share(board.sharers.load(Ordering::Relaxed));
     let mut shard = board.budgets.shard(service);
     let budget = budget(&mut shard, service, share);
-    budget.set(share);
+    budget.configure(share);
     budget.earn();
 }
 
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -13,7 +13,7 @@
     core::{
         change::{Answer, Change, Delta, Edit, Item, Step},
         config,
-        cordon::{Action, Mark, Order, MAX_ZONES},
+        cordon::{Action, Order, ZoneChange, MAX_ZONES},
         dispatch::{
             Admission, Ask, Dispatcher, Input, Order as DispatchOrder, Reason, Report, Settings,
             Spec,
@@ -42,8 +42,8 @@
 /// The longest that an order may take to be acknowledged while a leader can be elected.
 const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(5);
 
-fn mark(act: Action, zone: &str) -> Mark {
-    Mark {
+fn zone_change(act: Action, zone: &str) -> ZoneChange {
+    ZoneChange {
         zone: zone.parse().unwrap(),
         act,
     }
@@ -51,7 +51,7 @@
 
 fn order(act: Action, zone: &str, id: Option<&str>) -> Order {
     Order {
-        mark: mark(act, zone),
+        change: zone_change(act, zone),
         operator: "nara".parse().unwrap(),
         id: id.map(|id| id.parse().unwrap()),
         why: "an outage".into(),
--- a/tests/testsuite/crash_book.rs
+++ b/tests/testsuite/crash_book.rs
@@ -216,9 +216,9 @@
                     continue;
                 }
                 let mut news = self.hubs[from].update_for(&b, false, now);
-                if !self.hubs[to].apply(&a, false, news, now) {
+                if !self.hubs[to].apply_peer_update(&a, false, news, now) {
                     news = self.hubs[from].update_for(&b, true, now);
-                    self.hubs[to].apply(&a, true, news, now);
+                    self.hubs[to].apply_peer_update(&a, true, news, now);
                 }
             }
         }
@@ -419,7 +419,7 @@
                         let anew = round == 0 && step == 0;
                         let news = hubs[from].update_for(&b, anew, now);
                         voter_bytes[from] += size(&news.crashes);
-                        hubs[to].apply(&a, anew, news, now);
+                        hubs[to].apply_peer_update(&a, anew, news, now);
                     }
                 }
             }
--- a/tests/testsuite/dispatch_large.rs
+++ b/tests/testsuite/dispatch_large.rs
@@ -4,7 +4,7 @@
 
 use scalewood::core::{
     dispatch::{Admission, Dispatcher, Input, Settings, Spec},
-    load::{Load, Loaded},
+    load::{EndpointLoad, Load},
     name, unit,
 };
 
@@ -74,7 +74,7 @@
 /// endpoint has gone.
 #[test]
 fn a_load_that_is_heard_first_counts_once_its_endpoint_is_known() {
-    let loaded = |number, running| Loaded {
+    let loaded = |number, running| EndpointLoad {
         endpoint: endpoint(number),
         load: Load {
             running,
--- a/tests/testsuite/incarnation.rs
+++ b/tests/testsuite/incarnation.rs
@@ -5,7 +5,7 @@
 
 use scalewood::{
     core::{
-        load::{Count, Hub, Outcome, Placement, Update},
+        load::{Hub, Outcome, OutcomeCounts, Placement, Update},
         name, pace,
         prompt::Prefix,
         registry::{Ended, Merged, Record, Registry, State},
@@ -269,7 +269,7 @@
 /// Returns the news of one failure and one placement. A box that reports many failures and nothing
 /// else would count as cut off itself.
 fn outcome() -> Update {
-    let count = Count {
+    let count = OutcomeCounts {
         answered: 0,
         failed: 1,
     };
@@ -293,7 +293,7 @@
     hub.exchange(&other, true, Update::default(), START);
     let told = hub.exchange(&one, true, outcome(), START).update;
     assert_eq!(told.risks.len(), 1);
-    hub.restarted(&named("i"));
+    hub.forget_earlier_starts(&named("i"));
     let heard = hub.exchange(&other, false, Update::default(), START).update;
     assert!(heard.risks.is_empty(), "{heard:?}");
     assert!(heard.placements.is_empty(), "{heard:?}");
--- a/tests/testsuite/load.rs
+++ b/tests/testsuite/load.rs
@@ -6,8 +6,8 @@
 use scalewood::core::{
     dispatch::Prefix,
     load::{
-        difference, merge, Count, Hub, Load, Loaded, Loads, Outcome, Placement, Prompts, Risk,
-        Update,
+        difference, merge, EndpointLoad, Hub, Load, Loads, Outcome, OutcomeCounts, Placement,
+        Prompts, Risk, Update,
     },
     name,
 };
@@ -23,8 +23,8 @@
     }
 }
 
-fn loaded(endpoint: &str, load: Load) -> Loaded {
-    Loaded {
+fn loaded(endpoint: &str, load: Load) -> EndpointLoad {
+    EndpointLoad {
         endpoint: endpoint.parse().unwrap(),
         load,
     }
@@ -35,9 +35,9 @@
     hub: &mut Hub,
     from: &name::Box,
     anew: bool,
-    loads: Vec<Loaded>,
+    loads: Vec<EndpointLoad>,
     now: Duration,
-) -> Vec<Loaded> {
+) -> Vec<EndpointLoad> {
     let told = Update {
         loads,
         ..Update::default()
@@ -223,7 +223,7 @@
 fn send_news(from: &mut Hub, name: &str, to: &mut Hub, peer: &str, anew: bool, now: Duration) {
     let news = from.update_for(&box_name(peer), anew, now);
     assert!(
-        to.apply(&box_name(name), anew, news, now),
+        to.apply_peer_update(&box_name(name), anew, news, now),
         "{name} is known"
     );
 }
@@ -265,7 +265,7 @@
     assert_eq!(heard, [loaded("a", Load::default())]);
     let changes = near.update_for(&box_name("c2"), false, later);
     assert!(
-        !far.apply(&box_name("c1"), false, changes, later),
+        !far.apply_peer_update(&box_name("c1"), false, changes, later),
         "a hub that has dropped the rest can't apply differences"
     );
     exchange(&mut near, &one, false, Vec::new(), later);
@@ -286,7 +286,7 @@
 ) -> Vec<(String, u16)> {
     let outcome = Outcome {
         endpoint: endpoint.parse().unwrap(),
-        count: Count { answered, failed },
+        count: OutcomeCounts { answered, failed },
     };
     let told = Update {
         outcomes: vec![outcome],
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -116,7 +116,7 @@
         for (from, to) in [(0, 1), (1, 0)] {
             let anew = now == START;
             let news = self.hubs[from].update_for(&hub_name(to), anew, now);
-            assert!(self.hubs[to].apply(&hub_name(from), anew, news, now));
+            assert!(self.hubs[to].apply_peer_update(&hub_name(from), anew, news, now));
         }
     }
 
--- a/tests/testsuite/registry.rs
+++ b/tests/testsuite/registry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use scalewood::core::{
-    registry::{Merged, Record, Registry, Remembered, Span, State, Timing},
+    registry::{Merged, Record, Registry, Remembered, StampRange, State, Timing},
     unit,
 };
 
@@ -333,7 +333,7 @@
     while after < registry.stamp() {
         let to = registry.stamp_within(after, PART_RECORDS);
         assert!(to > after);
-        let span = Span { after, to };
+        let span = StampRange { after, to };
         let (changed, gone) = (registry.changed_since(span), registry.gone_since(span));
         assert!(changed.len() <= PART_RECORDS && gone.len() <= PART_RECORDS);
         for record in changed {
--- a/tests/testsuite/size.rs
+++ b/tests/testsuite/size.rs
@@ -344,7 +344,7 @@
         for from in 0..self.plan.hubs {
             for to in (0..self.plan.hubs).filter(|to| *to != from) {
                 let news = self.hubs[from].update_for(&hub_name(to), anew, self.now);
-                assert!(self.hubs[to].apply(&hub_name(from), anew, news, self.now));
+                assert!(self.hubs[to].apply_peer_update(&hub_name(from), anew, news, self.now));
             }
         }
     }
--- a/tests/testsuite/usage.rs
+++ b/tests/testsuite/usage.rs
@@ -10,7 +10,7 @@
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use scalewood::core::{
     name,
-    usage::{difference, Book, Closed, Counts, Log, Page, Source, Tally, Voters, Window},
+    usage::{difference, Book, BoxStart, Closed, Counts, Log, Page, Tally, Voters, Window},
 };
 
 const WINDOW_LENGTH: Duration = Duration::from_secs(5);
@@ -26,7 +26,7 @@
 
 /// A box that counts requests, tells the counts to one of several voters, and is sometimes killed.
 struct CountingBox {
-    source: Source,
+    source: BoxStart,
     tally: Tally,
     voter: usize,
     told: BTreeMap<Window, Counts>,
@@ -35,7 +35,7 @@
 impl CountingBox {
     fn new(i: usize, start: u64) -> Self {
         Self {
-            source: Source {
+            source: BoxStart {
                 name: format!("e{i}").parse().unwrap(),
                 start,
             },
@@ -128,7 +128,7 @@
     let end = window.end_ms(WINDOW_LENGTH);
     let mut book = Book::default();
     let page = |name: &str, start, heard_ms| Page {
-        source: Source {
+        source: BoxStart {
             name: name.parse().unwrap(),
             start,
         },
