--- a/src/bin/scalewood/commands/status.rs
+++ b/src/bin/scalewood/commands/status.rs
@@ -39,7 +39,7 @@
         println!("learner {node}");
     }
     for known in &status.boxes {
-        let beat = &known.beat;
+        let beat = &known.heartbeat;
         let state = match (known.age_ms > SILENT_MS, known.current, beat.ready) {
             (true, _, _) => "silent",
             (_, false, _) => "behind",
--- a/src/bin/scalewood/commands/zone.rs
+++ b/src/bin/scalewood/commands/zone.rs
@@ -83,7 +83,7 @@
     matches.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-async fn submit_order(matches: &ArgMatches, act: cordon::Action) -> Exit {
+async fn submit_order(matches: &ArgMatches, action: cordon::Action) -> Exit {
     let zone = text(matches, "zone")
         .parse()
         .map_err(|error: name::Error| Failure::Usage(error.to_string()))?;
@@ -94,7 +94,7 @@
     let order = admin::Cordon {
         id,
         zone,
-        act,
+        action,
         why: text(matches, "why"),
     };
     let client = commands::client(matches)?;
@@ -115,8 +115,10 @@
     match answer {
         change::Answer::Accepted { revision } => {
             if !commands::is_json(matches) {
-                let admin::Cordon { id, zone, act, .. } = order;
-                println!("{act} {zone}: agreed by revision {revision} (order {id})");
+                let admin::Cordon {
+                    id, zone, action, ..
+                } = order;
+                println!("{action} {zone}: agreed by revision {revision} (order {id})");
             }
             Ok(())
         }
--- a/src/scalewood/board/entry.rs
+++ b/src/scalewood/board/entry.rs
@@ -140,7 +140,7 @@
     /// The dispatchers that run on this box.
     pub dispatchers: Sharded<name::Service, dispatch::Dispatcher>,
     /// The rate-limit buckets of teams, each created at a team's first limited request.
-    pub limits: Sharded<name::Team, Buckets>,
+    pub team_buckets: Sharded<name::Team, Buckets>,
     /// The retry budgets.
     pub budgets: Sharded<name::Service, retry::Budget>,
     /// The zone's membership.
@@ -169,7 +169,7 @@
     /// The backoffs that endpoints have requested.
     pub backoffs: Mutex<backoff::Book>,
     /// The limits that endpoints set on the requests from all boxes together.
-    pub throttles: Mutex<throttle::Book>,
+    pub endpoint_limits: Mutex<throttle::Book>,
     /// The requests during which endpoints have crashed.
     pub crashes: Mutex<crash::Book>,
     /// Whether an exchange with a voter, which reports the held-back requests, has succeeded since
@@ -184,7 +184,7 @@
     /// The number of requests that endpoints have begun for this box, by team and window.
     pub usage: Mutex<usage::Tally>,
     /// This box's estimate of the time of day that the voters agree on.
-    pub wall: Mutex<wall_clock::Follower>,
+    pub wall_clock: Mutex<wall_clock::Follower>,
     /// A random number that distinguishes this start of the process from others of the same box.
     pub start: u64,
     /// The number of voters whose registries this box follows.
@@ -192,7 +192,7 @@
     /// Since when this box has followed at least one voter's registry, if it does.
     pub registry_followed_since: Mutex<Option<Duration>>,
     /// The number of boxes that use the same endpoints, including this one; 0 if unknown.
-    pub sharers: AtomicU32,
+    pub box_count: AtomicU32,
     /// The configuration revisions that followed voters announce, and which voter was asked for
     /// one.
     pub catchup: Mutex<catchup::Catchup>,
@@ -244,7 +244,7 @@
             view: ArcSwap::default(),
             tickets: Sharded::default(),
             dispatchers: Sharded::default(),
-            limits: Sharded::default(),
+            team_buckets: Sharded::default(),
             budgets: Sharded::default(),
             members: Mutex::new(members),
             live_boxes: ArcSwap::default(),
@@ -258,18 +258,18 @@
             warming: Mutex::default(),
             paces: Mutex::default(),
             backoffs: Mutex::new(backoffs),
-            throttles: Mutex::default(),
+            endpoint_limits: Mutex::default(),
             crashes: Mutex::default(),
             held_back_known: AtomicBool::new(false),
             held_back: watch::Sender::new(0),
             last_exchange_at: watch::Sender::new(now),
             exchange_now: Notify::new(),
             usage: Mutex::new(usage::Tally::new(usage_window)),
-            wall: Mutex::default(),
+            wall_clock: Mutex::default(),
             start: rand::random(),
             followed_voters: watch::Sender::new(0),
             registry_followed_since: Mutex::new(None),
-            sharers: AtomicU32::new(0),
+            box_count: AtomicU32::new(0),
             catchup: Mutex::default(),
             config_announced: Notify::new(),
             draining: AtomicBool::new(false),
@@ -340,7 +340,7 @@
     /// Returns the limit that an endpoint sets on the requests from all boxes together, if any.
     pub fn limit_of(&self, endpoint: &name::Endpoint) -> Option<throttle::Limit> {
         let start = self.start_of(endpoint);
-        lock(&self.throttles).limit(endpoint, start)
+        lock(&self.endpoint_limits).limit(endpoint, start)
     }
 
     /// Returns the known start of an endpoint, or `None` if it is not registered or reports none.
@@ -360,7 +360,7 @@
     /// Adds a request that an endpoint has begun to a team's usage.
     pub fn count_usage(&self, team: &name::Team) {
         let now = self.clock.now();
-        let unix_ms = lock(&self.wall).unix_ms(self.clock.unix_ms(), now);
+        let unix_ms = lock(&self.wall_clock).unix_ms(self.clock.unix_ms(), now);
         lock(&self.usage).count(team, unix_ms);
     }
 
--- a/src/scalewood/board/view.rs
+++ b/src/scalewood/board/view.rs
@@ -18,7 +18,7 @@
     models: HashMap<String, name::Service>,
     programs: HashMap<name::Service, policy::Program>,
     /// The indexed routes.
-    pub table: route::Table,
+    pub routes: route::Table,
 }
 
 impl View {
@@ -40,15 +40,15 @@
         let programs = document.policies.values();
         let programs = programs.filter_map(|p| Some((p.service.clone(), compile(p)?)));
         let programs = programs.collect();
-        let table = document.routing.as_deref().map(route::Table::new);
-        let table = table.unwrap_or_default();
+        let routes = document.routing.as_deref().map(route::Table::new);
+        let routes = routes.unwrap_or_default();
         Self {
             revision,
             document,
             teams,
             models,
             programs,
-            table,
+            routes,
         }
     }
 
@@ -93,7 +93,7 @@
         regions: &region::Map,
     ) -> dispatch::Input {
         let registered = registry
-            .graded()
+            .records_with_slowness()
             .filter(|(record, _)| record.service == *service);
         let memory = self.memory(service);
         let displaced = registry.displaced();
@@ -138,7 +138,9 @@
         regions: &region::Map,
     ) -> dispatch::Input {
         let changed = registry.affected_since(after);
-        let known = changed.iter().filter_map(|name| registry.graded_one(name));
+        let known = changed
+            .iter()
+            .filter_map(|name| registry.get_with_slowness(name));
         let known = known.filter(|(record, _)| record.service == *service);
         let memory = self.memory(service);
         let specs = known.map(|(record, slow)| {
@@ -190,7 +192,7 @@
     /// requests carry a rank in place of a tier, so the class gets its least urgent rank.
     fn with_rank(&self, class: &config::Class) -> config::Class {
         let tier = match self.document.routing {
-            Some(_) => self.table.lowest_rank(class.tier),
+            Some(_) => self.routes.lowest_rank(class.tier),
             None => class.tier,
         };
         config::Class {
--- a/src/scalewood/core/audit.rs
+++ b/src/scalewood/core/audit.rs
@@ -58,7 +58,7 @@
 
 /// Returns the difference that cordoning or uncordoning a zone makes.
 pub fn cordon_difference(change: &cordon::ZoneChange) -> Difference {
-    let (before, after) = match change.act {
+    let (before, after) = match change.action {
         cordon::Action::Cordon => (None, Some(true.into())),
         cordon::Action::Uncordon => (Some(true.into()), None),
     };
--- a/src/scalewood/core/cordon.rs
+++ b/src/scalewood/core/cordon.rs
@@ -56,13 +56,14 @@
     /// The zone.
     pub zone: name::Zone,
     /// What is done to it.
-    pub act: Action,
+    #[serde(rename = "act")]
+    pub action: Action,
 }
 
 impl ZoneChange {
     /// Applies the change. Returns false if it has no effect.
     fn apply(&self, cordoned: &mut BTreeSet<name::Zone>) -> bool {
-        match self.act {
+        match self.action {
             Action::Cordon => cordoned.insert(self.zone.clone()),
             Action::Uncordon => cordoned.remove(&self.zone),
         }
@@ -71,7 +72,7 @@
     /// Returns the change as a difference.
     fn difference(&self) -> Difference {
         let zone = BTreeSet::from([self.zone.clone()]);
-        let (cordoned, uncordoned) = match self.act {
+        let (cordoned, uncordoned) = match self.action {
             Action::Cordon => (zone, BTreeSet::new()),
             Action::Uncordon => (BTreeSet::new(), zone),
         };
@@ -84,7 +85,7 @@
 
 impl fmt::Display for ZoneChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}", self.act, self.zone)
+        write!(f, "{} {}", self.action, self.zone)
     }
 }
 
--- a/src/scalewood/core/registry.rs
+++ b/src/scalewood/core/registry.rs
@@ -32,7 +32,7 @@
 pub use ended::{Ended, Start};
 pub use record::{Leaving, Record, State};
 pub use refusal::{Reason, Refusal};
-pub use remembered::Remembered;
+pub use remembered::RestoredRecords;
 pub use timing::Timing;
 pub use vouch::Voucher;
 
@@ -535,7 +535,7 @@
 
     /// Returns all registered endpoints, and whether each is slow compared with the
     /// others of its service.
-    pub fn graded(&self) -> impl Iterator<Item = (&Record, bool)> {
+    pub fn records_with_slowness(&self) -> impl Iterator<Item = (&Record, bool)> {
         self.entries
             .values()
             .map(|entry| (&entry.record, entry.slow))
@@ -543,7 +543,7 @@
 
     /// Returns a registered endpoint, and whether it is slow compared with the others of
     /// its service.
-    pub fn graded_one(&self, name: &name::Endpoint) -> Option<(&Record, bool)> {
+    pub fn get_with_slowness(&self, name: &name::Endpoint) -> Option<(&Record, bool)> {
         let entry = self.entries.get(name)?;
         Some((&entry.record, entry.slow))
     }
--- a/src/scalewood/core/registry/remembered.rs
+++ b/src/scalewood/core/registry/remembered.rs
@@ -7,7 +7,7 @@
 
 /// The records that a voter stored itself, and those of other voters that started with it.
 #[derive(Clone, Debug, Default)]
-pub struct Remembered {
+pub struct RestoredRecords {
     until: Duration,
     /// The records of this voter come first, then those of others.
     records: Vec<Record>,
@@ -16,7 +16,7 @@
     names: BTreeSet<name::Endpoint>,
 }
 
-impl Remembered {
+impl RestoredRecords {
     /// Creates the set from a voter's own stored records, which expire at `until`.
     pub fn new(records: Vec<Record>, until: Duration) -> Self {
         Self {
--- a/src/scalewood/ops/control/admin.rs
+++ b/src/scalewood/ops/control/admin.rs
@@ -27,7 +27,7 @@
 pub(super) struct Admin {
     pub(super) handle: Handle,
     pub(super) server: server::Server,
-    pub(super) endpoints: registry::Endpoints,
+    pub(super) soft_state: registry::SoftState,
     pub(super) metrics: metric::Metrics,
     /// The availability zones that the settings name.
     pub(super) zones: region::Map,
@@ -86,7 +86,7 @@
         .and(warp::path("metrics"))
         .and(warp::path::end())
         .and(with_admin.clone())
-        .map(|a: Admin| a.metrics.render(&a.handle, &a.endpoints));
+        .map(|a: Admin| a.metrics.render(&a.handle, &a.soft_state));
     let config = get("config")
         .and(operator.clone())
         .and(with_admin.clone())
--- a/src/scalewood/ops/control/collect.rs
+++ b/src/scalewood/ops/control/collect.rs
@@ -13,7 +13,7 @@
 use crate::{
     core::{name, raft, registry, usage},
     ops::{
-        control::{provider, registry::Endpoints, Handle},
+        control::{provider, registry::SoftState, Handle},
         rpc,
     },
     util::{
@@ -65,7 +65,7 @@
         self,
         hold: provider::Hold,
         handle: Handle,
-        endpoints: Endpoints,
+        soft_state: SoftState,
         clock: clock::System,
     ) {
         let mut peers = Peers::default();
@@ -75,22 +75,22 @@
             if !hold.leads() {
                 peers = Peers::default();
                 own = Stamps::default();
-                *lock(&self.registry) = registry::Registry::new(endpoints.timing());
+                *lock(&self.registry) = registry::Registry::new(soft_state.timing());
                 *lock(&self.complete_at) = None;
                 *lock(&self.voters) = usage::Voters::default();
                 continue;
             }
-            let gathered = endpoints.gather(own);
+            let gathered = soft_state.gather(own);
             own = gathered.stamps;
-            self.merge(gathered, &endpoints, clock.now(), true);
+            self.merge(gathered, &soft_state, clock.now(), true);
             let answers = peers.ask_all(&handle).await;
             let asked = answers.len();
             let now = clock.now();
             let heard = self.record_answers(&answers, now);
             for gathered in answers.into_iter().filter_map(|(_, gathered)| gathered) {
-                self.merge(gathered, &endpoints, now, false);
+                self.merge(gathered, &soft_state, now, false);
             }
-            let expiry = EXPIRY_HEARTBEATS * endpoints.timing().heartbeat + EXPIRY_MARGIN;
+            let expiry = EXPIRY_HEARTBEATS * soft_state.timing().heartbeat + EXPIRY_MARGIN;
             lock(&self.registry).expire(now.saturating_sub(expiry));
             if heard * 2 >= asked {
                 *lock(&self.complete_at) = Some(now);
@@ -107,9 +107,9 @@
         round.filter(|(_, has_answered)| *has_answered).count()
     }
 
-    fn merge(&self, gathered: Gathered, endpoints: &Endpoints, now: Duration, own: bool) {
+    fn merge(&self, gathered: Gathered, soft_state: &SoftState, now: Duration, own: bool) {
         if !own {
-            let mut book = lock(endpoints.usage());
+            let mut book = lock(soft_state.usage());
             gathered.usage.into_iter().for_each(|page| book.merge(page));
         }
         let mut registry = lock(&self.registry);
--- a/src/scalewood/ops/control/cordon.rs
+++ b/src/scalewood/ops/control/cordon.rs
@@ -65,13 +65,18 @@
         operator: name::Operator,
         bytes: bytes::Bytes,
     ) -> warp::reply::Response {
-        let Cordon { id, zone, act, why } = match serde_json::from_slice(&bytes) {
+        let Cordon {
+            id,
+            zone,
+            action,
+            why,
+        } = match serde_json::from_slice(&bytes) {
             Ok(cordon) => cordon,
             Err(error) => return admin::malformed(&error),
         };
-        let change = cordon::ZoneChange { zone, act };
+        let change = cordon::ZoneChange { zone, action };
         if let Some(why) = check_zone(&change.zone, &self.zones) {
-            event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.act,
+            event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.action,
                 "operator" => %operator, "change" => %id, "why" => &why);
             return admin::failure(StatusCode::BAD_REQUEST, why, verdict::Verdict::NotRun);
         }
@@ -87,18 +92,18 @@
         let took = self.clock.now().saturating_sub(arrived);
         let outcome = match &forwarded {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
-                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.act,
+                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %operator, "change" => %id, "revision" => %revision,
                     "took_ms" => took.as_millis());
                 "accepted"
             }
             Forwarded::Answer(change::Answer::NotApplied { why, .. }) => {
-                event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.act,
+                event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %operator, "change" => %id, "why" => why.join("; "));
                 "refused"
             }
             _ => {
-                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.act,
+                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %operator, "change" => %id, "took_ms" => took.as_millis());
                 "unclear"
             }
--- a/src/scalewood/ops/control/crash.rs
+++ b/src/scalewood/ops/control/crash.rs
@@ -14,7 +14,7 @@
     /// Returns the held-back requests that this voter knows. It learns of each one within some
     /// tenths of a second after a box has held it back.
     pub(super) fn held_back(&self) -> warp::reply::Response {
-        let hub = lock(self.endpoints.hub());
+        let hub = lock(self.soft_state.hub());
         let known = hub.crashes().held_back();
         let held_back = known.map(|(fingerprint, ends)| HeldBackRequest {
             fingerprint: *fingerprint,
@@ -36,7 +36,7 @@
             Err(error) => return admin::malformed(&error),
         };
         let now = self.clock.now();
-        let is_known = lock(self.endpoints.hub()).pardon(&fingerprint, now);
+        let is_known = lock(self.soft_state.hub()).pardon(&fingerprint, now);
         event!(self.log, RequestPardoned, "fingerprint" => %fingerprint,
             "operator" => %operator, "why" => &why, "known" => is_known);
         if !is_known {
--- a/src/scalewood/ops/control/metric.rs
+++ b/src/scalewood/ops/control/metric.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     core::registry as endpoint,
-    ops::control::{registry::Endpoints, Handle},
+    ops::control::{registry::SoftState, Handle},
 };
 
 /// The outcome of a publication or of an order to cordon or uncordon a zone.
@@ -124,7 +124,7 @@
     }
 
     /// Updates the gauges and returns all metrics as text.
-    pub(super) fn render(&self, handle: &Handle, endpoints: &Endpoints) -> String {
+    pub(super) fn render(&self, handle: &Handle, soft_state: &SoftState) -> String {
         let published = handle.published();
         let status = &published.status;
         let gauge_value = |number: u64| i64::try_from(number).unwrap_or(i64::MAX);
@@ -142,7 +142,7 @@
             .set(i64::try_from(cordoned).unwrap_or(i64::MAX));
         let members = status.members.addresses().count();
         self.members.set(i64::try_from(members).unwrap_or(i64::MAX));
-        let (known, followers) = endpoints.counts();
+        let (known, followers) = soft_state.counts();
         self.endpoints.set(i64::try_from(known).unwrap_or(i64::MAX));
         self.followers.set(i64::from(followers));
         let mut out = String::new();
--- a/src/scalewood/ops/control/mod.rs
+++ b/src/scalewood/ops/control/mod.rs
@@ -77,7 +77,7 @@
     /// The settings of the tasks done for a provider.
     pub provider: provider::Settings,
     /// The settings of the consensus protocol.
-    pub agree: raft::Settings,
+    pub raft: raft::Settings,
 }
 
 impl Default for Settings {
@@ -98,7 +98,7 @@
             orders_per_second: unit::Rate::try_from(DEFAULT_ORDERS_PER_SECOND)
                 .expect("the default rate is valid"),
             provider: provider::Settings::default(),
-            agree: raft::Settings::default(),
+            raft: raft::Settings::default(),
         }
     }
 }
@@ -123,13 +123,13 @@
         let voters = voters.into_iter().filter_map(|v| v.0).collect();
         let timing = settings::timing(reader);
         let operators = reader.list::<Operator>("operators");
-        let agree = raft::Settings {
-            election_timeout_min: reader.duration("election", default.agree.election_timeout_min),
-            heartbeat: reader.duration("heartbeat", default.agree.heartbeat),
-            lease_margin: reader.duration("lease_margin", default.agree.lease_margin),
-            compact_after: reader.number("compact_after", default.agree.compact_after),
+        let raft = raft::Settings {
+            election_timeout_min: reader.duration("election", default.raft.election_timeout_min),
+            heartbeat: reader.duration("heartbeat", default.raft.heartbeat),
+            lease_margin: reader.duration("lease_margin", default.raft.lease_margin),
+            compact_after: reader.number("compact_after", default.raft.compact_after),
             repair: unattended.then(raft::Repair::default),
-            ..default.agree
+            ..default.raft
         };
         if listen == admin {
             reader.problem(
@@ -138,14 +138,14 @@
                 "another port",
             );
         }
-        if agree.heartbeat * 2 > agree.election_timeout_min {
+        if raft.heartbeat * 2 > raft.election_timeout_min {
             reader.problem(
                 "heartbeat",
                 "it is over half of `election`",
                 "a shorter one",
             );
         }
-        if agree.lease_margin >= agree.election_timeout_min {
+        if raft.lease_margin >= raft.election_timeout_min {
             reader.problem(
                 "lease_margin",
                 "it is no less than `election`",
@@ -182,7 +182,7 @@
             operators,
             orders_per_second: orders,
             provider: reader.object("provider"),
-            agree,
+            raft,
         }
     }
 }
@@ -319,7 +319,7 @@
     let store = hints::Store::new(&settings.data);
     let hints = read_hints(&store, &log);
     let feed = Arc::new(feed::Feed::default());
-    let writer = journal::Writer::new(opened.journal, opened.kept);
+    let writer = journal::Writer::new(opened.journal, opened.persisted);
     let (mut handle, failed) = replica::start(
         &settings,
         node,
@@ -335,12 +335,12 @@
         .merge(source::Server::new(feed.clone()).into_rpc())
         .change_context(Error)?;
     let metrics = metric::Metrics::new();
-    let endpoints =
-        registry::Endpoints::new(settings.name.clone(), settings.timing, clock, log.clone());
-    endpoints.restore_hints(&hints);
-    tokio::spawn(endpoints.clone().store_hints(store, handle.clone()));
+    let soft_state =
+        registry::SoftState::new(settings.name.clone(), settings.timing, clock, log.clone());
+    soft_state.restore_hints(&hints);
+    tokio::spawn(soft_state.clone().store_hints(store, handle.clone()));
     let registry = registry::Server {
-        endpoints: endpoints.clone(),
+        soft_state: soft_state.clone(),
         feed,
         handle: handle.clone(),
         zone: settings.zone.clone(),
@@ -353,7 +353,7 @@
     event!(log, Listening, "what" => "processes", "address" => %settings.listen);
     tokio::spawn(share::run(
         handle.clone(),
-        endpoints.clone(),
+        soft_state.clone(),
         clock,
         log.clone(),
     ));
@@ -364,12 +364,12 @@
         rate: settings.orders_per_second,
     };
     tokio::spawn(sender.run());
-    serve_provider::<D>(&settings, &handle, &endpoints, clock, &log);
+    serve_provider::<D>(&settings, &handle, &soft_state, clock, &log);
     tokio::spawn(breach::watch(log.clone()));
     let admin = admin::Admin {
         handle: handle.clone(),
         server,
-        endpoints: endpoints.clone(),
+        soft_state: soft_state.clone(),
         metrics: metrics.clone(),
         zones: settings.zones.clone(),
         clock,
@@ -382,7 +382,7 @@
     if let Some(address) = settings.publish {
         let api = publish::Api {
             handle: handle.clone(),
-            endpoints,
+            soft_state,
             metrics,
             refusals: Arc::default(),
             zones: settings.zones.clone(),
@@ -421,7 +421,7 @@
 fn serve_provider<D: provider::Dialect>(
     settings: &Settings,
     handle: &Handle,
-    endpoints: &registry::Endpoints,
+    soft_state: &registry::SoftState,
     clock: clock::System,
     log: &slog::Logger,
 ) {
@@ -435,12 +435,12 @@
     tokio::spawn(
         collector
             .clone()
-            .run(hold.clone(), handle.clone(), endpoints.clone(), clock),
+            .run(hold.clone(), handle.clone(), soft_state.clone(), clock),
     );
     if tasks.contains(&provider::Task::Scaling) {
         let controller = scaling::Controller {
             handle: handle.clone(),
-            endpoints: endpoints.clone(),
+            soft_state: soft_state.clone(),
             collector: collector.clone(),
             settings: settings.scaling.clone(),
             clock,
@@ -452,7 +452,7 @@
     if tasks.contains(&provider::Task::Usage) {
         let reporter = || usage::Reporter {
             handle: handle.clone(),
-            endpoints: endpoints.clone(),
+            soft_state: soft_state.clone(),
             collector: collector.clone(),
             clock,
             settings: settings.clone(),
--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -29,7 +29,7 @@
 use crate::{
     core::{change, cordon, ledger, name, region, registry, route},
     event,
-    ops::control::{self, metric::Metrics, refusal, registry::Endpoints, unix_ms, Error, Handle},
+    ops::control::{self, metric::Metrics, refusal, registry::SoftState, unix_ms, Error, Handle},
     util::{
         clock::{self, Clock as _},
         lock::lock,
@@ -74,13 +74,13 @@
 impl Call {
     /// Returns the call to a zone's path: POST cordons the zone, DELETE uncordons it.
     pub fn for_zone(method: &Method, zone: &str) -> Self {
-        let act = match *method {
+        let action = match *method {
             Method::POST => cordon::Action::Cordon,
             Method::DELETE => cordon::Action::Uncordon,
             _ => return Call::WrongMethod,
         };
         match zone.parse::<name::Zone>() {
-            Ok(zone) => Call::Cordon(cordon::ZoneChange { zone, act }),
+            Ok(zone) => Call::Cordon(cordon::ZoneChange { zone, action }),
             Err(error) => Call::Invalid(error.to_string()),
         }
     }
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Api {
     pub(super) handle: Handle,
-    pub(super) endpoints: Endpoints,
+    pub(super) soft_state: SoftState,
     pub(super) metrics: Metrics,
     pub(super) refusals: Arc<Mutex<refusal::Limiter>>,
     /// The configured availability zones.
@@ -220,7 +220,7 @@
             Call::Read => self.read().await,
             Call::Heartbeat(name) => self.announce::<D>(name, request).await,
             Call::Leave(name) => {
-                self.endpoints.leave(&name);
+                self.soft_state.leave(&name);
                 reply(StatusCode::OK, "{}")
             }
             Call::Cordon(change) => self.cordon(change, request).await,
@@ -249,7 +249,7 @@
         };
         match record.and_then(|record| self.check_record(record)) {
             Ok(record) => {
-                self.endpoints.announce(record);
+                self.soft_state.announce(record);
                 reply(StatusCode::OK, "{}")
             }
             Err(refusal) => self.refuse_record(&name, &refusal),
@@ -266,7 +266,7 @@
         let document = published.ledger.document();
         // A known endpoint may still send heartbeats after its service was removed, for example to
         // announce that it is leaving.
-        let is_known = self.endpoints.serves(&record.name, &record.service);
+        let is_known = self.soft_state.serves(&record.name, &record.service);
         let has_service = document.services.contains_key(&record.service);
         if document.routing.is_some() && !has_service && !is_known {
             let why = format!("no service is configured as {}", record.service);
@@ -388,7 +388,7 @@
         match outcome {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 self.metrics.record_cordon("accepted", took);
-                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.act,
+                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %publisher(), "revision" => %revision,
                     "took_ms" => took.as_millis());
                 reply(StatusCode::OK, "{}")
@@ -398,7 +398,7 @@
             }
             Forwarded::NotLeader | Forwarded::Unknown | Forwarded::Refused(_) => {
                 self.metrics.record_cordon("unclear", took);
-                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.act,
+                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.action,
                     "took_ms" => took.as_millis());
                 unclear()
             }
@@ -408,7 +408,7 @@
     /// Logs and counts that an order to cordon or uncordon was refused, and returns the reply.
     fn refuse_cordon(&self, change: &cordon::ZoneChange, why: &str) -> Reply {
         self.metrics.record_cordon("refused", Duration::ZERO);
-        event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.act, "why" => why);
+        event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.action, "why" => why);
         failure(StatusCode::BAD_REQUEST, why)
     }
 
--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -49,7 +49,7 @@
 
 /// A voter's soft state, shared between its tasks.
 #[derive(Clone, Debug)]
-pub(super) struct Endpoints {
+pub(super) struct SoftState {
     /// The endpoints that announced themselves to this voter, which other voters follow.
     own: Arc<Mutex<registry::Registry>>,
     /// The endpoints that announced themselves to any voter, which boxes follow.
@@ -63,7 +63,7 @@
     /// The paces that boxes reported of each endpoint.
     pace_reports: Arc<Mutex<BTreeMap<name::Endpoint, pace::Reports>>>,
     /// The endpoints that served before this process, or the process of another voter, started.
-    restored: Arc<Mutex<registry::Remembered>>,
+    restored: Arc<Mutex<registry::RestoredRecords>>,
     /// The loads of boxes at endpoints.
     hub: Arc<Mutex<load::Hub>>,
     /// Issues permits for endpoints that limit their requests.
@@ -86,7 +86,7 @@
     log: slog::Logger,
 }
 
-impl Endpoints {
+impl SoftState {
     pub(super) fn new(
         own: name::Box,
         timing: registry::Timing,
@@ -305,7 +305,7 @@
         }
         registry.regrade();
         let until = self.clock.now() + registry.timing().restored_timeout();
-        *lock(&self.restored) = registry::Remembered::new(hints.endpoints.clone(), until);
+        *lock(&self.restored) = registry::RestoredRecords::new(hints.endpoints.clone(), until);
     }
 
     /// Returns the hub that aggregates the loads of boxes.
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::Endpoints;
+use super::SoftState;
 use crate::{
     core::{follow, name, pace, registry, unit},
     event,
@@ -30,7 +30,7 @@
     revision: unit::Revision,
 }
 
-impl Endpoints {
+impl SoftState {
     /// Merges a message from another voter about the endpoints that announced themselves there.
     pub(in crate::ops::control) fn apply_update(
         &self,
--- a/src/scalewood/ops/control/registry/server.rs
+++ b/src/scalewood/ops/control/registry/server.rs
@@ -8,7 +8,7 @@
 };
 use serde_json::value::RawValue;
 
-use super::{left_since_stamp, Endpoints};
+use super::{left_since_stamp, SoftState};
 use crate::{
     board::feed,
     core::{change, load, name, pace, registry, throttle, unit, usage},
@@ -37,7 +37,7 @@
 /// Serves the registry and the configuration.
 #[derive(Clone, Debug)]
 pub(in crate::ops::control) struct Server {
-    pub(in crate::ops::control) endpoints: Endpoints,
+    pub(in crate::ops::control) soft_state: SoftState,
     pub(in crate::ops::control) feed: Arc<feed::Feed>,
     pub(in crate::ops::control) handle: Handle,
     /// The voter's availability zone, if its settings name it.
@@ -113,14 +113,14 @@
             zone: if *address == self.address {
                 self.zone.clone()
             } else {
-                self.endpoints.zone_of(address)
+                self.soft_state.zone_of(address)
             },
         });
         Ok(places.collect())
     }
 
     async fn measured(&self, who: name::Box, paces: Vec<pace::EndpointPace>) -> RpcResult<()> {
-        self.endpoints.record_paces(&who, paces);
+        self.soft_state.record_paces(&who, paces);
         Ok(())
     }
 
@@ -131,12 +131,12 @@
         report: load::Update,
         usage: usage::Report,
     ) -> RpcResult<Option<Exchanged>> {
-        let now = self.endpoints.clock.now();
+        let now = self.soft_state.clock.now();
         let mut report = report;
-        self.endpoints.record_leaving(&who, &report.leaving);
+        self.soft_state.record_leaving(&who, &report.leaving);
         let throttled = std::mem::take(&mut report.throttle);
         let load = {
-            let mut hub = lock(&self.endpoints.hub);
+            let mut hub = lock(&self.soft_state.hub);
             let known = full || hub.knows(&who);
             known.then(|| hub.exchange(&who, full, report, now))
         };
@@ -145,7 +145,7 @@
         };
         let throttle = self.issuer().handle_box(&who, full, throttled, now);
         let unix_ms = self.unix_ms();
-        lock(&self.endpoints.book).merge(usage::Page {
+        lock(&self.soft_state.book).merge(usage::Page {
             source: usage::BoxStart {
                 name: who,
                 start: usage.start,
@@ -161,18 +161,18 @@
     }
 
     async fn share(&self, who: name::Box, full: bool, report: load::Update) -> RpcResult<Shared> {
-        let now = self.endpoints.clock.now();
+        let now = self.soft_state.clock.now();
         let mut report = report;
         let throttled = std::mem::take(&mut report.throttle);
         Ok(Shared {
-            known: lock(&self.endpoints.hub).apply_peer_update(&who, full, report, now),
-            unix_ms: self.endpoints.clock.unix_ms(),
+            known: lock(&self.soft_state.hub).apply_peer_update(&who, full, report, now),
+            unix_ms: self.soft_state.clock.unix_ms(),
             throttle: Some(self.issuer().handle_voter(&who, throttled, now)),
         })
     }
 
     async fn gather(&self, after: Stamps) -> RpcResult<Gathered> {
-        Ok(self.endpoints.gather(after))
+        Ok(self.soft_state.gather(after))
     }
 
     async fn document(&self, newer_than: unit::Revision) -> RpcResult<Option<Update>> {
@@ -199,7 +199,7 @@
     /// Returns the issuer of permits, set to the current number of voters.
     fn issuer(&self) -> lock::Guard<'_, throttle::Issuer> {
         let voters = self.handle.voter_count();
-        let mut issuer = lock(&self.endpoints.issuer);
+        let mut issuer = lock(&self.soft_state.issuer);
         issuer.set_voters(voters);
         issuer
     }
@@ -207,26 +207,26 @@
     /// Returns the time of day on which the voters agree, in milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64 {
         let members = self.handle.voter_count();
-        self.endpoints.unix_ms(members)
+        self.soft_state.unix_ms(members)
     }
 
     /// Sends a box all changes until it disconnects or subscribes again.
     async fn serve_box(&self, sink: &SubscriptionSink, who: &name::Box, follower: Follower) {
-        let number = self.endpoints.add_follower(who);
+        let number = self.soft_state.add_follower(who);
         tokio::select! {
             () = self.push(sink, follower) => {}
-            () = self.endpoints.superseded(who, number) => {}
+            () = self.soft_state.superseded(who, number) => {}
         }
-        self.endpoints.remove_follower(who, number);
+        self.soft_state.remove_follower(who, number);
     }
 
     /// Sends a follower all changes until it disconnects.
     async fn push(&self, sink: &SubscriptionSink, follower: Follower) {
-        let mut endpoints = self.endpoints.changed.subscribe();
+        let mut changes = self.soft_state.changed.subscribe();
         let mut feed = self.feed.watch();
         let mut cursor = Cursor::default();
         loop {
-            endpoints.borrow_and_update();
+            changes.borrow_and_update();
             feed.borrow_and_update();
             let update = self.update(follower, &mut cursor);
             if send(sink, &update).await.is_none() {
@@ -236,35 +236,35 @@
                 continue;
             }
             tokio::select! {
-                changed = endpoints.changed() => if changed.is_err() { return },
+                changed = changes.changed() => if changed.is_err() { return },
                 changed = feed.changed() => if changed.is_err() { return },
                 () = tokio::time::sleep(KEEPALIVE) => {}
                 () = sink.closed() => return,
             }
             let next = cursor.sent_at + BATCH_PERIOD;
-            tokio::time::sleep(next.saturating_sub(self.endpoints.clock.now())).await;
+            tokio::time::sleep(next.saturating_sub(self.soft_state.clock.now())).await;
         }
     }
 
     /// Returns the next message to a follower, and advances `cursor`.
     fn update(&self, follower: Follower, cursor: &mut Cursor) -> RegistryUpdate {
-        let now = self.endpoints.clock.now();
-        self.endpoints.sweep(now);
+        let now = self.soft_state.clock.now();
+        self.soft_state.sweep(now);
         cursor.sent_at = now;
-        let remembered = lock(&self.endpoints.restored);
+        let records = lock(&self.soft_state.restored);
         let restored = if follower.is_voter() {
-            remembered.for_voter(&mut cursor.restored, now)
+            records.for_voter(&mut cursor.restored, now)
         } else {
-            remembered.for_box(&mut cursor.restored, now)
+            records.for_box(&mut cursor.restored, now)
         };
-        drop(remembered);
+        drop(records);
         let mut update = RegistryUpdate {
             restored,
             revision: self.feed.current().revision,
             followers: if follower.is_voter() {
-                self.endpoints.follower_count()
+                self.soft_state.follower_count()
             } else {
-                self.endpoints.box_count()
+                self.soft_state.box_count()
             },
             ..RegistryUpdate::default()
         };
@@ -272,9 +272,9 @@
             update.zone.clone_from(&self.zone);
         }
         let registry = if follower.is_voter() {
-            &self.endpoints.own
+            &self.soft_state.own
         } else {
-            &self.endpoints.registry
+            &self.soft_state.registry
         };
         let registry = lock(registry);
         if follower == Follower::ByNames && now >= cursor.heard_until + HEARD_PERIOD {
@@ -301,8 +301,8 @@
     /// changed.
     fn add_members(&self, update: &mut RegistryUpdate, cursor: &mut Cursor) {
         let members = self.handle.published().status.members;
-        update.in_touch = self.endpoints.is_in_touch(self.handle.voter_count())
-            && !self.endpoints.is_behind(update.revision);
+        update.in_touch = self.soft_state.is_in_touch(self.handle.voter_count())
+            && !self.soft_state.is_behind(update.revision);
         let voters: Vec<_> = members.addresses().map(|(_, address)| *address).collect();
         if cursor.voters != voters {
             cursor.voters.clone_from(&voters);
--- a/src/scalewood/ops/control/replica.rs
+++ b/src/scalewood/ops/control/replica.rs
@@ -285,9 +285,9 @@
 ) -> (Handle, oneshot::Receiver<String>) {
     let (commands, receiver) = mpsc::sync_channel(4096);
     let (fail, failed) = oneshot::channel();
-    let persisted = writer.kept().clone();
+    let persisted = writer.persisted().clone();
     let mut voter = raft::Voter::new(
-        settings.agree.clone(),
+        settings.raft.clone(),
         node,
         persisted,
         rand::random(),
@@ -335,7 +335,7 @@
 fn reopen(path: &Path) -> Result<Writer, journal::Error> {
     let folder = folder::Folder::open(path)?;
     let opened = journal::Journal::open(folder)?;
-    Ok(journal::Writer::new(opened.journal, opened.kept))
+    Ok(journal::Writer::new(opened.journal, opened.persisted))
 }
 
 /// The state of the thread.
@@ -436,8 +436,8 @@
     /// Replaces the voter by one that starts from the stored state.
     fn restart(&mut self, writer: Writer) {
         let node = self.voter.node().clone();
-        let persisted = writer.kept().clone();
-        let settings = self.settings.agree.clone();
+        let persisted = writer.persisted().clone();
+        let settings = self.settings.raft.clone();
         self.voter = raft::Voter::new(settings, node, persisted, rand::random(), self.clock.now());
         event!(self.log, StoreRecovered, "bytes" => writer.journal().len());
         self.writer = Some(writer);
--- a/src/scalewood/ops/control/scaling.rs
+++ b/src/scalewood/ops/control/scaling.rs
@@ -8,7 +8,7 @@
 use crate::{
     core::{ledger, name, registry, scaling, warm_up},
     event,
-    ops::control::{collect, provider, registry::Endpoints, unix_ms, Handle},
+    ops::control::{collect, provider, registry::SoftState, unix_ms, Handle},
     util::{
         clock::{self, Clock as _},
         lock::lock,
@@ -22,7 +22,7 @@
 /// Orders endpoints for all services for which the provider offers them.
 pub(super) struct Controller {
     pub(super) handle: Handle,
-    pub(super) endpoints: Endpoints,
+    pub(super) soft_state: SoftState,
     pub(super) collector: collect::Collector,
     pub(super) settings: scaling::Settings,
     pub(super) clock: clock::System,
@@ -91,7 +91,7 @@
             cordoned: published.ledger.document().cordoned.clone(),
             ..scaling::Observed::default()
         };
-        let hub = lock(self.endpoints.hub());
+        let hub = lock(self.soft_state.hub());
         for record in records.iter().filter(|record| record.service == *service) {
             let zone = seen.zones.entry(record.zone.clone()).or_default();
             let ready = record.state == registry::State::Ready;
--- a/src/scalewood/ops/control/server.rs
+++ b/src/scalewood/ops/control/server.rs
@@ -51,10 +51,10 @@
         let revision = published.ledger.revision();
         let now = self.clock.now();
         let beats = lock(&self.beats);
-        let boxes = beats.values().map(|(at, beat)| admin::BoxStatus {
-            beat: beat.clone(),
+        let boxes = beats.values().map(|(at, heartbeat)| admin::BoxStatus {
+            heartbeat: heartbeat.clone(),
             age_ms: u64::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u64::MAX),
-            current: beat.revision == revision,
+            current: heartbeat.revision == revision,
         });
         admin::Status {
             voter: published.status,
--- a/src/scalewood/ops/control/share.rs
+++ b/src/scalewood/ops/control/share.rs
@@ -14,7 +14,7 @@
     core::{name, raft},
     event,
     ops::{
-        control::{registry::Endpoints, Handle},
+        control::{registry::SoftState, Handle},
         rpc,
     },
     util::{
@@ -51,7 +51,7 @@
 /// Exchanges soft state with all other members, for ever.
 pub(super) async fn run(
     handle: Handle,
-    endpoints: Endpoints,
+    soft_state: SoftState,
     clock: clock::System,
     log: slog::Logger,
 ) {
@@ -63,7 +63,7 @@
             let stays = members.get(node) == Some(&&*address);
             if !stays {
                 task.abort();
-                lock(endpoints.hub()).forget_sent(&node.name);
+                lock(soft_state.hub()).forget_sent(&node.name);
             }
             stays
         });
@@ -75,7 +75,7 @@
                 own: status.node.name.clone(),
                 name: node.name.clone(),
                 address: *address,
-                endpoints: endpoints.clone(),
+                soft_state: soft_state.clone(),
                 clock,
                 log: log.clone(),
             };
@@ -95,7 +95,7 @@
     /// The name of the other voter's box.
     name: name::Box,
     address: SocketAddr,
-    endpoints: Endpoints,
+    soft_state: SoftState,
     clock: clock::System,
     log: slog::Logger,
 }
@@ -108,7 +108,7 @@
                 event!(self.log, LoadsPassedOn, "voter" => %self.name);
                 self.report(&client).await;
                 event!(self.log, LoadsHeldBack, "voter" => %self.name);
-                lock(self.endpoints.hub()).forget_sent(&self.name);
+                lock(self.soft_state.hub()).forget_sent(&self.name);
             }
             tokio::time::sleep(RECONNECT_DELAY).await;
         }
@@ -120,7 +120,7 @@
         loop {
             if let Ok(client) = rpc::connect(self.address).await {
                 self.track(&client).await;
-                self.endpoints.forget_voter(self.address);
+                self.soft_state.forget_voter(self.address);
             }
             tokio::time::sleep(RECONNECT_DELAY).await;
         }
@@ -142,9 +142,9 @@
             }
         };
         event!(self.log, RegistryFound, "voter" => %self.address);
-        let voucher = self.endpoints.voucher(&self.name);
+        let voucher = self.soft_state.voucher(&self.name);
         while let Ok(Some(Ok(next))) = tokio::time::timeout(SILENCE_TIMEOUT, updates.next()).await {
-            self.endpoints
+            self.soft_state
                 .apply_update(&self.name, self.address, voucher, next);
         }
         event!(self.log, RegistryLost, "voter" => %self.address);
@@ -152,7 +152,7 @@
 
     /// Returns the shortest time between two reports, given the number of other voters.
     fn min_period(&self) -> Duration {
-        let peers = u32::try_from(self.endpoints.peer_count()).unwrap_or(u32::MAX);
+        let peers = u32::try_from(self.soft_state.peer_count()).unwrap_or(u32::MAX);
         MIN_PERIOD_PER_PEER
             .saturating_mul(peers)
             .clamp(MIN_PERIOD, MAX_PERIOD)
@@ -165,16 +165,16 @@
         let mut period = MIN_PERIOD;
         loop {
             let now = self.clock.now();
-            let mut update = lock(self.endpoints.hub()).update_for(&self.name, full, now);
-            update.throttle = lock(self.endpoints.issuer()).message_for(&self.name, full, now);
+            let mut update = lock(self.soft_state.hub()).update_for(&self.name, full, now);
+            update.throttle = lock(self.soft_state.issuer()).message_for(&self.name, full, now);
             if full || !update.is_empty() || now >= reported_at + KEEPALIVE {
                 let call = client.share(self.own.clone(), full, update);
                 match tokio::time::timeout(ANSWER_TIMEOUT, call).await {
                     Ok(Ok(shared)) => {
                         full = !shared.known;
-                        self.endpoints.record_time(&self.name, shared.unix_ms, now);
+                        self.soft_state.record_time(&self.name, shared.unix_ms, now);
                         let answered = self.clock.now();
-                        lock(self.endpoints.issuer()).handle_answer(
+                        lock(self.soft_state.issuer()).handle_answer(
                             &self.name,
                             shared.throttle,
                             now,
--- a/src/scalewood/ops/control/usage.rs
+++ b/src/scalewood/ops/control/usage.rs
@@ -9,7 +9,7 @@
 use crate::{
     core::{ledger, usage},
     event,
-    ops::control::{collect, provider, registry::Endpoints, Handle},
+    ops::control::{collect, provider, registry::SoftState, Handle},
     util::{
         clock::{self, Clock as _},
         lock::lock,
@@ -32,7 +32,7 @@
 /// Commits and reports the usage of teams.
 pub(super) struct Reporter {
     pub(super) handle: Handle,
-    pub(super) endpoints: Endpoints,
+    pub(super) soft_state: SoftState,
     pub(super) collector: collect::Collector,
     pub(super) clock: clock::System,
     pub(super) settings: provider::Settings,
@@ -56,7 +56,7 @@
 
     /// Returns the time of day that the voters agree on, in milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64 {
-        self.endpoints.unix_ms(self.handle.voter_count())
+        self.soft_state.unix_ms(self.handle.voter_count())
     }
 
     /// Returns the windows that have ended and are not committed yet.
@@ -64,7 +64,7 @@
         let published = self.handle.published();
         let now = self.unix_ms();
         let has_ended = |window: &usage::Window| window.end_ms(self.settings.window) < now;
-        let book = lock(self.endpoints.usage());
+        let book = lock(self.soft_state.usage());
         let windows = book.windows().into_iter().filter(has_ended);
         let is_open = |window: &usage::Window| !published.ledger.usage().is_closed(*window);
         windows.filter(is_open).collect()
@@ -77,7 +77,7 @@
         let after = |duration: Duration| end + millis(duration);
         let running_since = end.saturating_sub(2 * millis(self.settings.window));
         let (missing, counts) = {
-            let mut book = lock(self.endpoints.usage());
+            let mut book = lock(self.soft_state.usage());
             let missing = book.lagging(running_since, after(CLOCK_MARGIN));
             let counts = book.totals(window);
             book.forget(
@@ -121,7 +121,7 @@
     fn reported(&self) -> BTreeSet<usage::Window> {
         let published = self.handle.published();
         let windows = published.ledger.usage().windows();
-        let accepted = lock(self.endpoints.reported_windows());
+        let accepted = lock(self.soft_state.reported_windows());
         let unrecorded = accepted
             .iter()
             .filter(|w| windows.get(w).is_some_and(|agreed| !agreed.reported));
@@ -146,7 +146,7 @@
                 .call(&authority, request, D::classify_report, &what)
                 .await;
             if outcome == provider::Outcome::Taken {
-                lock(self.endpoints.reported_windows()).insert(window);
+                lock(self.soft_state.reported_windows()).insert(window);
             }
         }
     }
@@ -156,7 +156,7 @@
     fn next_due(&self) -> Option<(usage::Window, usage::Agreed)> {
         let published = self.handle.published();
         let windows = published.ledger.usage().windows();
-        let mut accepted = lock(self.endpoints.reported_windows());
+        let mut accepted = lock(self.soft_state.reported_windows());
         accepted.retain(|window| windows.contains_key(window));
         let is_due = |window: &usage::Window, agreed: &usage::Agreed| {
             !agreed.reported && !agreed.counts.is_empty() && !accepted.contains(window)
--- a/src/scalewood/ops/entry/answer_head.rs
+++ b/src/scalewood/ops/entry/answer_head.rs
@@ -106,7 +106,7 @@
     response: &Response<B>,
 ) {
     let headers = response.headers();
-    let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), now(board));
+    let unix_ms = lock(&board.wall_clock).unix_ms(board.clock.unix_ms(), now(board));
     match ops::backoff::parse(headers, unix_ms) {
         backoff::Parsed::Absent => {}
         backoff::Parsed::Invalid => {
--- a/src/scalewood/ops/entry/call.rs
+++ b/src/scalewood/ops/entry/call.rs
@@ -224,7 +224,7 @@
         return Ok(());
     }
     let now = now(board);
-    let mut shard = board.limits.shard(&call.team);
+    let mut shard = board.team_buckets.shard(&call.team);
     let buckets = shard.entry(call.team.clone()).or_insert(Buckets {
         requests: None,
         tokens: None,
@@ -268,7 +268,7 @@
         return;
     };
     let now = now(board);
-    let mut shard = board.limits.shard(&call.team);
+    let mut shard = board.team_buckets.shard(&call.team);
     if let Some(bucket) = shard.get_mut(&call.team).and_then(|b| b.tokens.as_mut()) {
         // Answers are far shorter than 2^52 tokens, so the conversion is exact.
         bucket.charge(tokens.0 as f64, rate, now);
--- a/src/scalewood/ops/entry/crash.rs
+++ b/src/scalewood/ops/entry/crash.rs
@@ -104,7 +104,7 @@
     let fingerprint = content.fingerprint();
     event!(board.log, EndpointEnded, "endpoint" => %target.endpoint, "request" => request,
         "incarnation" => target.start.map(|start| start.0), "fingerprint" => %fingerprint);
-    let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), broke_at);
+    let unix_ms = lock(&board.wall_clock).unix_ms(board.clock.unix_ms(), broke_at);
     let ran = broke_at.saturating_sub(target.sent_at);
     let end = crash::End {
         id: crash::Id::new(&target.endpoint, target.start, unix_ms),
--- a/src/scalewood/ops/entry/directory.rs
+++ b/src/scalewood/ops/entry/directory.rs
@@ -402,7 +402,7 @@
         registry.set_pace(&paced.endpoint, paced.pace);
     }
     if registry.regrade() {
-        let slow = registry.graded().filter(|(_, slow)| *slow);
+        let slow = registry.records_with_slowness().filter(|(_, slow)| *slow);
         let slow: Vec<_> = slow.map(|(record, _)| record.name.as_str()).collect();
         event!(board.log, SlowEndpointsChanged, "slow" => slow.join(" "));
     }
@@ -439,7 +439,7 @@
 /// Records how many boxes use the same endpoints, and passes the number to the dispatchers of this
 /// box.
 fn record_sharers(board: &Shared, count: u32) {
-    if board.sharers.swap(count, Ordering::Relaxed) == count {
+    if board.box_count.swap(count, Ordering::Relaxed) == count {
         return;
     }
     for service in dispatchers::services(board) {
--- a/src/scalewood/ops/entry/dispatchers.rs
+++ b/src/scalewood/ops/entry/dispatchers.rs
@@ -116,8 +116,8 @@
     let view = board.view.load();
     let mut outputs = dispatcher.step(configuration(board, &view, service), now);
     outputs.extend(dispatcher.step(dispatch::Input::LiveBoxes(alive(board)), now));
-    let sharers = board.sharers.load(Ordering::Relaxed);
-    outputs.extend(dispatcher.step(dispatch::Input::BoxCount(sharers), now));
+    let box_count = board.box_count.load(Ordering::Relaxed);
+    outputs.extend(dispatcher.step(dispatch::Input::BoxCount(box_count), now));
     (dispatcher, outputs)
 }
 
--- a/src/scalewood/ops/entry/exchange.rs
+++ b/src/scalewood/ops/entry/exchange.rs
@@ -199,7 +199,7 @@
         let mut limits = self.limits;
         // The lock is released before `wanted_permits` locks the dispatchers: opening a dispatcher
         // takes the two locks in the opposite order.
-        let new_limits = lock(&self.board.throttles).updates(&mut limits, now(&self.board));
+        let new_limits = lock(&self.board.endpoint_limits).updates(&mut limits, now(&self.board));
         let throttle = core::throttle::Message {
             limits: new_limits,
             wanted: throttle::wanted_permits(&self.board),
@@ -241,7 +241,7 @@
                 self.board.last_exchange_at.send_replace(begun);
                 self.boxes = answer.load.boxes;
                 let answered = now(&self.board);
-                lock(&self.board.wall).record(answer.unix_ms, asked_at, answered);
+                lock(&self.board.wall_clock).record(answer.unix_ms, asked_at, answered);
                 self.apply(answer.load.update, full);
                 if let Some(throttle) = answer.throttle {
                     self.apply_permits(throttle, voter, asked_at);
--- a/src/scalewood/ops/entry/routed/mod.rs
+++ b/src/scalewood/ops/entry/routed/mod.rs
@@ -157,7 +157,7 @@
         };
         let (parts, body) = request.into_parts();
         let host = host_of(&parts).unwrap_or_default();
-        let name = view.table.route(host, parts.uri.path()).ok_or_else(|| {
+        let name = view.routes.route(host, parts.uri.path()).ok_or_else(|| {
             let why = "no route matches this host and path";
             Refusal::not_run(StatusCode::NOT_FOUND, "unknown-route", why)
         })?;
@@ -175,7 +175,7 @@
         let caller = team.clone().unwrap_or_else(public_team);
         let content = crash::Content::new(&caller, &parts, body.clone());
         let time_limit = head.deadline.unwrap_or(Duration::MAX).min(route.timeout());
-        let rank = view.table.rank(route.tier, rights.tier);
+        let rank = view.routes.rank(route.tier, rights.tier);
         let mut call = call(
             &head,
             (caller, team.as_ref()),
@@ -220,7 +220,7 @@
     route: &route::Route,
     key: Option<&str>,
 ) -> Result<(Option<name::Team>, Rights), Refusal> {
-    let name = key.and_then(|key| view.table.team(key));
+    let name = key.and_then(|key| view.routes.team(key));
     if let Some((name, team)) = name.and_then(|name| routing.teams.get_key_value(name)) {
         let rights = Rights {
             tier: team.tier,
--- a/src/scalewood/ops/entry/routed/retries.rs
+++ b/src/scalewood/ops/entry/routed/retries.rs
@@ -28,7 +28,9 @@
 /// Adds the fraction of a retry that each new request earns to the service's budget.
 pub(super) fn earn<D>(context: &Context<D>, service: &name::Service) {
     let board = &context.board;
-    let share = context.retries.share(board.sharers.load(Ordering::Relaxed));
+    let share = context
+        .retries
+        .share(board.box_count.load(Ordering::Relaxed));
     let mut shard = board.budgets.shard(service);
     let budget = budget(&mut shard, service, share);
     budget.configure(share);
--- a/src/scalewood/ops/entry/status.rs
+++ b/src/scalewood/ops/entry/status.rs
@@ -64,7 +64,7 @@
 }
 
 fn limits(board: &Shared) -> Vec<(name::Endpoint, throttle::Limit)> {
-    let throttles = lock(&board.throttles);
+    let throttles = lock(&board.endpoint_limits);
     let limited = throttles.all().take(MAX_LISTED);
     limited
         .map(|(name, _, limit)| (name.clone(), limit))
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -33,7 +33,7 @@
         }
     };
     let outcome = {
-        let mut throttles = lock(&board.throttles);
+        let mut throttles = lock(&board.endpoint_limits);
         throttles.observe(
             &target.endpoint,
             target.start,
@@ -57,7 +57,7 @@
 pub(super) fn merge(board: &Shared, rows: &[throttle::Row], by: impl fmt::Display) {
     let now = now(board);
     let changed: Vec<_> = {
-        let mut throttles = lock(&board.throttles);
+        let mut throttles = lock(&board.endpoint_limits);
         let changed = rows.iter().filter(|row| throttles.merge(row, now));
         let change = |row: &throttle::Row| dispatch::LimitChange {
             endpoint: row.endpoint.clone(),
@@ -84,7 +84,7 @@
                 "incarnation" => start, "by" => %by),
         }
     }
-    let limited = lock(&board.throttles).all().count();
+    let limited = lock(&board.endpoint_limits).all().count();
     let limited = i64::try_from(limited).unwrap_or(i64::MAX);
     board.metrics.limited_endpoints.set(limited);
     for service in dispatchers::services(board) {
@@ -99,7 +99,7 @@
     else {
         return;
     };
-    let throttles = lock(&board.throttles);
+    let throttles = lock(&board.endpoint_limits);
     for spec in specs {
         let admission = &mut spec.admission;
         admission.limit = throttles.limit(&spec.name, admission.incarnation);
@@ -143,5 +143,5 @@
     endpoint: &name::Endpoint,
     start: registry::Start,
 ) -> Option<Duration> {
-    lock(&board.throttles).limited_since(endpoint, start)
+    lock(&board.endpoint_limits).limited_since(endpoint, start)
 }
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -67,7 +67,7 @@
     /// The journal.
     pub journal: Journal<M>,
     /// The state that its records add up to.
-    pub kept: Persisted<S>,
+    pub persisted: Persisted<S>,
     /// The size in bytes of the torn last record, which was dropped.
     pub dropped: usize,
 }
@@ -115,14 +115,17 @@
     /// Fails if the journal is missing or damaged.
     pub fn open<S: State>(mut media: M) -> Result<Opened<M, S>, Error> {
         let bytes = media.read(FILE_NAME)?.ok_or(Error::Missing)?;
-        let mut kept = Persisted::default();
+        let mut persisted = Persisted::default();
         let mut offset = 0;
         let mut records = 0;
         while offset < bytes.len() {
             let Some((record, end)) = parse::<S>(&bytes, offset)? else {
                 break;
             };
-            record.0.into_iter().for_each(|write| kept.replay(write));
+            record
+                .0
+                .into_iter()
+                .for_each(|write| persisted.replay(write));
             offset = end;
             records += 1;
         }
@@ -140,7 +143,7 @@
         };
         Ok(Opened {
             journal,
-            kept,
+            persisted,
             dropped,
         })
     }
@@ -275,7 +278,7 @@
     }
 
     /// Returns the state that the journal holds.
-    pub fn kept(&self) -> &Persisted<S> {
+    pub fn persisted(&self) -> &Persisted<S> {
         &self.state
     }
 
--- a/src/scalewood/wire/admin.rs
+++ b/src/scalewood/wire/admin.rs
@@ -31,7 +31,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BoxStatus {
     /// Its last report.
-    pub beat: crate::wire::control::Heartbeat,
+    #[serde(rename = "beat")]
+    pub heartbeat: crate::wire::control::Heartbeat,
     /// The age of this report in milliseconds.
     pub age_ms: u64,
     /// Whether the revision in force is in force at the box too.
@@ -79,7 +80,8 @@
     /// The zone.
     pub zone: name::Zone,
     /// Whether the zone is to be cordoned or uncordoned.
-    pub act: cordon::Action,
+    #[serde(rename = "act")]
+    pub action: cordon::Action,
     /// The reason, which is recorded in the audit trail.
     pub why: String,
 }
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -42,10 +42,10 @@
 /// The longest that an order may take to be acknowledged while a leader can be elected.
 const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(5);
 
-fn zone_change(act: Action, zone: &str) -> ZoneChange {
+fn zone_change(action: Action, zone: &str) -> ZoneChange {
     ZoneChange {
         zone: zone.parse().unwrap(),
-        act,
+        action,
     }
 }
 
@@ -564,7 +564,7 @@
     let order = admin::Cordon {
         id: "odd".parse().unwrap(),
         zone: "nowhere".parse().unwrap(),
-        act: Action::Cordon,
+        action: Action::Cordon,
         why: "a test".into(),
     };
     let refused = system.operator().cordon(&order).await.unwrap_err();
@@ -724,7 +724,7 @@
     let order = admin::Cordon {
         id: "first".parse().unwrap(),
         zone: "zone0".parse().unwrap(),
-        act: Action::Cordon,
+        action: Action::Cordon,
         why: "a test".into(),
     };
     let first = deployment.operator().cordon(&order).await.unwrap();
--- a/tests/testsuite/journal.rs
+++ b/tests/testsuite/journal.rs
@@ -161,7 +161,7 @@
 
 fn reopen(media: &Memory) -> Writer<Memory, Trail> {
     let opened = Journal::open::<Trail>(media.clone()).expect("the journal opens");
-    Writer::new(opened.journal, opened.kept)
+    Writer::new(opened.journal, opened.persisted)
 }
 
 #[test]
@@ -200,9 +200,12 @@
                         .for_each(|write| acknowledged.replay(write));
                 }
             }
-            assert!(same(keeper.kept(), &acknowledged), "after {step:?}");
+            assert!(same(keeper.persisted(), &acknowledged), "after {step:?}");
         }
-        assert!(same(reopen(&media).kept(), &acknowledged), "at the end");
+        assert!(
+            same(reopen(&media).persisted(), &acknowledged),
+            "at the end"
+        );
     });
 }
 
@@ -232,7 +235,10 @@
         let lost = |kept: &Persisted<Trail>| kept.entries.len() < 5;
         match opened {
             Err(Error::Damaged(_)) => {}
-            Ok(opened) => assert!(!lost(&opened.kept), "damage at {at} silently loses records"),
+            Ok(opened) => assert!(
+                !lost(&opened.persisted),
+                "damage at {at} silently loses records"
+            ),
             Err(error) => panic!("damage at {at}: {error}"),
         }
     }
--- a/tests/testsuite/pace.rs
+++ b/tests/testsuite/pace.rs
@@ -188,7 +188,10 @@
         registry.merge(record(name, zone), START);
     }
     registry.regrade();
-    let slow: Vec<_> = registry.graded().filter(|(_, slow)| *slow).collect();
+    let slow: Vec<_> = registry
+        .records_with_slowness()
+        .filter(|(_, slow)| *slow)
+        .collect();
     assert_eq!(slow.len(), 1);
     assert_eq!(slow[0].0.name.as_str(), "a1");
     registry.leave(&"a1".parse().unwrap());
@@ -292,9 +295,9 @@
                 .zip(graded.into_iter().map(|(_, slow)| slow))
                 .collect();
         }
-        for (record, graded) in registry.graded() {
+        for (record, is_slow) in registry.records_with_slowness() {
             let expected = slow.get(record.name.as_str()).copied().unwrap_or(false);
-            assert_eq!(graded, expected, "{}", record.name);
+            assert_eq!(is_slow, expected, "{}", record.name);
         }
     }
     assert!(slow.values().any(|slow| *slow));
--- a/tests/testsuite/registry.rs
+++ b/tests/testsuite/registry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use scalewood::core::{
-    registry::{Merged, Record, Registry, Remembered, StampRange, State, Timing},
+    registry::{Merged, Record, Registry, RestoredRecords, StampRange, State, Timing},
     unit,
 };
 
@@ -356,7 +356,7 @@
     let until = START + Duration::from_secs(3);
     let remembered = |voter| (0..10).map(|n| at_place(voter * 10 + n, 0)).collect();
     let mut voters: Vec<_> = (0..VOTERS)
-        .map(|voter| Remembered::new(remembered(voter), until))
+        .map(|voter| RestoredRecords::new(remembered(voter), until))
         .collect();
     let mut told = [[0; VOTERS as usize]; VOTERS as usize];
     let mut messages = 0;
--- a/tests/testsuite/rest.rs
+++ b/tests/testsuite/rest.rs
@@ -451,7 +451,7 @@
     let operator = system.operator();
     deploy::wait("the rest is shown", || async {
         let status = operator.status().await.unwrap();
-        let rests = status.boxes.iter().flat_map(|one| &one.beat.backoffs);
+        let rests = status.boxes.iter().flat_map(|one| &one.heartbeat.backoffs);
         rests
             .into_iter()
             .any(|(name, left)| name.as_str() == "i-0" && *left > 10_000)
