--- a/src/scalewood/ops/control/crash.rs
+++ b/src/scalewood/ops/control/crash.rs
@@ -37,7 +37,7 @@
         };
         let now = self.clock.now();
         let is_known = lock(self.soft_state.hub()).pardon(&fingerprint, now);
-        event!(self.log, RequestPardoned, "fingerprint" => %fingerprint,
+        event!(self.log, RequestReleased, "fingerprint" => %fingerprint,
             "operator" => %operator, "why" => &why, "known" => is_known);
         if !is_known {
             let why = format!("this voter knows of no endpoint that ended under {fingerprint}");
--- a/src/scalewood/ops/control/mod.rs
+++ b/src/scalewood/ops/control/mod.rs
@@ -289,7 +289,7 @@
     initialise(settings, membership::FOUNDER_IDENTITY, |_| {
         raft::Persisted::bootstrap_with(members)
     })?;
-    event!(log, VoterFormed, "voters" => settings.voters.len());
+    event!(log, StoreInitialised, "voters" => settings.voters.len());
     Ok(())
 }
 
--- a/src/scalewood/ops/control/order.rs
+++ b/src/scalewood/ops/control/order.rs
@@ -166,7 +166,7 @@
                 backoff.map_or(Outcome::Failed, Outcome::RetryAfter)
             }
             Err(guarded::Failure::NoLease) => {
-                event!(self.log, OrderHeldBack, "endpoint" => %endpoint, "term" => order.term);
+                event!(self.log, OrderNotSent, "endpoint" => %endpoint, "term" => order.term);
                 Outcome::Failed
             }
             Err(failure) => {
--- a/src/scalewood/ops/control/provider/mod.rs
+++ b/src/scalewood/ops/control/provider/mod.rs
@@ -145,7 +145,7 @@
         };
         match (task, why) {
             (Ok(task), None) => drop(tasks.insert(task)),
-            (_, why) => event!(log, TaskOff, "task" => name, "why" => why),
+            (_, why) => event!(log, TaskNotAllowed, "task" => name, "why" => why),
         }
     }
     let address = settings.address.parse().ok()?;
--- a/src/scalewood/ops/control/scaling.rs
+++ b/src/scalewood/ops/control/scaling.rs
@@ -49,7 +49,7 @@
                 if !offer.is_usable() {
                     if unusable.insert(service.clone()) {
                         let why = "the offer's minimum exceeds its maximum, or it names no zone";
-                        event!(self.log, TaskOff, "task" => "scaling", "service" => %service, "why" => why);
+                        event!(self.log, TaskNotAllowed, "task" => "scaling", "service" => %service, "why" => why);
                     }
                     continue;
                 }
--- a/src/scalewood/ops/control/share.rs
+++ b/src/scalewood/ops/control/share.rs
@@ -105,9 +105,9 @@
     async fn report_forever(&self) {
         loop {
             if let Ok(client) = rpc::connect(self.address).await {
-                event!(self.log, LoadsPassedOn, "voter" => %self.name);
+                event!(self.log, LoadsReported, "voter" => %self.name);
                 self.report(&client).await;
-                event!(self.log, LoadsHeldBack, "voter" => %self.name);
+                event!(self.log, LoadsNotReported, "voter" => %self.name);
                 lock(self.soft_state.hub()).forget_sent(&self.name);
             }
             tokio::time::sleep(RECONNECT_DELAY).await;
--- a/src/scalewood/ops/entry/answer_head.rs
+++ b/src/scalewood/ops/entry/answer_head.rs
@@ -110,12 +110,12 @@
     match ops::backoff::parse(headers, unix_ms) {
         backoff::Parsed::Absent => {}
         backoff::Parsed::Invalid => {
-            event!(board.log, RestUnreadable, "endpoint" => %target.endpoint,
+            event!(board.log, BackoffUnreadable, "endpoint" => %target.endpoint,
                 "asked" => ops::backoff::text(headers));
         }
         backoff::Parsed::For(length) => {
-            board.metrics.rests_asked.inc();
-            event!(board.log, EndpointRests, "endpoint" => %target.endpoint,
+            board.metrics.backoffs_requested.inc();
+            event!(board.log, BackoffRequested, "endpoint" => %target.endpoint,
                 "incarnation" => target.start.map(|start| start.0),
                 "asked" => ops::backoff::text(headers), "rest_ms" => length.as_millis());
             let now = now(board);
--- a/src/scalewood/ops/entry/caller.rs
+++ b/src/scalewood/ops/entry/caller.rs
@@ -127,7 +127,7 @@
         }
         match accepted {
             Some(Err(error)) => event!(board.log, CallersRefused, "why" => %error),
-            _ => event!(board.log, CallersTaken),
+            _ => event!(board.log, CallersAccepted),
         }
     }
 
--- a/src/scalewood/ops/entry/routed/attempt.rs
+++ b/src/scalewood/ops/entry/routed/attempt.rs
@@ -389,7 +389,7 @@
                 Err(Failure::REFUSED.into())
             }
             Disposition::Misdirected => {
-                event!(self.context.board.log, EndpointMistaken, "endpoint" => %endpoint,
+                event!(self.context.board.log, EndpointAddressReassigned, "endpoint" => %endpoint,
                     "id" => id);
                 // Ends only the start to which the connection was made: a later one may have
                 // announced itself since.
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -78,7 +78,7 @@
         let endpoint = &change.endpoint;
         let start = change.start.map(|start| start.0);
         match change.limit {
-            Some(limit) => event!(board.log, LimitNamed, "endpoint" => %endpoint,
+            Some(limit) => event!(board.log, LimitAnnounced, "endpoint" => %endpoint,
                 "incarnation" => start, "limit" => %limit, "by" => %by),
             None => event!(board.log, LimitEnded, "endpoint" => %endpoint,
                 "incarnation" => start, "by" => %by),
--- a/src/scalewood/ops/entry/turn.rs
+++ b/src/scalewood/ops/entry/turn.rs
@@ -202,7 +202,7 @@
                     "endpoint" => %endpoint, "why" => bar.as_str());
             }
             Bar::Residency => {
-                event!(board.log, ResidencyRenewed, "attempt" => %self.attempt,
+                event!(board.log, GrantOutsideRegion, "attempt" => %self.attempt,
                     "endpoint" => %endpoint);
             }
         }
@@ -401,7 +401,7 @@
         return Some(Bar::Cordon);
     }
     if board.remaining_backoff(endpoint).is_some() {
-        board.metrics.rest_kept_back.inc();
+        board.metrics.backoff_kept_back.inc();
         return Some(Bar::Backoff);
     }
     if board.is_leaving(endpoint) {
--- a/src/scalewood/util/metric.rs
+++ b/src/scalewood/util/metric.rs
@@ -153,9 +153,9 @@
     /// Grants that were not used because their endpoint's zone had been cordoned meanwhile.
     pub cordon_declined: Counter,
     /// Responses in which an endpoint asked this box for a backoff.
-    pub rests_asked: Counter,
+    pub backoffs_requested: Counter,
     /// Requests that were not sent because their endpoint had asked for a backoff.
-    pub rest_kept_back: Counter,
+    pub backoff_kept_back: Counter,
     /// Endpoints that are known to limit their requests per second.
     pub limited_endpoints: Gauge,
     /// Requests that were sent to endpoints with a known rate limit.
@@ -196,8 +196,8 @@
             config_behind: Gauge::default(),
             cordoned: Gauge::default(),
             cordon_declined: Counter::default(),
-            rests_asked: Counter::default(),
-            rest_kept_back: Counter::default(),
+            backoffs_requested: Counter::default(),
+            backoff_kept_back: Counter::default(),
             limited_endpoints: Gauge::default(),
             limited_sends: Counter::default(),
             limit_kept_back: Counter::default(),
@@ -282,7 +282,7 @@
         );
         r.register(
             "config_behind_seconds",
-            "For how long a voter has told of a newer revision",
+            "For how many seconds voters have reported a newer revision",
             self.config_behind.clone(),
         );
         r.register(
@@ -297,13 +297,13 @@
         );
         r.register(
             "rests_asked",
-            "Answers in which an endpoint asked this box for rest",
-            self.rests_asked.clone(),
+            "Answers in which an endpoint asked this box for a backoff",
+            self.backoffs_requested.clone(),
         );
         r.register(
             "rest_sends_kept_back",
-            "Sends kept back since their endpoint rests",
-            self.rest_kept_back.clone(),
+            "Requests not sent because their endpoint had asked for a backoff",
+            self.backoff_kept_back.clone(),
         );
         r.register(
             "limited_endpoints",
@@ -327,7 +327,7 @@
         );
         r.register(
             "held_back_requests",
-            "Requests held back since endpoints end under them",
+            "Requests held back because endpoints ended while they processed them",
             self.held_back.clone(),
         );
         r.register("ready", "Whether new work is taken", self.ready.clone());
@@ -352,12 +352,12 @@
         );
         r.register(
             "endpoints_warming",
-            "Endpoints believed to warm up",
+            "Endpoints assumed to be warming up",
             self.endpoints_warming.clone(),
         );
         r.register(
             "warming_word_age_seconds",
-            "Age of the word that a warm-up is believed by",
+            "Age of the report because of which an endpoint is assumed to be warming up",
             self.warming_report_age.clone(),
         );
     }
