--- a/benches/capacity/streams.rs
+++ b/benches/capacity/streams.rs
@@ -55,7 +55,7 @@
                         let body = client::chat(deploy::MODEL, &prompt, true);
                         let answer =
                             client::stream(&mut connection, deploy::TEAM, "counter", body).await;
-                        assert!(answer.is_ok_and(|a| a.whole), "an answer was cut");
+                        assert!(answer.is_ok_and(|a| a.is_complete), "an answer was cut");
                     }
                 })
             });
--- a/benches/entry/main.rs
+++ b/benches/entry/main.rs
@@ -83,7 +83,7 @@
 impl Times {
     fn add(&mut self, answer: std::io::Result<client::Streamed>) {
         match answer {
-            Ok(answer) if answer.whole => {
+            Ok(answer) if answer.is_complete => {
                 self.first.extend(answer.first);
                 self.between.extend(answer.between);
             }
@@ -188,7 +188,10 @@
             while Instant::now() < until {
                 let body = client::chat(deploy::MODEL, &format!("{caller} {length}"), true);
                 let answer = client::stream(&mut connection, deploy::TEAM, "counter", body).await;
-                assert!(answer.is_ok_and(|answer| answer.whole), "an answer was cut");
+                assert!(
+                    answer.is_ok_and(|answer| answer.is_complete),
+                    "an answer was cut"
+                );
                 done.fetch_add(1, Ordering::Relaxed);
             }
         })
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -48,7 +48,7 @@
         println!("{}", answer.text);
         println!(
             "  whole: {}, first token after {:?}",
-            answer.whole, answer.first
+            answer.is_complete, answer.first
         );
     }
 }
--- a/tests/testsuite/chaos.rs
+++ b/tests/testsuite/chaos.rs
@@ -63,7 +63,7 @@
         return Outcome::Verdict(answer.verdict.expect("a refusal has a verdict"));
     }
     let whole = expected(prompt);
-    if answer.whole {
+    if answer.is_complete {
         assert_eq!(answer.text, whole, "{prompt}: wrong answer");
         return Outcome::Whole;
     }
--- a/tests/testsuite/control.rs
+++ b/tests/testsuite/control.rs
@@ -314,7 +314,7 @@
     let plan = Plan {
         boxes: vec![1, 1],
         // Boxes also follow the voters that the list of members names.
-        listed: Some(6000),
+        listed_port: Some(6000),
         ..Plan::default()
     };
     let mut deployment = Deployment::start(plan, dir.path()).await;
@@ -331,7 +331,7 @@
     deployment.entries[1].process = Some(process);
     deployment.wait_ready().await;
     // The other box would forward the configuration, so it is stopped meanwhile.
-    link.set_whole(false);
+    link.set_connected(false);
     deployment.entries[0]
         .process
         .as_ref()
@@ -351,7 +351,7 @@
         .unwrap();
     assert_eq!(answer.text, crate::path::expected(prompt));
     assert_eq!(deployment.metric(1, "scalewood_config_revision").await, 1.0);
-    link.set_whole(true);
+    link.set_connected(true);
     deployment.entries[0]
         .process
         .as_ref()
--- a/tests/testsuite/cordon.rs
+++ b/tests/testsuite/cordon.rs
@@ -519,12 +519,12 @@
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoints) = start(3, dir.path()).await;
     assert!(is_reached(&system, &endpoints[0], Duration::from_secs(10)).await);
-    system.ordered("POST", "z0").await;
+    system.order_any_voter("POST", "z0").await;
     tokio::time::sleep(IN_FORCE_WITHIN).await;
     assert_no_requests(&system, &endpoints[0]).await;
     // With the other zone cordoned too, no endpoint is left: a request is refused at once as not
     // run.
-    system.ordered("POST", "z1").await;
+    system.order_any_voter("POST", "z1").await;
     tokio::time::sleep(IN_FORCE_WITHIN).await;
     let before = (endpoints[0].seen().len(), endpoints[1].seen().len());
     let asked = Instant::now();
@@ -535,7 +535,7 @@
     assert_eq!(answer.json()["error"]["code"], "cordoned");
     let after = (endpoints[0].seen().len(), endpoints[1].seen().len());
     assert_eq!(before, after);
-    system.ordered("DELETE", "z0").await;
+    system.order_any_voter("DELETE", "z0").await;
     deploy::wait("the zone is used again", || async {
         let answer = system.call("GET", "/safe/back", "back").await;
         answer.is_ok_and(|answer| answer.status == 200)
@@ -589,7 +589,7 @@
         };
         tokio::join!(system.order(other, method, "z0"), kill);
         let asked = Instant::now();
-        system.ordered(method, "z0").await;
+        system.order_any_voter(method, "z0").await;
         println!("acknowledged {:?} after the kill", asked.elapsed());
         let expected: &[&str] = if method == "POST" { &["z0"] } else { &[] };
         assert_eq!(cordons(&system).await, expected);
@@ -606,7 +606,7 @@
 async fn an_order_outlives_the_loss_of_all_power_right_after_its_acknowledgement() {
     let dir = tempfile::tempdir().unwrap();
     let (mut system, endpoints) = start(3, dir.path()).await;
-    system.ordered("POST", "z0").await;
+    system.order_any_voter("POST", "z0").await;
     (0..3).for_each(|i| system.voters[i].take().unwrap().kill());
     system.entry.take().unwrap().kill();
     (0..3).for_each(|i| system.start_voter(i, false));
@@ -654,7 +654,7 @@
         assert!(asked.elapsed() < Duration::from_secs(1));
     }
     signal("CONT");
-    system.ordered("POST", "z0").await;
+    system.order_any_voter("POST", "z0").await;
     assert_eq!(cordons(&system).await, ["z0"]);
 }
 
@@ -664,7 +664,7 @@
     let (system, endpoints) = start(3, dir.path()).await;
     let entry = system.entry.as_ref().unwrap();
     entry.signal("STOP");
-    system.ordered("POST", "z0").await;
+    system.order_any_voter("POST", "z0").await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     entry.signal("CONT");
     tokio::time::sleep(IN_FORCE_WITHIN).await;
@@ -678,7 +678,10 @@
     let dir = tempfile::tempdir().unwrap();
     let (system, _endpoints) = start(3, dir.path()).await;
     for _ in 0..10 {
-        tokio::join!(system.ordered("POST", "z0"), system.ordered("DELETE", "z0"));
+        tokio::join!(
+            system.order_any_voter("POST", "z0"),
+            system.order_any_voter("DELETE", "z0")
+        );
         let held = cordons(&system).await;
         let history = system.operator().history().await.unwrap().records;
         let orders = history.iter().flat_map(|record| &record.differences);
@@ -701,7 +704,7 @@
     let orders = async {
         for method in ["POST", "DELETE", "POST"] {
             let asked = Instant::now();
-            system.ordered(method, "z0").await;
+            system.order_any_voter(method, "z0").await;
             let took = asked.elapsed();
             assert!(took < ACKNOWLEDGED_WITHIN, "{method} took {took:?}");
             tokio::time::sleep(Duration::from_millis(100)).await;
--- a/tests/testsuite/crash.rs
+++ b/tests/testsuite/crash.rs
@@ -11,7 +11,7 @@
 
 use crate::support::{
     client,
-    crashing::{self, Seen},
+    crashing::{self, Arrivals},
     deploy,
     routed::{routing, text, System, HOST, KEY},
 };
@@ -28,7 +28,7 @@
     system: System,
     boxes: Vec<Option<deploy::Process>>,
     endpoints: Vec<tokio::task::JoinHandle<()>>,
-    seen: Seen,
+    arrivals: Arrivals,
 }
 
 impl Drop for Site {
@@ -41,15 +41,15 @@
     async fn start(voters: usize, endpoints: u16, away: Duration, dir: &std::path::Path) -> Self {
         let mut system = System::start(voters, dir);
         assert_eq!(system.publish(&text(&routing(7))).await, 200);
-        let seen = Seen::default();
+        let arrivals = Arrivals::default();
         let plan = crashing::Plan {
             host: system.host,
             port: 9000,
             voters: (0..voters).map(|i| system.publish_address(i)).collect(),
             away,
-            seen: seen.clone(),
+            arrivals: arrivals.clone(),
         };
-        let keep = |number| tokio::spawn(crashing::keep(plan.clone(), number));
+        let keep = |number| tokio::spawn(crashing::run_and_restart(plan.clone(), number));
         let endpoints = (0..endpoints).map(keep).collect();
         let mut boxes = vec![system.entry.take()];
         boxes.extend((1..BOXES).map(|i| Some(system.start_entry_at(i))));
@@ -57,7 +57,7 @@
             system,
             boxes,
             endpoints,
-            seen,
+            arrivals,
         };
         for i in 0..BOXES {
             site.wait_serving(i).await;
@@ -211,9 +211,9 @@
         assert_ne!(task.await.unwrap(), Some(200));
     }
     let (served, count) = harmless.await.unwrap();
-    let arrivals = site.seen.arrivals("crash always").len();
-    let late = site.seen.late_arrivals("crash always", REPORT_DELAY);
-    let ended = site.seen.ended("crash always");
+    let arrivals = site.arrivals.of_request("crash always").len();
+    let late = site.arrivals.late_arrivals("crash always", REPORT_DELAY);
+    let ended = site.arrivals.ended("crash always");
     let summary = format!(
         "{arrivals} arrivals, {late} of them late, {ended} endpoints ended, \
          {served} of {count} harmless requests served"
@@ -252,7 +252,7 @@
         assert_ne!(task.await.unwrap(), Some(200));
     }
     let (served, count) = harmless.await.unwrap();
-    let ended = site.seen.ended("crash always");
+    let ended = site.arrivals.ended("crash always");
     let summary = format!("{ended} endpoints ended, {served} of {count} harmless requests served");
     println!("{summary}");
     assert_eq!(ended, 3, "{summary}");
@@ -381,8 +381,8 @@
     site.boxes[1].take().unwrap().kill();
     site.boxes[1] = Some(site.system.start_entry_at(1));
     resending.await.unwrap();
-    let late = site.seen.late_arrivals("crash always", REPORT_DELAY);
-    let ended = site.seen.ended("crash always");
+    let late = site.arrivals.late_arrivals("crash always", REPORT_DELAY);
+    let ended = site.arrivals.ended("crash always");
     println!("{ended} endpoints ended, {late} late arrivals");
     assert!(ended >= 3, "{ended}");
     assert!(
@@ -399,7 +399,7 @@
     let mut site = Site::start(3, 9, Duration::from_secs(1), dir.path()).await;
     let resending = site.resend_for(Duration::from_secs(14));
     tokio::time::sleep(Duration::from_secs(6)).await;
-    let before = site.seen.ended("crash always");
+    let before = site.arrivals.ended("crash always");
     for i in 0..3 {
         site.boxes[i].take().unwrap().kill();
         site.system.voters[i].take().unwrap().kill();
@@ -409,8 +409,8 @@
         site.boxes[i] = Some(site.system.start_entry_at(i));
     }
     resending.await.unwrap();
-    let late = site.seen.late_arrivals("crash always", REPORT_DELAY);
-    let ended = site.seen.ended("crash always");
+    let late = site.arrivals.late_arrivals("crash always", REPORT_DELAY);
+    let ended = site.arrivals.ended("crash always");
     println!("{before} endpoints ended before, {ended} in all, {late} late arrivals");
     assert!(before >= 3, "{before}");
     assert!(
@@ -439,13 +439,13 @@
         tokio::time::sleep(INTO_STOP).await;
         assert_ne!(site.send(0, "/sresume/crash", &body).await, Some(200));
         assert!(stopped.await.unwrap(), "the box did not stop cleanly");
-        rounds_with_ends += usize::from(site.seen.ended(&body) > 0);
+        rounds_with_ends += usize::from(site.arrivals.ended(&body) > 0);
         site.boxes[0] = Some(site.system.start_entry_at(0));
         site.wait_serving(0).await;
         // The next box is told of each end, and holds the request back after the third one.
         tokio::time::sleep(REPORTED_WITHIN).await;
         assert_ne!(site.send(1, "/sresume/crash", &body).await, Some(200));
-        assert_eq!(site.seen.ended(&body), 3, "round {round}");
+        assert_eq!(site.arrivals.ended(&body), 3, "round {round}");
     }
     assert!(
         rounds_with_ends > 0,
--- a/tests/testsuite/failure.rs
+++ b/tests/testsuite/failure.rs
@@ -61,7 +61,7 @@
 async fn assert_all_whole(tasks: Vec<tokio::task::JoinHandle<(String, Streamed)>>) {
     for task in tasks {
         let (prompt, answer) = task.await.unwrap();
-        assert!(answer.whole, "{prompt}: {:?}", answer.error);
+        assert!(answer.is_complete, "{prompt}: {:?}", answer.error);
         assert_eq!(answer.text, expected(&prompt), "{prompt}");
         let ids = answer.ids.iter().collect::<std::collections::BTreeSet<_>>();
         assert_eq!(ids.len(), 1, "the events of one stream have different ids");
@@ -176,7 +176,7 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     let answer = bulk.await.unwrap();
-    assert!(answer.whole, "{:?}", answer.error);
+    assert!(answer.is_complete, "{:?}", answer.error);
     assert_eq!(answer.text, expected("a summary len=2500"));
     let runs = deployment.runs(0);
     let resumed = runs
@@ -206,11 +206,11 @@
         // New requests are served, whichever box is the dispatcher now.
         let prompt = format!("new after {killed}");
         let answer = stream(other, "counter", prompt.clone()).await;
-        assert!(answer.whole, "{:?}", answer.error);
+        assert!(answer.is_complete, "{:?}", answer.error);
         assert_eq!(answer.text, expected(&prompt));
         for (prompt, task) in long {
             let answer = task.await.unwrap();
-            assert!(answer.whole, "{prompt}: {:?}", answer.error);
+            assert!(answer.is_complete, "{prompt}: {:?}", answer.error);
             assert_eq!(answer.text, expected(&prompt));
         }
         deployment.start_entry(killed);
@@ -233,7 +233,7 @@
             prompt.clone(),
         )
         .await;
-        assert!(answer.whole, "{:?}", answer.error);
+        assert!(answer.is_complete, "{:?}", answer.error);
         tokio::time::sleep(Duration::from_secs(2)).await;
         deployment.entries[frozen]
             .process
@@ -280,7 +280,7 @@
     );
     let answer = running.await.unwrap();
     assert!(
-        answer.whole,
+        answer.is_complete,
         "a stream that ran there was cut: {:?}",
         answer.error
     );
@@ -461,7 +461,7 @@
     loop {
         let prompt = "from zone 0 to zone 1";
         let answer = stream(callers, "counter", prompt.into()).await;
-        if answer.whole {
+        if answer.is_complete {
             assert_eq!(answer.text, expected(prompt));
             break;
         }
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -21,7 +21,7 @@
 
 use crate::support::{
     client, deploy,
-    voter::{Gives, Voter},
+    voter::{Behaviour, Voter},
 };
 
 /// The time within which a box has a configuration that any voter hands out: well below the two
@@ -122,7 +122,7 @@
         panic!("three voters")
     };
     for silent in [first, second] {
-        silent.set(Gives::Nothing);
+        silent.set(Behaviour::Silent);
         silent.publish(2, &document(2));
     }
     deploy::wait("a silent voter is asked", || async {
@@ -138,7 +138,7 @@
 async fn a_fetch_that_fails_is_logged_and_another_voter_is_asked_at_once() {
     let dir = tempfile::tempdir().unwrap();
     let fixture = Fixture::start(2, dir.path()).await;
-    fixture.voters[0].set(Gives::Errors);
+    fixture.voters[0].set(Behaviour::Fails);
     for voter in &fixture.voters {
         voter.publish(2, &document(2));
     }
@@ -156,7 +156,7 @@
     let fixture = Fixture::start(1, dir.path()).await;
     let behind = "scalewood_config_behind_seconds";
     assert_eq!(fixture.metric(behind).await, Some(0.0));
-    fixture.voters[0].set(Gives::Nothing);
+    fixture.voters[0].set(Behaviour::Silent);
     fixture.voters[0].publish(2, &document(2));
     deploy::wait("the box knows that it is behind", || async {
         fixture
@@ -166,7 +166,7 @@
     })
     .await;
     assert!(fixture.logged("2006"), "a box that is behind logs it");
-    fixture.voters[0].set(Gives::Well);
+    fixture.voters[0].set(Behaviour::Answers);
     fixture.wait_in_force(2.0).await;
     assert_eq!(fixture.metric(behind).await, Some(0.0));
 }
--- a/tests/testsuite/journal.rs
+++ b/tests/testsuite/journal.rs
@@ -17,7 +17,7 @@
     },
 };
 
-use crate::random::{agree::Trail, random, runs};
+use crate::random::{agree::AppliedCommands, random, runs};
 
 /// The length of a record's header, which precedes its text.
 const HEADER_BYTES: usize = 12;
@@ -94,7 +94,7 @@
     }
 }
 
-fn same(left: &Persisted<Trail>, right: &Persisted<Trail>) -> bool {
+fn same(left: &Persisted<AppliedCommands>, right: &Persisted<AppliedCommands>) -> bool {
     left.entries == right.entries
         && (left.term, &left.voted) == (right.term, &right.voted)
         && left.snapshot.index == right.snapshot.index
@@ -127,7 +127,7 @@
 }
 
 /// Returns the writes of a step, as a voter would make them.
-fn writes(step: Step, kept: &Persisted<Trail>) -> Vec<Write<Trail>> {
+fn writes(step: Step, kept: &Persisted<AppliedCommands>) -> Vec<Write<AppliedCommands>> {
     let first = kept.snapshot.index.0 + 1;
     let last = kept.entries.last().map_or(first - 1, |entry| entry.index.0);
     match step {
@@ -143,7 +143,7 @@
         }
         Step::Vote => vec![Write::Vote(kept.term.next(), None)],
         Step::Compact if last >= first => {
-            let state = Trail {
+            let state = AppliedCommands {
                 applied: (1..=last).collect(),
             };
             let members = kept.snapshot.members.clone();
@@ -159,8 +159,8 @@
     }
 }
 
-fn reopen(media: &Memory) -> Writer<Memory, Trail> {
-    let opened = Journal::open::<Trail>(media.clone()).expect("the journal opens");
+fn reopen(media: &Memory) -> Writer<Memory, AppliedCommands> {
+    let opened = Journal::open::<AppliedCommands>(media.clone()).expect("the journal opens");
     Writer::new(opened.journal, opened.persisted)
 }
 
@@ -168,7 +168,7 @@
 fn what_was_acknowledged_outlives_losses_of_power() {
     runs(300, schedule, |_, steps| {
         let media = Memory::default();
-        let kept = Persisted::<Trail>::default();
+        let kept = Persisted::<AppliedCommands>::default();
         Journal::create(media.clone(), kept.clone()).unwrap();
         let mut keeper = reopen(&media);
         let mut acknowledged = kept;
@@ -212,7 +212,7 @@
 #[test]
 fn damage_before_the_end_is_an_error_wherever_it_is() {
     let media = Memory::default();
-    let kept = Persisted::<Trail>::default();
+    let kept = Persisted::<AppliedCommands>::default();
     Journal::create(media.clone(), kept.clone()).unwrap();
     let mut keeper = reopen(&media);
     for i in 0..5 {
@@ -223,7 +223,7 @@
     let whole = media.read("journal").unwrap().unwrap();
     let last = whole.len() - HEADER_BYTES - {
         // The text of the last record, which has the same length as the others.
-        serde_json::to_vec(&[Write::<Trail>::Append(vec![entry(5, 1)])])
+        serde_json::to_vec(&[Write::<AppliedCommands>::Append(vec![entry(5, 1)])])
             .unwrap()
             .len()
     };
@@ -231,8 +231,8 @@
         let mut damaged = whole.clone();
         damaged[at] ^= 0x20;
         media.clone().replace("journal", &damaged).unwrap();
-        let opened = Journal::open::<Trail>(media.clone());
-        let lost = |kept: &Persisted<Trail>| kept.entries.len() < 5;
+        let opened = Journal::open::<AppliedCommands>(media.clone());
+        let lost = |kept: &Persisted<AppliedCommands>| kept.entries.len() < 5;
         match opened {
             Err(Error::Damaged(_)) => {}
             Ok(opened) => assert!(
@@ -259,7 +259,7 @@
     ));
     assert_eq!(identity::read(&media, &own).unwrap(), node);
     assert!(matches!(
-        Journal::open::<Trail>(media.clone()),
+        Journal::open::<AppliedCommands>(media.clone()),
         Err(Error::Missing)
     ));
     let other = "c2".parse().unwrap();
--- a/tests/testsuite/leave.rs
+++ b/tests/testsuite/leave.rs
@@ -67,7 +67,7 @@
         // Long enough for another attempt to reach an endpoint, if one were made.
         tokio::time::sleep(Duration::from_millis(1500)).await;
         assert_eq!(seen(&endpoints, path), 1, "{path}");
-        endpoints.iter().for_each(Endpoint::calm);
+        endpoints.iter().for_each(Endpoint::answer_correctly);
     }
 }
 
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -200,8 +200,8 @@
     assert!(matches!(answer, Answer::NotApplied { .. }), "{answer:?}");
 }
 
-/// An endpoint that refuses an order may ask for a rest, in a header of its answer. A leader that
-/// reads only the status and ignores the headers would repeat the order ten times a second.
+/// An endpoint that refuses an order may ask for a backoff, in a header of its answer. A leader
+/// that reads only the status and ignores the headers would repeat the order ten times a second.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_asks_for_rest_gets_no_orders_meanwhile() {
     let dir = tempfile::tempdir().unwrap();
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -25,7 +25,7 @@
                 .await
                 .unwrap();
             assert_eq!(answer.status, 200);
-            assert!(answer.whole);
+            assert!(answer.is_complete);
             assert_eq!(answer.text, expected(&prompt));
         }
     }
--- a/tests/testsuite/precedence/real.rs
+++ b/tests/testsuite/precedence/real.rs
@@ -274,17 +274,19 @@
     }
     let mut account = std::mem::take(&mut *account.lock().unwrap());
     account.sent.sort_by_key(|sent| sent.at);
-    let had = readers.iter().flat_map(Reader::had);
-    account.begun = had.filter_map(|had| begun(&had, start)).collect();
+    let received = readers.iter().flat_map(Reader::received);
+    account.begun = received
+        .filter_map(|prompt| begun(&prompt, start))
+        .collect();
     account
 }
 
-fn begun(had: &crate::support::reader::Had, start: Instant) -> Option<Begun> {
-    let path = had.path.trim_matches('/');
+fn begun(prompt: &crate::support::reader::ReceivedPrompt, start: Instant) -> Option<Begun> {
+    let path = prompt.path.trim_matches('/');
     Some(Begun {
         class: CLASSES.iter().position(|class| class.name == path)?,
-        at: had.at.checked_duration_since(start)?,
-        tokens: had.tokens,
+        at: prompt.at.checked_duration_since(start)?,
+        tokens: prompt.tokens,
     })
 }
 
--- a/tests/testsuite/random/agree.rs
+++ b/tests/testsuite/random/agree.rs
@@ -21,11 +21,11 @@
 
 /// A state machine whose state is the list of the applied commands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Trail {
+pub(crate) struct AppliedCommands {
     pub(crate) applied: Vec<u64>,
 }
 
-impl State for Trail {
+impl State for AppliedCommands {
     type Command = u64;
     type Answer = usize;
 
@@ -88,12 +88,12 @@
 struct Member {
     node: Node,
     /// The contents of its disk.
-    kept: Persisted<Trail>,
+    kept: Persisted<AppliedCommands>,
     /// `None` while the node is down.
-    voter: Option<Voter<Trail>>,
+    voter: Option<Voter<AppliedCommands>>,
     frozen: bool,
     /// Messages that arrived while the node was frozen.
-    inbox: Vec<(Node, Message<Trail>)>,
+    inbox: Vec<(Node, Message<AppliedCommands>)>,
     /// The old identity that is to be removed, until the new one is settled as a voter.
     old_identity: Option<Node>,
 }
@@ -103,7 +103,7 @@
     now: Duration,
     random: rand::rngs::SmallRng,
     members: Vec<Member>,
-    in_flight: BTreeMap<(Duration, u64), (Node, Node, Message<Trail>)>,
+    in_flight: BTreeMap<(Duration, u64), (Node, Node, Message<AppliedCommands>)>,
     cut: BTreeSet<(usize, usize)>,
     serial: u64,
     /// Each entry that any node has reported as committed.
@@ -131,7 +131,7 @@
 
     /// Creates a cluster; with `repair`, its leader repairs the membership by itself.
     fn with_repair(seed: u64, nodes: usize, repair: Option<Repair>) -> Self {
-        let mut kept = Persisted::<Trail>::default();
+        let mut kept = Persisted::<AppliedCommands>::default();
         let text = serde_json::json!({
             "voters": (0..nodes).map(|i| (node(i, i as u64), address())).collect::<Vec<_>>(),
             "learners": [],
@@ -189,7 +189,7 @@
         ));
     }
 
-    fn carry_out(&mut self, i: usize, output: Output<Trail>) {
+    fn carry_out(&mut self, i: usize, output: Output<AppliedCommands>) {
         let member = &mut self.members[i];
         for write in output.writes {
             check_write(&member.kept, &write, &self.committed);
@@ -206,7 +206,7 @@
         }
     }
 
-    fn send(&mut self, from: Node, to: Node, message: Message<Trail>) {
+    fn send(&mut self, from: Node, to: Node, message: Message<AppliedCommands>) {
         let copies = match self.random.random_range(0..100) {
             0..5 => 0,
             5..8 => 2,
@@ -223,7 +223,7 @@
         }
     }
 
-    fn step(&mut self, i: usize, input: Input<Trail>) {
+    fn step(&mut self, i: usize, input: Input<AppliedCommands>) {
         let now = self.now;
         let Some(voter) = self.members[i].voter.as_mut() else {
             return;
@@ -476,8 +476,8 @@
 
 /// Checks that a write drops no committed entry.
 fn check_write(
-    kept: &Persisted<Trail>,
-    write: &Write<Trail>,
+    kept: &Persisted<AppliedCommands>,
+    write: &Write<AppliedCommands>,
     committed: &BTreeMap<Index, Entry<u64>>,
 ) {
     let Write::Truncate(from) = write else { return };
--- a/tests/testsuite/residency.rs
+++ b/tests/testsuite/residency.rs
@@ -431,7 +431,7 @@
         ..in_zone(&endpoints[0], "z0", 2)
     };
     system.announce(0, &narrow).await;
-    endpoints[0].calm();
+    endpoints[0].answer_correctly();
     endpoints[0].next(Act::Hang);
     let hangs = system.call("POST", "/unsafe/hold", "hold");
     let waits = async {
--- a/tests/testsuite/rest.rs
+++ b/tests/testsuite/rest.rs
@@ -1,4 +1,4 @@
-//! Endpoints that refuse requests and ask for a rest (`Retry-After`), with real processes.
+//! Endpoints that refuse requests and ask for a backoff (`Retry-After`), with real processes.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
 const BOXES: usize = 3;
 /// The interval of the endpoints' heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(700);
-/// The maximum number of requests from one box that may reach an endpoint during its rest.
+/// The maximum number of requests from one box that may reach an endpoint during its backoff.
 const MAX_DURING_REST: usize = 2;
 
 /// A running system with its boxes and endpoints.
@@ -133,28 +133,32 @@
     outcomes.iter().filter(|o| o.is_served()).count()
 }
 
-/// Guards against boxes that ignore the rests that endpoints ask for. Three of nine endpoints of a
-/// service refuse all requests for eight seconds, and ask for a rest of three seconds with each
-/// answer. If boxes ignore that, these endpoints receive as many requests as before, up to seven
-/// from one box during one rest, and over a tenth of the requests of one kind are refused although
-/// the six other endpoints have capacity for all.
+/// Guards against boxes that ignore the backoffs that endpoints ask for. Three of nine endpoints of
+/// a service refuse all requests for eight seconds, and ask for a backoff of three seconds with
+/// each answer. If boxes ignore that, these endpoints receive as many requests as before, up to
+/// seven from one box during one backoff, and over a tenth of the requests of one kind are refused
+/// although the six other endpoints have capacity for all.
 ///
 /// It comes about if a refusal changes nothing in a box's view of an endpoint: one that refuses
 /// everything runs nothing, so it looks as good as any other, even to the next attempt of the
 /// request that it has just refused. The log (event 3216, and `rest_ms` of 3312) shows first,
-/// second and third attempts within a rest at each box, so retries alone are not the cause.
+/// second and third attempts within a backoff at each box, so retries alone are not the cause.
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoints_that_ask_for_rest_get_it_and_the_others_serve_all() {
     const LENGTH: Duration = Duration::from_secs(12);
     let dir = tempfile::tempdir().unwrap();
     let site = Site::start(9, dir.path()).await;
-    // Each box prefers other endpoints; the thirds rest in turn so that each box is affected.
+    // Each box prefers other endpoints; the thirds ask for one in turn so that each box is affected.
     let turns = async {
         for third in site.endpoints.chunks(3) {
             let act = Some(Act::Rest(Duration::from_secs(3)));
-            third.iter().for_each(|endpoint| endpoint.always(act));
+            third
+                .iter()
+                .for_each(|endpoint| endpoint.set_default_act(act));
             tokio::time::sleep(LENGTH / 3).await;
-            third.iter().for_each(|endpoint| endpoint.always(None));
+            third
+                .iter()
+                .for_each(|endpoint| endpoint.set_default_act(None));
         }
     };
     let sending = send_all(&site, 65, LENGTH);
@@ -165,8 +169,8 @@
     println!("{told}");
     assert!(rests >= BOXES, "no endpoint rested: {told}");
     assert!(most <= MAX_DURING_REST, "{told}");
-    // Each box learns of the rests by one attempt at each of three endpoints, and each request has
-    // three attempts.
+    // Each box learns of the backoffs by one attempt at each of three endpoints, and each request
+    // has three attempts.
     assert!(served * 100 >= sent * 99, "{told}");
 }
 
@@ -184,7 +188,7 @@
     let site = Site::start(6, dir.path()).await;
     let leaving = &site.endpoints[..2];
     for endpoint in leaving {
-        endpoint.always(Some(Act::Leave));
+        endpoint.set_default_act(Some(Act::Leave));
     }
     let sending = send_all(&site, 65, LENGTH);
     let (outcomes, ()) = tokio::join!(sending, site.beat(LENGTH));
@@ -224,9 +228,9 @@
     assert_eq!(served, sent, "{told}");
 }
 
-/// If all endpoints rest from a box, a request waits if its deadline is after the end of a rest.
-/// Otherwise it is refused at once, as not run and with the time until then. No endpoint is sent a
-/// request meanwhile.
+/// If all endpoints have asked a box for a backoff, a request waits if its deadline is after the
+/// end of one. Otherwise it is refused at once, as not run and with the time until then. No
+/// endpoint is sent a request meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_endpoints_rest_requests_wait_or_are_refused_with_the_time() {
     const REST: Duration = Duration::from_secs(2);
@@ -236,7 +240,7 @@
         endpoint.next(Act::Rest(REST));
     }
     let began = Instant::now();
-    // Three attempts, one at each endpoint; after that the box knows of all rests.
+    // Three attempts, one at each endpoint; after that the box knows of all backoffs.
     let first = site.send(0, "/safe/", 4000).await;
     let seen = || -> usize { site.endpoints.iter().map(|e| e.seen().len()).sum() };
     let before = seen();
@@ -260,7 +264,7 @@
     );
 }
 
-/// A rest that can't be parsed excludes no endpoint permanently and stops no box.
+/// A backoff that can't be parsed excludes no endpoint permanently and stops no box.
 #[tokio::test(flavor = "multi_thread")]
 async fn rests_that_cannot_be_read_bar_nobody() {
     let dir = tempfile::tempdir().unwrap();
@@ -280,7 +284,7 @@
         for _ in 0..2 {
             site.send(0, "/safe/", 2000).await;
         }
-        site.endpoints.iter().for_each(Endpoint::calm);
+        site.endpoints.iter().for_each(Endpoint::answer_correctly);
         let outcome = site.send(0, "/safe/", 2000).await;
         assert!(outcome.is_served(), "after {said:?}: {outcome:?}");
     }
@@ -303,12 +307,12 @@
     for unreadable in ["-1", "", "+3", "inf", "NaN", "1e3", "3s", ".", "3,soon"] {
         assert_eq!(read(&[unreadable], None), Invalid, "{unreadable}");
     }
-    // If the header is repeated, or its values are joined by a proxy, the longest rest counts.
+    // If the header is repeated, or its values are joined by a proxy, the longest backoff counts.
     assert_eq!(read(&["2", "5"], None), millis(5000));
     assert_eq!(read(&["soon", "5"], None), millis(5000));
     assert_eq!(read(&["5", "soon"], None), millis(5000));
     assert_eq!(read(&["2, 5"], None), millis(5000));
-    // Very long rests are capped.
+    // Very long backoffs are capped.
     assert_eq!(read(&["31536000"], None), For(backoff::MAX_BACKOFF));
     assert_eq!(
         read(&["9".repeat(400).as_str()], None),
@@ -337,7 +341,7 @@
     book.record(&endpoint, &service, start(1), second(10), second(0));
     book.record(&endpoint, &service, start(1), second(1), second(1));
     assert!(book.remaining(&endpoint, start(1), second(9)) >= Some(second(1)));
-    // The rest is extended by a time that differs between boxes; otherwise boxes that were told
+    // The backoff is extended by a time that differs between boxes; otherwise boxes that were told
     // together would return together.
     assert!(book.remaining(&endpoint, start(1), second(11)).is_none());
     assert!(book.remaining(&endpoint, start(2), second(7)).is_none());
@@ -373,7 +377,7 @@
 }
 
 /// Streams, complete answers and plain calls of the native interface, through two boxes of which
-/// one dispatches for both, and health and load checks: all respect a rest that any of them was
+/// one dispatches for both, and health and load checks: all respect a backoff that any of them was
 /// told.
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoints_of_the_own_interface_get_the_rest_that_they_ask_for() {
@@ -434,7 +438,7 @@
     assert_eq!(served, ROUNDS);
 }
 
-/// Operators see which endpoints rest from which box, and why a request was refused.
+/// Operators see which endpoints asked which box for a backoff, and why a request was refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_see_who_rests_from_whom() {
     let dir = tempfile::tempdir().unwrap();
@@ -482,10 +486,11 @@
     assert!(other.is_served(), "{other:?}");
 }
 
-/// Guards against a rest that is attributed to an earlier start of the endpoint. A box that has
+/// Guards against a backoff that is attributed to an earlier start of the endpoint. A box that has
 /// just started knows an endpoint only by its previous start, which a voter remembers. The current
-/// start asks for a rest in an answer, and its first heartbeat arrives half a second later. If the
-/// rest counts for the previous start only, 17 requests reach the endpoint during its rest.
+/// start asks for a backoff in an answer, and its first heartbeat arrives half a second later. If
+/// the backoff counts for the previous start only, 17 requests reach the endpoint during its
+/// backoff.
 #[test]
 fn a_rest_holds_for_a_start_that_is_heard_of_after_the_answer() {
     let millis = Duration::from_millis;
@@ -495,7 +500,8 @@
     book.record(&endpoint, &service, start(5), millis(1109), millis(0));
     assert!(book.remaining(&endpoint, start(6), millis(500)).is_some());
     assert!(book.remaining(&endpoint, start(6), millis(2000)).is_none());
-    // A start that becomes known long afterwards began after the answer and has asked for no rest.
+    // A start that becomes known long afterwards began after the answer and has asked for no
+    // backoff.
     book.record(&endpoint, &service, start(6), millis(60_000), millis(3000));
     assert!(book.remaining(&endpoint, start(7), millis(7900)).is_some());
     assert!(book.remaining(&endpoint, start(7), millis(8100)).is_none());
--- a/tests/testsuite/rest_dispatch.rs
+++ b/tests/testsuite/rest_dispatch.rs
@@ -1,4 +1,4 @@
-//! How a dispatcher handles endpoints that rest from the boxes whose requests it dispatches.
+//! How a dispatcher handles endpoints that have asked for a backoff from the boxes that it serves.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
 
 const START: Duration = Duration::from_secs(1000);
 const SLOTS: u32 = 4;
-/// The length of a rest.
+/// The length of a backoff.
 const REST: Duration = Duration::from_secs(3);
 
 fn origin(number: u32) -> name::Box {
@@ -125,7 +125,7 @@
     let mut dispatcher = dispatcher(2);
     let rests = vec![reported_rest(0, REST)];
     for request in 0..u64::from(SLOTS) {
-        // A rest that is reported once applies to all requests of the box.
+        // A backoff that is reported once applies to all requests of the box.
         let rests = if request == 0 {
             rests.clone()
         } else {
@@ -139,7 +139,7 @@
     assert_eq!(grant(&mut dispatcher, 1, ask(10, Vec::new()), START), None);
     let at = grant(&mut dispatcher, 2, ask(11, Vec::new()), START);
     assert_eq!(at.as_deref(), Some("i-0"));
-    // That request completes; when the rest ends, the waiting one gets the slot.
+    // That request completes; when the backoff ends, the waiting one gets the slot.
     serve(&mut dispatcher, 2, 11, START);
     let after = START + REST + Duration::from_millis(20);
     let orders = dispatcher.step(Input::Tick, after);
@@ -157,7 +157,7 @@
     dispatcher.step(Input::Report(origin(1), Report::Announced), START);
     let again = ask(2, Vec::new());
     assert!(grant(&mut dispatcher, 1, again, START).is_some());
-    // A late report of a rest that the earlier start asked for.
+    // A late report of a backoff that the earlier start asked for.
     dispatcher.step(configuration(1, 2), START);
     let late = ask(3, vec![reported_rest(0, REST)]);
     assert!(grant(&mut dispatcher, 1, late, START).is_some());
@@ -176,7 +176,8 @@
         matches!(orders.as_slice(), [Order::Shed(_, _, retry)] if *retry == REST),
         "{orders:?}"
     );
-    // A request whose caller's patience ends before the rest is refused too, whatever its deadline.
+    // A request whose caller's patience ends before the backoff is refused too, whatever its
+    // deadline.
     let impatient = Ask {
         patience: Some(Duration::from_secs(1)),
         ..ask(2, Vec::new())
@@ -184,7 +185,7 @@
     let orders = step(&mut dispatcher, 1, impatient, START);
     assert!(matches!(orders.as_slice(), [Order::Shed(..)]), "{orders:?}");
     assert_eq!(grant(&mut dispatcher, 1, ask(3, Vec::new()), START), None);
-    // The endpoints rest again, for longer than the waiting request's deadline.
+    // The endpoints ask for a backoff again, for longer than the waiting request's deadline.
     let longer = START + Duration::from_secs(2);
     let more = vec![reported_rest(0, REST * 5), reported_rest(1, REST * 5)];
     let orders = step(&mut dispatcher, 1, ask(4, more), longer);
--- a/tests/testsuite/routed.rs
+++ b/tests/testsuite/routed.rs
@@ -197,7 +197,7 @@
         "{arrivals} for {REQUESTS}"
     );
     // Once the replaced endpoints are known, or the budget has recovered, all requests are served.
-    endpoints.iter().for_each(Endpoint::calm);
+    endpoints.iter().for_each(Endpoint::answer_correctly);
     system.wait_served().await;
     assert!(
         served < REQUESTS,
--- a/tests/testsuite/silence.rs
+++ b/tests/testsuite/silence.rs
@@ -38,7 +38,7 @@
 async fn one_request_finds_out_that_kept_connections_are_silent() {
     let dir = tempfile::tempdir().unwrap();
     let (system, endpoint, link) = start_behind_link(4, dir.path()).await;
-    link.hush();
+    link.silence();
     // The first request waits for a second before it is sent over a new connection. The requests
     // after it use new connections at once.
     let first = system.call("GET", "/safe/first", "first").await.unwrap();
--- a/tests/testsuite/soak.rs
+++ b/tests/testsuite/soak.rs
@@ -4,11 +4,11 @@
 //! Voters and entry boxes run as processes; endpoints and the links to them run in this process.
 //! Faults are injected concurrently: voters are killed, paused, wiped, and told to reload; entry
 //! boxes are killed, paused, stopped as planned, and told to reload; endpoints give faulty answers,
-//! leave, crash under a request that is resent, restart under their names, ask for rests, announce
-//! limits, announce in their answers that they leave, and are behind links that are cut, silent,
-//! one-way or slow. Meanwhile callers send requests over kept and new connections, and an operator
-//! publishes one routing after another. From what callers, the operator and endpoints see, the
-//! test checks:
+//! leave, crash under a request that is resent, restart under their names, ask for backoffs,
+//! announce limits, announce in their answers that they leave, and are behind links that are cut,
+//! silent, one-way or slow. Meanwhile callers send requests over kept and new connections, and an
+//! operator publishes one routing after another. From what callers, the operator and endpoints see,
+//! the test checks:
 //!
 //! - an answer is complete and correct, or visibly cut after a prefix of the correct one;
 //! - a request with the verdict `not-run` never runs;
@@ -20,8 +20,8 @@
 //! - an acknowledged order to cordon or uncordon is always read back, survives all faults of
 //!   voters, and a cordon keeps new requests off its zone's endpoints;
 //! - a request that crashes endpoints rarely reaches another one once three have ended;
-//! - an endpoint that asked a box for a rest, or told it that it leaves, gets no new requests from
-//!   that box, except a few during a rest;
+//! - an endpoint that asked a box for a backoff, or told it that it leaves, gets no new requests
+//!   from that box, except a few during a backoff;
 //! - an endpoint that announced a limit gets little more than that from all boxes together that
 //!   have received it;
 //! - an endpoint that has left gets no requests, and after all faults are repaired all requests are
@@ -522,8 +522,8 @@
     account: Arc<Account>,
     /// The tasks that end endpoints under crashing requests; they are aborted on drop.
     endings: tokio::task::JoinSet<()>,
-    /// The same endpoints, shared with the tasks that set the rests, limits and leaving that they
-    /// announce.
+    /// The same endpoints, shared with the tasks that set the backoffs, limits and leaving that
+    /// they announce.
     announcers: word::Announcers,
 }
 
@@ -542,12 +542,12 @@
     cut: &word::Spans,
 ) -> impl Future<Output = ()> {
     let cut = cut.clone();
-    let ending = endpoint.ending();
-    let seen = endpoint.all_seen();
+    let crashing_request_begun = endpoint.crashing_request_begun();
+    let seen = endpoint.shared_seen();
     let (link, start, account) = (link.clone(), start.clone(), account.clone());
     async move {
         loop {
-            ending.notified().await;
+            crashing_request_begun.notified().await;
             tokio::time::sleep(Duration::from_millis(50)).await;
             let body = seen.lock().unwrap().iter().rev().find_map(crashing_body);
             if let Some(body) = body {
@@ -578,7 +578,7 @@
         let ending = end_under_requests(&endpoint, &link, &start, &self.account, &cut);
         self.endings.spawn(ending);
         self.announcers.lock().unwrap().push(word::Announcer {
-            usual: endpoint.usual(),
+            default_act: endpoint.default_act(),
             limit: endpoint.limit(),
             start: start.clone(),
             leaving: word::Spans::default(),
@@ -680,8 +680,8 @@
             tokio::time::sleep(pause / 2).await;
         }
         for linked in &self.endpoints {
-            linked.link.set_whole(true);
-            linked.endpoint.calm();
+            linked.link.set_connected(true);
+            linked.endpoint.answer_correctly();
         }
         self.send_heartbeats().await;
     }
@@ -696,7 +696,7 @@
         });
         let from = Instant::now();
         tokio::time::sleep(pause).await;
-        link.set_whole(true);
+        link.set_connected(true);
         let cut = &self.endpoints[chosen].cut;
         cut.lock().unwrap().push((from, Instant::now()));
     }
@@ -709,7 +709,7 @@
         tokio::time::sleep(pause / 2).await;
         linked.raise_start();
         linked.sequence = 0;
-        linked.link.set_whole(true);
+        linked.link.set_connected(true);
         linked.cut.lock().unwrap().push((from, Instant::now()));
     }
 
@@ -976,7 +976,7 @@
     fleet.add().await;
     fleet.add().await;
     fleet.wait_served(system).await;
-    system.ordered("POST", CORDONED_ZONE).await;
+    system.order_any_voter("POST", CORDONED_ZONE).await;
     fleet.send_heartbeats().await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let of_zone = |fleet: &EndpointFleet| -> usize {
@@ -1001,7 +1001,7 @@
             after - before
         ));
     }
-    system.ordered("DELETE", CORDONED_ZONE).await;
+    system.order_any_voter("DELETE", CORDONED_ZONE).await;
 }
 
 /// Checks, after all faults are repaired, that all requests are served by endpoints that have not
--- a/tests/testsuite/soak/limit.rs
+++ b/tests/testsuite/soak/limit.rs
@@ -57,7 +57,7 @@
             windows += usize::from(!bound.is_empty());
             let a_second: f64 = limit.parse().unwrap();
             let most = (a_second * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize;
-            let got = routed::densest(&bound, WINDOW);
+            let got = routed::max_in_window(&bound, WINDOW);
             if got > most {
                 let broken = format!(
                     "{} got {got} requests in 4 s with a limit of {limit}, of {most} allowed",
--- a/tests/testsuite/soak/word.rs
+++ b/tests/testsuite/soak/word.rs
@@ -1,4 +1,4 @@
-//! Endpoints that ask for rests, or announce that they leave, in their answers.
+//! Endpoints that ask for backoffs, or announce that they leave, in their answers.
 
 use std::{
     sync::{
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Announcer {
     /// What it does with all requests.
-    pub(super) usual: Arc<Mutex<Option<Act>>>,
+    pub(super) default_act: Arc<Mutex<Option<Act>>>,
     /// The limit that it announces.
     pub(super) limit: Arc<Mutex<Option<&'static str>>>,
     /// The number of its current start.
@@ -34,10 +34,10 @@
 
 /// The time within which requests arrive that were in flight when an answer was sent.
 const IN_FLIGHT: Duration = Duration::from_millis(500);
-/// The most requests of a box that may reach an endpoint during a rest.
+/// The most requests of a box that may reach an endpoint during a backoff.
 const MAX_DURING_REST: usize = 2;
 
-/// Lets one endpoint after another ask for rests, or announce that it leaves, until the run is
+/// Lets one endpoint after another ask for backoffs, or announce that it leaves, until the run is
 /// over.
 pub(super) async fn disturb(announcers: Announcers, seed: u64, account: &Account) {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x00_7e57);
@@ -51,9 +51,9 @@
         let leaves = random.random_bool(0.3);
         let act = if leaves { Act::Leave } else { Act::Rest(rest) };
         let from = Instant::now();
-        *announcer.usual.lock().unwrap() = Some(act);
+        *announcer.default_act.lock().unwrap() = Some(act);
         tokio::time::sleep(length).await;
-        *announcer.usual.lock().unwrap() = None;
+        *announcer.default_act.lock().unwrap() = None;
         if leaves {
             announcer.start.fetch_add(1, Ordering::Relaxed);
             let span = (from, Instant::now());
@@ -63,8 +63,8 @@
     }
 }
 
-/// Checks that boxes sent no more requests than allowed to endpoints that asked for a rest or that
-/// leave, except boxes that were stopped, paused or cut off meanwhile.
+/// Checks that boxes sent no more requests than allowed to endpoints that asked for a backoff or
+/// that leave, except boxes that were stopped, paused or cut off meanwhile.
 pub(super) fn check(account: &Account, fleet: &EndpointFleet) {
     let announcers = fleet.announcers.lock().unwrap().clone();
     let mut asked = 0;
@@ -95,7 +95,7 @@
                 let name = &linked.endpoint.name;
                 let broken = format!("box {entry:?} sent {name} {got} requests within {what}");
                 if deploy::is_mixed() {
-                    // Boxes of another build may not support rests.
+                    // Boxes of another build may not support backoffs.
                     println!("in a mixture of builds: {broken}");
                 } else {
                     account.record_violation(broken);
--- a/tests/testsuite/stop.rs
+++ b/tests/testsuite/stop.rs
@@ -38,7 +38,7 @@
         let done = tokio::task::spawn_blocking(move || process.stop(Duration::from_secs(30)));
         for stream in streams {
             let (prompt, answer) = stream.await.unwrap();
-            assert!(answer.whole, "{prompt} was cut: {answer:?}");
+            assert!(answer.is_complete, "{prompt} was cut: {answer:?}");
             assert_eq!(answer.text, expected(&prompt));
         }
         assert!(done.await.unwrap(), "the box did not stop cleanly");
@@ -49,7 +49,7 @@
         let answer = client::stream(&mut connection, deploy::TEAM, "counter", body)
             .await
             .unwrap();
-        assert!(answer.whole, "{answer:?}");
+        assert!(answer.is_complete, "{answer:?}");
         deployment.start_entry(stopped);
         deployment.wait_ready().await;
     }
@@ -78,6 +78,6 @@
     let answer = client::stream(&mut connection, deploy::TEAM, "counter", body)
         .await
         .unwrap();
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.is_complete, "{answer:?}");
     assert!(process.stop(Duration::from_secs(20)));
 }
--- a/tests/testsuite/support/client.rs
+++ b/tests/testsuite/support/client.rs
@@ -50,7 +50,7 @@
     pub(crate) verdict: Option<String>,
     pub(crate) text: String,
     /// Whether the end mark arrived.
-    pub(crate) whole: bool,
+    pub(crate) is_complete: bool,
     /// The error event, if one arrived.
     pub(crate) error: Option<Value>,
     /// The time from sending the request to the first token.
@@ -186,7 +186,7 @@
     let mut last = sent;
     while let Some(Ok(event)) = events.next().await {
         if event.data == "[DONE]" {
-            streamed.whole = true;
+            streamed.is_complete = true;
             continue;
         }
         let value: Value = serde_json::from_str(&event.data).unwrap_or(Value::Null);
--- a/tests/testsuite/support/crashing.rs
+++ b/tests/testsuite/support/crashing.rs
@@ -50,28 +50,38 @@
 
 /// The arrivals at all endpoints.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seen(Arc<Mutex<Vec<Arrival>>>);
+pub(crate) struct Arrivals(Arc<Mutex<Vec<Arrival>>>);
 
-impl Seen {
+impl Arrivals {
     /// Returns the arrivals of a request, in order.
-    pub(crate) fn arrivals(&self, body: &str) -> Vec<Arrival> {
+    pub(crate) fn of_request(&self, body: &str) -> Vec<Arrival> {
         let all = self.0.lock().unwrap().clone();
-        all.into_iter().filter(|seen| seen.body == body).collect()
+        all.into_iter()
+            .filter(|arrival| arrival.body == body)
+            .collect()
     }
 
     /// Returns how many endpoints a request has ended.
     pub(crate) fn ended(&self, body: &str) -> usize {
-        let arrivals = self.arrivals(body);
-        arrivals.iter().filter(|seen| seen.ended.is_some()).count()
+        let arrivals = self.of_request(body);
+        arrivals
+            .iter()
+            .filter(|arrival| arrival.ended.is_some())
+            .count()
     }
 
     /// Returns how often a request arrived more than `slack` after it had ended a third endpoint.
     pub(crate) fn late_arrivals(&self, body: &str, slack: Duration) -> usize {
-        let arrivals = self.arrivals(body);
-        let mut ends: Vec<_> = arrivals.iter().filter_map(|seen| seen.ended).collect();
+        let arrivals = self.of_request(body);
+        let mut ends: Vec<_> = arrivals
+            .iter()
+            .filter_map(|arrival| arrival.ended)
+            .collect();
         ends.sort();
         let Some(third) = ends.get(2) else { return 0 };
-        let late = arrivals.iter().filter(|seen| seen.at > *third + slack);
+        let late = arrivals
+            .iter()
+            .filter(|arrival| arrival.at > *third + slack);
         late.count()
     }
 }
@@ -85,20 +95,20 @@
     pub(crate) voters: Vec<SocketAddr>,
     /// The time from an end to the restart.
     pub(crate) away: Duration,
-    pub(crate) seen: Seen,
+    pub(crate) arrivals: Arrivals,
 }
 
 static STARTS: AtomicU64 = AtomicU64::new(0);
 
 /// Runs an endpoint and restarts it after each end, until the task is aborted.
-pub(crate) async fn keep(plan: Plan, number: u16) {
+pub(crate) async fn run_and_restart(plan: Plan, number: u16) {
     let address = SocketAddr::new(plan.host, plan.port + number);
     loop {
         let start = STARTS.fetch_add(1, Ordering::Relaxed);
         let listener = TcpListener::bind(address).await.unwrap();
         let record = endpoint_record(&format!("crash-{number}-{start}"), address);
         tokio::select! {
-            () = serve(listener, plan.seen.clone()) => {}
+            () = serve(listener, plan.arrivals.clone()) => {}
             () = send_heartbeats(&plan, usize::from(number), record) => {}
         }
         tokio::time::sleep(plan.away).await;
@@ -141,7 +151,7 @@
 }
 
 /// Serves requests until one ends the endpoint, then breaks all connections.
-async fn serve(listener: TcpListener, seen: Seen) {
+async fn serve(listener: TcpListener, arrivals: Arrivals) {
     let end = Arc::new(Notify::new());
     let mut connections = JoinSet::new();
     loop {
@@ -149,10 +159,10 @@
             accepted = listener.accept() => accepted.unwrap().0,
             () = end.notified() => break,
         };
-        let (end, seen) = (end.clone(), seen.clone());
+        let (end, arrivals) = (end.clone(), arrivals.clone());
         let service = service_fn(move |request| {
-            let (end, seen) = (end.clone(), seen.clone());
-            async move { Ok::<_, Infallible>(answer(request, &end, &seen).await) }
+            let (end, arrivals) = (end.clone(), arrivals.clone());
+            async move { Ok::<_, Infallible>(answer(request, &end, &arrivals).await) }
         });
         let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         connections.spawn(async move { drop(served.await) });
@@ -163,13 +173,13 @@
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-async fn answer(request: Request<Incoming>, end: &Notify, seen: &Seen) -> Response<Body> {
+async fn answer(request: Request<Incoming>, end: &Notify, arrivals: &Arrivals) -> Response<Body> {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.unwrap().to_bytes();
     let body = String::from_utf8_lossy(&body).into_owned();
     if body.starts_with(CRASH) {
         let number = {
-            let mut all = seen.0.lock().unwrap();
+            let mut all = arrivals.0.lock().unwrap();
             all.push(Arrival {
                 at: Instant::now(),
                 body,
@@ -178,7 +188,7 @@
             all.len() - 1
         };
         tokio::time::sleep(CRASH_AFTER).await;
-        seen.0.lock().unwrap()[number].ended = Some(Instant::now());
+        arrivals.0.lock().unwrap()[number].ended = Some(Instant::now());
         end.notify_one();
         return std::future::pending().await;
     }
--- a/tests/testsuite/support/deploy.rs
+++ b/tests/testsuite/support/deploy.rs
@@ -208,7 +208,7 @@
     pub(crate) grace: &'static str,
     /// The port under which the first voter is listed as a member, if it is not its own but that of
     /// a link.
-    pub(crate) listed: Option<u16>,
+    pub(crate) listed_port: Option<u16>,
     /// The port of the provider to which usage is reported, in windows of one second.
     pub(crate) provider: Option<u16>,
 }
@@ -225,7 +225,7 @@
             token_us: 2000,
             retention: "2s",
             grace: "200ms",
-            listed: None,
+            listed_port: None,
             provider: None,
         }
     }
@@ -295,7 +295,7 @@
         }
         deployment.init_voters().await;
         let answer = deployment
-            .apply(deployment.first_edits(), "first configuration")
+            .apply(deployment.initial_edits(), "first configuration")
             .await;
         assert!(matches!(answer, Answer::Accepted { .. }), "{answer:?}");
         for i in 0..deployment.entries.len() {
@@ -421,7 +421,10 @@
     /// listed.
     fn init_first_voter(&self) {
         let listen = self.voters[0].listen;
-        let listed = self.plan.listed.map_or(listen, |port| self.address(port));
+        let listed = self
+            .plan
+            .listed_port
+            .map_or(listen, |port| self.address(port));
         let text = fs::read_to_string(self.voter_settings(0)).expect("the settings are there");
         let text = text.replace(&listen.to_string(), &listed.to_string());
         let settings = self.write("c0-init.json", &text);
@@ -532,7 +535,7 @@
 
     /// Returns the edits of the first configuration: a model service with classes of three tiers, a
     /// plain service with a repeatable and a non-repeatable class, and a team that may use all.
-    pub(crate) fn first_edits(&self) -> Vec<Edit> {
+    pub(crate) fn initial_edits(&self) -> Vec<Edit> {
         let mut edits = Vec::new();
         for entry in &self.entries {
             let item = config::Box {
@@ -768,11 +771,12 @@
     }
 }
 
-/// The time within which requests arrive that were in flight when an endpoint asked for a rest.
+/// The time within which requests arrive that were in flight when an endpoint asked for a backoff.
 const IN_FLIGHT_MS: u64 = 500;
 
-/// Returns how many rests a stand-in asked for, and the most requests that it received during one
-/// of them from the sender that it had asked. `sender` derives the sender from the path and body.
+/// Returns how many backoffs a stand-in asked for, and the most requests that it received during
+/// one of them from the sender that it had asked. `sender` derives the sender from the path and
+/// body.
 pub(crate) async fn rests(
     standin: &Standin,
     sender: impl Fn(&str, &str) -> String,
--- a/tests/testsuite/support/forwarder.rs
+++ b/tests/testsuite/support/forwarder.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct Forwarder {
     mode: Arc<watch::Sender<Mode>>,
-    hushed: Arc<watch::Sender<u64>>,
+    silenced: Arc<watch::Sender<u64>>,
     down: Arc<watch::Sender<bool>>,
 }
 
@@ -40,15 +40,15 @@
         let listener = TcpListener::bind(from).await.unwrap();
         let mode = Arc::new(watch::Sender::new(Mode::Whole));
         let state = mode.clone();
-        let hushed = Arc::new(watch::Sender::new(0));
-        let hush = hushed.clone();
+        let silenced = Arc::new(watch::Sender::new(0));
+        let silence = silenced.clone();
         let down = Arc::new(watch::Sender::new(false));
         let mut is_down = down.subscribe();
         tokio::spawn(async move {
             let mut listener = listener;
             loop {
                 tokio::select! {
-                    () = accept(&listener, to, &state, &hush) => return,
+                    () = accept(&listener, to, &state, &silence) => return,
                     () = until(&mut is_down, true) => {}
                 }
                 // With the listener closed, new connections are refused.
@@ -57,25 +57,29 @@
                 listener = bind_again(from).await;
             }
         });
-        Self { mode, hushed, down }
+        Self {
+            mode,
+            silenced,
+            down,
+        }
     }
 
     /// Simulates the end or the restart of the process behind the link. While it is down, all
     /// connections break and new ones are refused, as if nothing listened on the port.
     pub(crate) fn set_down(&self, down: bool) {
         self.down.send_replace(down);
-        self.set_whole(!down);
+        self.set_connected(!down);
     }
 
     /// Silences the current connections permanently: they stay open and no data is forwarded. New
     /// connections are not affected.
-    pub(crate) fn hush(&self) {
-        self.hushed.send_modify(|hushed| *hushed += 1);
+    pub(crate) fn silence(&self) {
+        self.silenced.send_modify(|silenced| *silenced += 1);
     }
 
     /// Cuts the link with all its connections, or repairs it.
-    pub(crate) fn set_whole(&self, whole: bool) {
-        self.set(if whole { Mode::Whole } else { Mode::Cut });
+    pub(crate) fn set_connected(&self, connected: bool) {
+        self.set(if connected { Mode::Whole } else { Mode::Cut });
     }
 
     /// Sets how the link treats its connections.
@@ -106,15 +110,15 @@
     listener: &TcpListener,
     to: SocketAddr,
     state: &watch::Sender<Mode>,
-    hush: &watch::Sender<u64>,
+    silence: &watch::Sender<u64>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         if *state.borrow() != Mode::Cut {
-            let hush = Hush {
-                hushed: hush.subscribe(),
-                opened: *hush.borrow(),
+            let silence = Silence {
+                silenced: silence.subscribe(),
+                opened: *silence.borrow(),
             };
-            tokio::spawn(forward(stream, to, state.subscribe(), hush));
+            tokio::spawn(forward(stream, to, state.subscribe(), silence));
         }
     }
 }
@@ -122,25 +126,30 @@
 /// The number of times that the link's connections were silenced: until now, and until a connection
 /// was opened.
 #[derive(Clone, Debug)]
-struct Hush {
-    hushed: watch::Receiver<u64>,
+struct Silence {
+    silenced: watch::Receiver<u64>,
     opened: u64,
 }
 
-impl Hush {
-    fn is_hushed(&self) -> bool {
-        *self.hushed.borrow() > self.opened
+impl Silence {
+    fn is_silenced(&self) -> bool {
+        *self.silenced.borrow() > self.opened
     }
 }
 
-async fn forward(stream: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>, hush: Hush) {
+async fn forward(
+    stream: TcpStream,
+    to: SocketAddr,
+    mut mode: watch::Receiver<Mode>,
+    silence: Silence,
+) {
     let Ok(target) = TcpStream::connect(to).await else {
         return;
     };
     let (near, near_back) = stream.into_split();
     let (far_back, far) = target.into_split();
-    let there = copy(near, far, mode.clone(), hush.clone(), false);
-    let back = copy(far_back, near_back, mode.clone(), hush, true);
+    let there = copy(near, far, mode.clone(), silence.clone(), false);
+    let back = copy(far_back, near_back, mode.clone(), silence, true);
     tokio::select! {
         _ = async { tokio::join!(there, back) } => {}
         _ = mode.wait_for(|mode| *mode == Mode::Cut) => {}
@@ -152,12 +161,12 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut mode: watch::Receiver<Mode>,
-    hush: Hush,
+    silence: Silence,
     back: bool,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        if hush.is_hushed() {
+        if silence.is_silenced() {
             std::future::pending::<()>().await;
         }
         let held = |mode: &Mode| *mode == Mode::Silent || (*mode == Mode::OneWay && back);
--- a/tests/testsuite/support/reader.rs
+++ b/tests/testsuite/support/reader.rs
@@ -30,7 +30,7 @@
 
 /// A prompt that an endpoint has received.
 #[derive(Clone, Debug)]
-pub(crate) struct Had {
+pub(crate) struct ReceivedPrompt {
     pub(crate) path: String,
     pub(crate) tokens: u64,
     /// When it arrived.
@@ -49,7 +49,7 @@
     /// The waiting prompts by rank, then by order of arrival.
     waiting: Mutex<BTreeMap<(u64, u64), Waiting>>,
     arrived: Notify,
-    had: Mutex<Vec<Had>>,
+    received: Mutex<Vec<ReceivedPrompt>>,
 }
 
 /// An endpoint with a limited prefill rate.
@@ -80,8 +80,8 @@
     }
 
     /// Returns all prompts that it has received.
-    pub(crate) fn had(&self) -> Vec<Had> {
-        self.queue.had.lock().unwrap().clone()
+    pub(crate) fn received(&self) -> Vec<ReceivedPrompt> {
+        self.queue.received.lock().unwrap().clone()
     }
 }
 
@@ -119,13 +119,13 @@
         let rank = header_number(&parts.headers, "scalewood-rank");
         let (read, is_read) = oneshot::channel();
         {
-            let mut had = self.had.lock().unwrap();
-            had.push(Had {
+            let mut received = self.received.lock().unwrap();
+            received.push(ReceivedPrompt {
                 path: parts.uri.path().to_owned(),
                 tokens,
                 at: Instant::now(),
             });
-            let place = (rank, had.len() as u64);
+            let place = (rank, received.len() as u64);
             let mut waiting = self.waiting.lock().unwrap();
             waiting.insert(place, Waiting { tokens, read });
         }
--- a/tests/testsuite/support/routed.rs
+++ b/tests/testsuite/support/routed.rs
@@ -58,9 +58,9 @@
     Mistaken,
     /// Runs the request and never answers.
     Hang,
-    /// Refuses the request and asks the box for a rest of this duration.
+    /// Refuses the request and asks the box for a backoff of this duration.
     Rest(Duration),
-    /// Refuses the request and asks the box for a rest with this text as its duration.
+    /// Refuses the request and asks the box for a backoff with this text as its duration.
     RestFor(&'static str),
     /// Runs the request and answers that the caller has exceeded its rate limit.
     Limit,
@@ -112,7 +112,7 @@
     pub(crate) address: SocketAddr,
     acts: Arc<Mutex<VecDeque<Act>>>,
     /// How it treats requests for which no act is queued.
-    usual: Arc<Mutex<Option<Act>>>,
+    default_act: Arc<Mutex<Option<Act>>>,
     seen: Arc<Mutex<Vec<Seen>>>,
     /// The time that it takes before each answer begins.
     work: Arc<Mutex<Duration>>,
@@ -122,7 +122,7 @@
     start: Arc<AtomicU64>,
     running: Arc<AtomicUsize>,
     /// Is notified when a crashing request has begun.
-    ending: Arc<Notify>,
+    crashing_request_begun: Arc<Notify>,
 }
 
 /// The beginning of the body of a crashing request. The endpoint only reports it; the test has to
@@ -157,36 +157,47 @@
             name: name.to_owned(),
             address,
             acts: Arc::default(),
-            usual: Arc::default(),
+            default_act: Arc::default(),
             seen: Arc::default(),
             work: Arc::default(),
             limit: Arc::default(),
             start: Arc::new(AtomicU64::new(1)),
             running: Arc::default(),
-            ending: Arc::default(),
+            crashing_request_begun: Arc::default(),
         };
         let (acts, seen) = (endpoint.acts.clone(), endpoint.seen.clone());
         let (work, limit) = (endpoint.work.clone(), endpoint.limit.clone());
         let start = endpoint.start.clone();
         let running = endpoint.running.clone();
-        let (ending, usual) = (endpoint.ending.clone(), endpoint.usual.clone());
+        let (crashing_request_begun, default_act) = (
+            endpoint.crashing_request_begun.clone(),
+            endpoint.default_act.clone(),
+        );
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (acts, seen, running) = (acts.clone(), seen.clone(), running.clone());
-                let (ending, usual) = (ending.clone(), usual.clone());
+                let (crashing_request_begun, default_act) =
+                    (crashing_request_begun.clone(), default_act.clone());
                 let (work, limit) = (work.clone(), limit.clone());
                 let start = start.clone();
                 let service = service_fn(move |request| {
-                    let (acts, seen, ending) = (acts.clone(), seen.clone(), ending.clone());
+                    let (acts, seen, crashing_request_begun) =
+                        (acts.clone(), seen.clone(), crashing_request_begun.clone());
                     let run = Run::begin(&running);
                     let next = acts.lock().unwrap().pop_front();
-                    let act = next.or(*usual.lock().unwrap());
+                    let act = next.or(*default_act.lock().unwrap());
                     let work = *work.lock().unwrap();
                     let limit = *limit.lock().unwrap();
                     let start = start.load(Ordering::Relaxed);
                     async move {
-                        let answer =
-                            answer(request, (act, limit, start), &seen, &ending, run).await;
+                        let answer = answer(
+                            request,
+                            (act, limit, start),
+                            &seen,
+                            &crashing_request_begun,
+                            run,
+                        )
+                        .await;
                         tokio::time::sleep(work).await;
                         Ok::<_, Infallible>(answer)
                     }
@@ -203,12 +214,12 @@
     }
 
     /// Sets how it treats all requests from now on; with `None` it answers correctly.
-    pub(crate) fn always(&self, act: Option<Act>) {
-        *self.usual.lock().unwrap() = act;
+    pub(crate) fn set_default_act(&self, act: Option<Act>) {
+        *self.default_act.lock().unwrap() = act;
     }
 
     /// Sets the time that it takes before each answer begins.
-    pub(crate) fn takes(&self, work: Duration) {
+    pub(crate) fn set_work_time(&self, work: Duration) {
         *self.work.lock().unwrap() = work;
     }
 
@@ -228,24 +239,24 @@
     }
 
     /// Returns a shared handle to how it treats all requests.
-    pub(crate) fn usual(&self) -> Arc<Mutex<Option<Act>>> {
-        self.usual.clone()
+    pub(crate) fn default_act(&self) -> Arc<Mutex<Option<Act>>> {
+        self.default_act.clone()
     }
 
     /// Returns a shared handle to the requests that it has received.
-    pub(crate) fn all_seen(&self) -> Arc<Mutex<Vec<Seen>>> {
+    pub(crate) fn shared_seen(&self) -> Arc<Mutex<Vec<Seen>>> {
         self.seen.clone()
     }
 
     /// Returns what is notified when a crashing request has begun.
-    pub(crate) fn ending(&self) -> Arc<Notify> {
-        self.ending.clone()
+    pub(crate) fn crashing_request_begun(&self) -> Arc<Notify> {
+        self.crashing_request_begun.clone()
     }
 
     /// Lets it answer correctly from now on.
-    pub(crate) fn calm(&self) {
+    pub(crate) fn answer_correctly(&self) {
         self.acts.lock().unwrap().clear();
-        self.always(None);
+        self.set_default_act(None);
     }
 
     /// Returns the number of requests that it runs.
@@ -277,7 +288,7 @@
     request: Request<Incoming>,
     (act, limit, start): (Option<Act>, Option<&'static str>, u64),
     seen: &Mutex<Vec<Seen>>,
-    ending: &Notify,
+    crashing_request_begun: &Notify,
     run: Run,
 ) -> Response<Body> {
     let (parts, body) = request.into_parts();
@@ -293,7 +304,7 @@
             limit,
             start,
         });
-        ending.notify_one();
+        crashing_request_begun.notify_one();
         return std::future::pending().await;
     }
     let path = parts.uri.path().to_owned();
@@ -346,7 +357,7 @@
     response
 }
 
-/// Returns the answer of an endpoint without a free slot, which may ask for a rest.
+/// Returns the answer of an endpoint without a free slot, which may ask for a backoff.
 fn full(rest: Option<&str>) -> Response<Body> {
     let mut response = plain(503, "full");
     let headers = response.headers_mut();
@@ -567,7 +578,7 @@
     }
 
     /// Orders one voter after another to cordon or uncordon a zone, until one acknowledges it.
-    pub(crate) async fn ordered(&self, method: &str, zone: &str) {
+    pub(crate) async fn order_any_voter(&self, method: &str, zone: &str) {
         let until = std::time::Instant::now() + Duration::from_secs(20);
         loop {
             for i in 0..self.voters.len() {
@@ -742,11 +753,11 @@
     log.lines().filter(is_ready).count()
 }
 
-/// The time within which requests arrive that were in flight when an endpoint asked for a rest.
+/// The time within which requests arrive that were in flight when an endpoint asked for a backoff.
 const IN_FLIGHT: Duration = Duration::from_millis(500);
 
-/// Returns how many rests endpoints asked for, and the most requests that one of them received
-/// during a rest from the box that it had asked. Each request must name its box in [`BOX`].
+/// Returns how many backoffs endpoints asked for, and the most requests that one of them received
+/// during a backoff from the box that it had asked. Each request must name its box in [`BOX`].
 pub(crate) fn rests(endpoints: &[Endpoint]) -> (usize, usize) {
     let (mut count, mut most) = (0, 0);
     for endpoint in endpoints {
@@ -774,7 +785,7 @@
 }
 
 /// Returns the largest number of times within any window of a length.
-pub(crate) fn densest(times: &[std::time::Instant], window: Duration) -> usize {
+pub(crate) fn max_in_window(times: &[std::time::Instant], window: Duration) -> usize {
     let count = |from: &std::time::Instant| {
         let within = times
             .iter()
--- a/tests/testsuite/support/voter.rs
+++ b/tests/testsuite/support/voter.rs
@@ -36,20 +36,20 @@
 
 /// How the stand-in treats requests for the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Gives {
+pub(crate) enum Behaviour {
     /// Answers at once.
-    Well,
+    Answers,
     /// Never answers.
-    Nothing,
+    Silent,
     /// Answers with an error.
-    Errors,
+    Fails,
 }
 
 /// The stand-in voter.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     feed: Arc<Feed>,
-    gives: watch::Sender<Gives>,
+    behaviour: watch::Sender<Behaviour>,
     asked: Arc<AtomicU32>,
     followed: Arc<AtomicU32>,
 }
@@ -59,7 +59,7 @@
     pub(crate) async fn start(address: SocketAddr) -> (Self, ServerHandle) {
         let voter = Self {
             feed: Arc::default(),
-            gives: watch::Sender::new(Gives::Well),
+            behaviour: watch::Sender::new(Behaviour::Answers),
             asked: Arc::default(),
             followed: Arc::default(),
         };
@@ -77,8 +77,8 @@
     }
 
     /// Sets how it treats requests for the configuration.
-    pub(crate) fn set(&self, gives: Gives) {
-        self.gives.send_replace(gives);
+    pub(crate) fn set(&self, behaviour: Behaviour) {
+        self.behaviour.send_replace(behaviour);
     }
 
     /// Returns the number of boxes that currently follow it as a source.
@@ -159,11 +159,11 @@
 
     async fn document(&self, newer_than: unit::Revision) -> RpcResult<Option<Update>> {
         self.asked.fetch_add(1, Ordering::Relaxed);
-        let gives = *self.gives.borrow();
-        match gives {
-            Gives::Well => {}
-            Gives::Nothing => std::future::pending().await,
-            Gives::Errors => {
+        let behaviour = *self.behaviour.borrow();
+        match behaviour {
+            Behaviour::Answers => {}
+            Behaviour::Silent => std::future::pending().await,
+            Behaviour::Fails => {
                 return Err(ErrorObjectOwned::owned(1, "not now", None::<()>));
             }
         }
--- a/tests/testsuite/throttle.rs
+++ b/tests/testsuite/throttle.rs
@@ -183,12 +183,12 @@
         endpoint.limits(Some("2.5"));
     }
     for endpoint in &site.endpoints {
-        endpoint.takes(REQUEST_TIME);
+        endpoint.set_work_time(REQUEST_TIME);
     }
     let (outcomes, ()) = tokio::join!(site.send_all(100, LENGTH), site.beat(LENGTH));
     let counts: Vec<_> = limited_endpoints
         .iter()
-        .map(|e| routed::densest(&limited(e), WINDOW))
+        .map(|e| routed::max_in_window(&limited(e), WINDOW))
         .collect();
     let (served, sent) = (served(&outcomes), outcomes.len());
     let summary = format!("{counts:?} in a window, {served} of {sent} served");
@@ -212,13 +212,13 @@
     let site = Site::start(ENDPOINTS, dir.path()).await;
     for endpoint in &site.endpoints {
         endpoint.limits(Some("5"));
-        endpoint.takes(REQUEST_TIME);
+        endpoint.set_work_time(REQUEST_TIME);
     }
     let (outcomes, ()) = tokio::join!(site.send_all(60, LENGTH), site.beat(LENGTH));
     let counts: Vec<_> = site
         .endpoints
         .iter()
-        .map(|e| routed::densest(&limited(e), WINDOW))
+        .map(|e| routed::max_in_window(&limited(e), WINDOW))
         .collect();
     let got: usize = site.endpoints.iter().map(|e| limited(e).len()).sum();
     let taken = LIMIT * ENDPOINTS as f64 * (LENGTH - MAX_PROPAGATION).as_secs_f64();
@@ -250,7 +250,7 @@
     let site = Site::start(3, dir.path()).await;
     let limited_endpoint = &site.endpoints[0];
     for endpoint in &site.endpoints {
-        endpoint.takes(REQUEST_TIME);
+        endpoint.set_work_time(REQUEST_TIME);
     }
     let mut spans = Vec::new();
     for limit in [Some("4"), None, Some("1.5"), None] {
@@ -286,7 +286,7 @@
     let dir = tempfile::tempdir().unwrap();
     let mut site = Site::start(6, dir.path()).await;
     for endpoint in &site.endpoints {
-        endpoint.takes(REQUEST_TIME);
+        endpoint.set_work_time(REQUEST_TIME);
     }
     for endpoint in &site.endpoints[..2] {
         endpoint.limits(Some("2.5"));
@@ -304,7 +304,7 @@
     let (outcomes, (), ()) = tokio::join!(sending, site.beat(LENGTH), restarts);
     let counts: Vec<_> = site.endpoints[..2]
         .iter()
-        .map(|e| routed::densest(&limited(e), WINDOW))
+        .map(|e| routed::max_in_window(&limited(e), WINDOW))
         .collect();
     println!(
         "{counts:?} in a window, {} of {} served",
@@ -330,7 +330,7 @@
     };
     let counts: Vec<_> = site.endpoints[..2]
         .iter()
-        .map(|e| routed::densest(&after(e), WINDOW))
+        .map(|e| routed::max_in_window(&after(e), WINDOW))
         .collect();
     println!(
         "{counts:?} in a window, {} of {} served",
