--- a/src/scalewood/ops/control/registry.rs
+++ b/src/scalewood/ops/control/registry.rs
@@ -49,7 +49,7 @@
 
 /// A voter's soft state, shared between its tasks.
 #[derive(Clone, Debug)]
-pub(super) struct Endpoints {
+pub(super) struct SoftState {
     /// The endpoints that announced themselves to this voter, which other voters follow.
     own: Arc<Mutex<registry::Registry>>,
     /// The endpoints that announced themselves to any voter, which boxes follow.
@@ -63,7 +63,7 @@
     /// The paces that boxes reported of each endpoint.
     pace_reports: Arc<Mutex<BTreeMap<name::Endpoint, pace::Reports>>>,
     /// The endpoints that served before this process, or the process of another voter, started.
-    restored: Arc<Mutex<registry::Remembered>>,
+    restored: Arc<Mutex<registry::RestoredRecords>>,
     /// The loads of boxes at endpoints.
     hub: Arc<Mutex<load::Hub>>,
     /// Issues permits for endpoints that limit their requests.
@@ -86,7 +86,7 @@
     log: slog::Logger,
 }
 
-impl Endpoints {
+impl SoftState {
     pub(super) fn new(
         own: name::Box,
         timing: registry::Timing,
@@ -140,7 +140,7 @@
         if merged == registry::Merged::Restarted {
             // The reported paces are those of an earlier start.
             lock(&self.pace_reports).remove(&name);
-            lock(&self.hub).restarted(&name);
+            lock(&self.hub).forget_earlier_starts(&name);
             event!(self.log, EndpointRestarted, "endpoint" => %name,
                 "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
         }
@@ -201,7 +201,7 @@
     /// Records the paces that a box measured. Followers are sent the changed medians with the next
     /// message, which is sent at once if an endpoint had no known pace before or if other endpoints
     /// now count as slow.
-    fn record_paces(&self, from: &name::Box, paces: Vec<pace::Paced>) {
+    fn record_paces(&self, from: &name::Box, paces: Vec<pace::EndpointPace>) {
         let mut changed = false;
         let mut medians = Vec::with_capacity(paces.len());
         {
@@ -305,7 +305,7 @@
         }
         registry.regrade();
         let until = self.clock.now() + registry.timing().restored_timeout();
-        *lock(&self.restored) = registry::Remembered::new(hints.endpoints.clone(), until);
+        *lock(&self.restored) = registry::RestoredRecords::new(hints.endpoints.clone(), until);
     }
 
     /// Returns the hub that aggregates the loads of boxes.
@@ -413,7 +413,10 @@
 /// Returns the endpoints that left within a range of stamps while this voter knew no start of them.
 /// A receiver's first request returns none: the receiver may know a start that began long after the
 /// endpoint left.
-fn left_since_stamp(registry: &registry::Registry, span: registry::Span) -> Vec<name::Endpoint> {
+fn left_since_stamp(
+    registry: &registry::Registry,
+    span: registry::StampRange,
+) -> Vec<name::Endpoint> {
     if span.after == 0 {
         return Vec::new();
     }
--- a/src/scalewood/ops/control/registry/peers.rs
+++ b/src/scalewood/ops/control/registry/peers.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::Endpoints;
+use super::SoftState;
 use crate::{
     core::{follow, name, pace, registry, unit},
     event,
@@ -30,7 +30,7 @@
     revision: unit::Revision,
 }
 
-impl Endpoints {
+impl SoftState {
     /// Merges a message from another voter about the endpoints that announced themselves there.
     pub(in crate::ops::control) fn apply_update(
         &self,
@@ -48,7 +48,7 @@
             let sequence = record.sequence;
             if registry.merge(record, now) == registry::Merged::Restarted {
                 lock(&self.pace_reports).remove(&name);
-                lock(&self.hub).restarted(&name);
+                lock(&self.hub).forget_earlier_starts(&name);
                 event!(self.log, EndpointRestarted, "endpoint" => %name,
                     "incarnation" => incarnation.map(|i| i.0), "sequence" => sequence);
             }
@@ -86,7 +86,7 @@
         &self,
         registry: &mut registry::Registry,
         from: &name::Box,
-        paces: Vec<pace::Paced>,
+        paces: Vec<pace::EndpointPace>,
     ) {
         let mut pace_reports = lock(&self.pace_reports);
         for paced in paces {
--- a/src/scalewood/ops/entry/answer_head.rs
+++ b/src/scalewood/ops/entry/answer_head.rs
@@ -106,16 +106,16 @@
     response: &Response<B>,
 ) {
     let headers = response.headers();
-    let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), now(board));
+    let unix_ms = lock(&board.wall_clock).unix_ms(board.clock.unix_ms(), now(board));
     match ops::backoff::parse(headers, unix_ms) {
         backoff::Parsed::Absent => {}
         backoff::Parsed::Invalid => {
-            event!(board.log, RestUnreadable, "endpoint" => %target.endpoint,
+            event!(board.log, BackoffUnreadable, "endpoint" => %target.endpoint,
                 "asked" => ops::backoff::text(headers));
         }
         backoff::Parsed::For(length) => {
-            board.metrics.rests_asked.inc();
-            event!(board.log, EndpointRests, "endpoint" => %target.endpoint,
+            board.metrics.backoffs_requested.inc();
+            event!(board.log, BackoffRequested, "endpoint" => %target.endpoint,
                 "incarnation" => target.start.map(|start| start.0),
                 "asked" => ops::backoff::text(headers), "rest_ms" => length.as_millis());
             let now = now(board);
--- a/src/scalewood/ops/entry/routed/attempt.rs
+++ b/src/scalewood/ops/entry/routed/attempt.rs
@@ -389,7 +389,7 @@
                 Err(Failure::REFUSED.into())
             }
             Disposition::Misdirected => {
-                event!(self.context.board.log, EndpointMistaken, "endpoint" => %endpoint,
+                event!(self.context.board.log, EndpointAddressReassigned, "endpoint" => %endpoint,
                     "id" => id);
                 // Ends only the start to which the connection was made: a later one may have
                 // announced itself since.
@@ -492,8 +492,8 @@
             "allowed" => self.allowed(),
             "fingerprint" => crash::known_fingerprint(&self.context.board, &routed.call.content),
             "endpoint" => self.last_endpoint.as_ref().map(name::Endpoint::as_str),
-            "prompt" => routed.call.prompt.0, "unread" => self.basis.unread.0,
-            "ahead" => self.basis.ahead.0, "later" => self.basis.later.0, "kept" => self.basis.kept, "returned" => routed.call.is_client_retry,
+            "prompt" => routed.call.prompt.0, "unread" => self.basis.uncached.0,
+            "ahead" => self.basis.pending_ahead.0, "later" => self.basis.pending_less_urgent.0, "kept" => self.basis.prefix_cached, "returned" => routed.call.is_client_retry,
             "cause" => self.cause.as_ref().map(dispatch::Cause::as_str), "held_back_by" => self.held_back_by(),
             "retry_ms" => self.retry_after.map(|wait| wait.as_millis()), "tries" => self.tries,
             "first_ms" => self.observer.first_after().map(|first| first.as_millis()),
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -116,7 +116,7 @@
         for (from, to) in [(0, 1), (1, 0)] {
             let anew = now == START;
             let news = self.hubs[from].update_for(&hub_name(to), anew, now);
-            assert!(self.hubs[to].apply(&hub_name(from), anew, news, now));
+            assert!(self.hubs[to].apply_peer_update(&hub_name(from), anew, news, now));
         }
     }
 
@@ -270,9 +270,9 @@
     };
     let plain = |request: u64, class: &str, tier| Ask {
         tier: unit::Tier(tier),
-        placed: None,
+        placement_key: None,
         prompt: unit::Tokens(0),
-        returned: false,
+        is_client_retry: false,
         // Ages are reported in whole milliseconds.
         age: Duration::from_millis(1),
         deadline: Duration::from_secs(4),
--- a/tests/testsuite/registry.rs
+++ b/tests/testsuite/registry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use scalewood::core::{
-    registry::{Merged, Record, Registry, Remembered, Span, State, Timing},
+    registry::{Merged, Record, Registry, RestoredRecords, StampRange, State, Timing},
     unit,
 };
 
@@ -333,7 +333,7 @@
     while after < registry.stamp() {
         let to = registry.stamp_within(after, PART_RECORDS);
         assert!(to > after);
-        let span = Span { after, to };
+        let span = StampRange { after, to };
         let (changed, gone) = (registry.changed_since(span), registry.gone_since(span));
         assert!(changed.len() <= PART_RECORDS && gone.len() <= PART_RECORDS);
         for record in changed {
@@ -356,7 +356,7 @@
     let until = START + Duration::from_secs(3);
     let remembered = |voter| (0..10).map(|n| at_place(voter * 10 + n, 0)).collect();
     let mut voters: Vec<_> = (0..VOTERS)
-        .map(|voter| Remembered::new(remembered(voter), until))
+        .map(|voter| RestoredRecords::new(remembered(voter), until))
         .collect();
     let mut told = [[0; VOTERS as usize]; VOTERS as usize];
     let mut messages = 0;
