--- a/src/scalewood/core/load/delta.rs
+++ b/src/scalewood/core/load/delta.rs
@@ -6,14 +6,14 @@
 
 use std::{cmp::Reverse, collections::btree_map};
 
-use super::{Load, Loaded, Loads};
+use super::{EndpointLoad, Load, Loads};
 use crate::core::name;
 
 /// The most rows of one message: 8 KB. So the size of a message grows with the number of
 /// endpoints only up to here; the loads that changed least wait for the next message.
 const MAX_ROWS: usize = 256;
-/// The weight of a running request, in unread tokens, when changes are compared: about the
-/// prefill of one prompt.
+/// The weight of a running request, in tokens pending prefill, when changes are compared: about
+/// one prompt.
 const RUNNING_WEIGHT_TOKENS: u64 = 1000;
 
 /// Walks a sorted map in step with another one.
@@ -38,8 +38,9 @@
 }
 
 /// Returns the loads to send to a receiver that knows `sent`, so that it knows `total` without
-/// its `own` part: changed loads first, then those that have dropped to zero.
-pub(super) fn significant_changes(sent: &Loads, total: &Loads, own: &Loads) -> Vec<Loaded> {
+/// its `own` part: changed loads first, then those that have dropped to zero. If there are more
+/// than `MAX_ROWS`, returns only the largest changes, the largest first.
+pub(super) fn significant_changes(sent: &Loads, total: &Loads, own: &Loads) -> Vec<EndpointLoad> {
     let mut updates = Vec::new();
     let mut ended = Vec::new();
     let mut sent = Cursor::new(sent);
@@ -67,7 +68,7 @@
 
 /// Adds a load, with the size of its change, if the change is large enough to be sent.
 fn add_if_significant(
-    updates: &mut Vec<(u64, Loaded)>,
+    updates: &mut Vec<(u64, EndpointLoad)>,
     endpoint: &name::Endpoint,
     load: Load,
     sent: Load,
@@ -75,14 +76,15 @@
     if load == sent || !load.differs_enough(sent) {
         return;
     }
-    let loaded = Loaded {
+    let loaded = EndpointLoad {
         endpoint: endpoint.clone(),
         load,
     };
     updates.push((change_tokens(load, sent), loaded));
 }
 
-/// Returns the size of a load's change in tokens.
+/// Returns the size of a load's change in tokens. Cached tokens and those of less urgent requests
+/// do not count.
 fn change_tokens(load: Load, sent: Load) -> u64 {
     let running = u64::from(load.running.abs_diff(sent.running));
     load.pending_prefill.abs_diff(sent.pending_prefill) + running * RUNNING_WEIGHT_TOKENS
--- a/src/scalewood/core/load/losses.rs
+++ b/src/scalewood/core/load/losses.rs
@@ -38,9 +38,10 @@
 const MAX_SIZE_FACTOR: f64 = 4.0;
 /// How long after the last refusal of a class less urgent requests are still held back.
 const HOLD_AFTER_REFUSAL: Duration = Duration::from_millis(2500);
+
 /// Numbers of requests of a class, by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ClassCounts {
     /// The least urgent tier among them: teams differ within a class.
     pub tier: unit::Tier,
     /// Requests that arrived.
@@ -61,7 +62,7 @@
     pub started_tokens: u64,
 }
 
-impl AddAssign for Counts {
+impl AddAssign for ClassCounts {
     fn add_assign(&mut self, other: Self) {
         self.tier = self.tier.max(other.tier);
         self.arrived = self.arrived.saturating_add(other.arrived);
@@ -75,7 +76,7 @@
     }
 }
 
-impl Counts {
+impl ClassCounts {
     /// Returns the mean prompt size of the refused requests, in tokens.
     fn refused_size(&self) -> f64 {
         mean(
@@ -86,8 +87,8 @@
 
     /// Returns the share of arrivals that were refused for good or have not been retried yet.
     fn refused_share(&self) -> f64 {
-        let away = self.deferred.saturating_sub(self.client_retries);
-        self.share(self.lost.saturating_add(away))
+        let not_retried = self.deferred.saturating_sub(self.client_retries);
+        self.share(self.lost.saturating_add(not_retried))
     }
 
     /// Returns the share of arrivals that were refused for good.
@@ -95,13 +96,13 @@
         self.share(self.lost)
     }
 
-    /// Returns `some` as a share of the arrivals, or 0 if they are too few to count.
-    fn share(&self, some: u32) -> f64 {
-        if some < MIN_REFUSALS {
+    /// Returns `refusals` as a share of the arrivals, or 0 if they are too few to count.
+    fn share(&self, refusals: u32) -> f64 {
+        if refusals < MIN_REFUSALS {
             return 0.0;
         }
         // A refusal may be reported before the arrival of its request, so `arrived` can be too low.
-        f64::from(some) / f64::from(self.arrived.max(some))
+        f64::from(refusals) / f64::from(self.arrived.max(refusals))
     }
 
     /// Returns whether so few requests start, as a share of the arrivals, that they take no
@@ -130,13 +131,13 @@
 struct History {
     /// The least urgent tier seen or configured for the class.
     tier: unit::Tier,
-    window: Window<Counts>,
+    window: Window<ClassCounts>,
     /// When a request of the class was last refused.
     refused_at: Option<Duration>,
 }
 
 impl History {
-    fn add(&mut self, counts: Counts, now: Duration) {
+    fn add(&mut self, counts: ClassCounts, now: Duration) {
         self.tier = self.tier.max(counts.tier);
         self.window.add(counts, now);
         if counts.lost > 0 || counts.deferred > 0 {
@@ -155,8 +156,8 @@
         // Other classes don't give way to a class without recent refusals.
         let parts = (!self.is_quiet(now)).then(|| [counts, self.window.sum(SHORT_WINDOW, now)]);
         let parts = parts.iter().flatten();
-        let refused = parts.clone().map(Counts::refused_share);
-        let lost = parts.map(Counts::lost_share);
+        let refused = parts.clone().map(ClassCounts::refused_share);
+        let lost = parts.map(ClassCounts::lost_share);
         Recent {
             tier: self.tier,
             counts,
@@ -172,7 +173,7 @@
     /// Its least urgent tier.
     tier: unit::Tier,
     /// Its requests over the long window.
-    counts: Counts,
+    counts: ClassCounts,
     /// The share that was refused, with or without a retry to come; the larger one of both
     /// windows.
     refused: f64,
@@ -205,7 +206,7 @@
 
 impl Losses {
     /// Adds the counts of a class.
-    pub fn add(&mut self, class: &name::Class, counts: Counts, now: Duration) {
+    pub fn add(&mut self, class: &name::Class, counts: ClassCounts, now: Duration) {
         // Looked up first, to clone the name only once per class: most calls find the class.
         if let Some(history) = self.0.get_mut(class) {
             return history.add(counts, now);
@@ -219,7 +220,7 @@
     pub fn forget_idle(&mut self, now: Duration) -> bool {
         self.0.retain(|_, history| {
             let counts = history.window.sum(LONG_WINDOW, now);
-            counts != Counts::default()
+            counts != ClassCounts::default()
         });
         !self.0.is_empty()
     }
@@ -256,7 +257,7 @@
     }
 }
 
-/// Returns the least urgent tier that doesn't give way to `losing`; all tiers below it do.
+/// Returns the least urgent tier that doesn't give way to `losing`; all less urgent tiers do.
 fn least_urgent_spared(losing: &Recent, all: &[(&name::Class, Recent)]) -> unit::Tier {
     let own = losing.tier;
     let below = all.iter().map(|(_, recent)| recent.tier);
@@ -264,10 +265,10 @@
     let mut tiers = below.into_iter().rev().chain([own]);
     let mut limited_from = tiers.next().unwrap_or(own);
     for tier in tiers {
-        let takes = |(_, recent): &&(_, Recent)| {
+        let takes_capacity = |(_, recent): &&(_, Recent)| {
             recent.tier >= limited_from && recent.starts_larger_than(losing)
         };
-        if losing.lost < LOW_SHARE || all.iter().any(|recent| takes(&recent)) {
+        if losing.lost < LOW_SHARE || all.iter().any(|recent| takes_capacity(&recent)) {
             return tier;
         }
         limited_from = tier;
--- a/src/scalewood/core/registry/remembered.rs
+++ b/src/scalewood/core/registry/remembered.rs
@@ -7,15 +7,16 @@
 
 /// The records that a voter stored itself, and those of other voters that started with it.
 #[derive(Clone, Debug, Default)]
-pub struct Remembered {
+pub struct RestoredRecords {
     until: Duration,
     /// The records of this voter come first, then those of others.
     records: Vec<Record>,
+    /// The number of this voter's own records.
     own: usize,
     names: BTreeSet<name::Endpoint>,
 }
 
-impl Remembered {
+impl RestoredRecords {
     /// Creates the set from a voter's own stored records, which expire at `until`.
     pub fn new(records: Vec<Record>, until: Duration) -> Self {
         Self {
@@ -40,7 +41,8 @@
         self.records.len() > before
     }
 
-    /// Returns the records that a box has not received, which are all but the `sent` first ones.
+    /// Returns the records that a box has not received, which are all but the `sent` first ones,
+    /// and advances `sent`.
     pub fn for_box(&self, sent: &mut usize, now: Duration) -> Vec<Record> {
         self.after(sent, self.records.len(), now)
     }
--- a/src/scalewood/ops/control/cordon.rs
+++ b/src/scalewood/ops/control/cordon.rs
@@ -18,7 +18,7 @@
     pub async fn cordon(&self, order: cordon::Order) -> Forwarded<change::Answer> {
         match self.cordon_here(order.clone()).await {
             Forwarded::NotLeader => self.links.forward_cordon(self.leader(), order).await,
-            passed => passed,
+            outcome => outcome,
         }
     }
 
@@ -32,8 +32,7 @@
     }
 }
 
-/// Returns why orders for a zone are refused, which is so if zones are configured and it is none of
-/// them.
+/// Returns an error message if zones are configured and the given one is not among them.
 pub(super) fn check_zone(zone: &name::Zone, zones: &region::Map) -> Option<String> {
     if zones.is_empty() || zones.has_zone(zone) {
         return None;
@@ -66,46 +65,51 @@
         operator: name::Operator,
         bytes: bytes::Bytes,
     ) -> warp::reply::Response {
-        let Cordon { id, zone, act, why } = match serde_json::from_slice(&bytes) {
+        let Cordon {
+            id,
+            zone,
+            action,
+            why,
+        } = match serde_json::from_slice(&bytes) {
             Ok(cordon) => cordon,
             Err(error) => return admin::malformed(&error),
         };
-        let mark = cordon::Mark { zone, act };
-        if let Some(why) = check_zone(&mark.zone, &self.zones) {
-            event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act,
+        let change = cordon::ZoneChange { zone, action };
+        if let Some(why) = check_zone(&change.zone, &self.zones) {
+            event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.action,
                 "operator" => %operator, "change" => %id, "why" => &why);
             return admin::failure(StatusCode::BAD_REQUEST, why, verdict::Verdict::NotRun);
         }
         let arrived = self.clock.now();
         let order = cordon::Order {
-            mark: mark.clone(),
+            change: change.clone(),
             operator: operator.clone(),
             id: Some(id.clone()),
             why,
             at_unix_ms: unix_ms(),
         };
-        let passed = self.handle.cordon(order).await;
+        let forwarded = self.handle.cordon(order).await;
         let took = self.clock.now().saturating_sub(arrived);
-        let outcome = match &passed {
+        let outcome = match &forwarded {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
-                event!(self.log, CordonAccepted, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %operator, "change" => %id, "revision" => %revision,
                     "took_ms" => took.as_millis());
                 "accepted"
             }
             Forwarded::Answer(change::Answer::NotApplied { why, .. }) => {
-                event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %operator, "change" => %id, "why" => why.join("; "));
                 "refused"
             }
             _ => {
-                event!(self.log, CordonUnclear, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %operator, "change" => %id, "took_ms" => took.as_millis());
                 "unclear"
             }
         };
         self.metrics.record_cordon(outcome, took);
-        admin::answer(passed, |answer| match &answer {
+        admin::answer(forwarded, |answer| match &answer {
             change::Answer::Accepted { .. } => (StatusCode::OK, warp::reply::json(&answer)),
             change::Answer::NotApplied { .. } => (StatusCode::CONFLICT, warp::reply::json(&answer)),
         })
--- a/src/scalewood/ops/control/mod.rs
+++ b/src/scalewood/ops/control/mod.rs
@@ -71,12 +71,13 @@
     pub timing: core_registry::Timing,
     /// The operators, with the hashes of their access tokens.
     pub operators: BTreeMap<name::Operator, secret::Hash>,
-    /// The most orders to endpoints per second, limited by the load on the weight store.
+    /// The most orders to endpoints per second. Each order makes an endpoint load a model, and the
+    /// weight store can serve only so many of them.
     pub orders_per_second: unit::Rate,
     /// The settings of the tasks done for a provider.
     pub provider: provider::Settings,
     /// The settings of the consensus protocol.
-    pub agree: raft::Settings,
+    pub raft: raft::Settings,
 }
 
 impl Default for Settings {
@@ -97,7 +98,7 @@
             orders_per_second: unit::Rate::try_from(DEFAULT_ORDERS_PER_SECOND)
                 .expect("the default rate is valid"),
             provider: provider::Settings::default(),
-            agree: raft::Settings::default(),
+            raft: raft::Settings::default(),
         }
     }
 }
@@ -122,13 +123,13 @@
         let voters = voters.into_iter().filter_map(|v| v.0).collect();
         let timing = settings::timing(reader);
         let operators = reader.list::<Operator>("operators");
-        let agree = raft::Settings {
-            election_timeout_min: reader.duration("election", default.agree.election_timeout_min),
-            heartbeat: reader.duration("heartbeat", default.agree.heartbeat),
-            lease_margin: reader.duration("lease_margin", default.agree.lease_margin),
-            compact_after: reader.number("compact_after", default.agree.compact_after),
+        let raft = raft::Settings {
+            election_timeout_min: reader.duration("election", default.raft.election_timeout_min),
+            heartbeat: reader.duration("heartbeat", default.raft.heartbeat),
+            lease_margin: reader.duration("lease_margin", default.raft.lease_margin),
+            compact_after: reader.number("compact_after", default.raft.compact_after),
             repair: unattended.then(raft::Repair::default),
-            ..default.agree
+            ..default.raft
         };
         if listen == admin {
             reader.problem(
@@ -137,14 +138,14 @@
                 "another port",
             );
         }
-        if agree.heartbeat * 2 > agree.election_timeout_min {
+        if raft.heartbeat * 2 > raft.election_timeout_min {
             reader.problem(
                 "heartbeat",
                 "it is over half of `election`",
                 "a shorter one",
             );
         }
-        if agree.lease_margin >= agree.election_timeout_min {
+        if raft.lease_margin >= raft.election_timeout_min {
             reader.problem(
                 "lease_margin",
                 "it is no less than `election`",
@@ -181,7 +182,7 @@
             operators,
             orders_per_second: orders,
             provider: reader.object("provider"),
-            agree,
+            raft,
         }
     }
 }
@@ -242,7 +243,7 @@
 fn initialise(
     settings: &Settings,
     identity: raft::Identity,
-    kept: impl FnOnce(raft::Node) -> raft::Persisted<ledger::Ledger>,
+    initial_state: impl FnOnce(raft::Node) -> raft::Persisted<ledger::Ledger>,
 ) -> Result<raft::Node, Report<Error>> {
     let folder = open_folder(settings)?;
     identity::check_unused(&folder).change_context(Error)?;
@@ -251,7 +252,7 @@
         identity,
     };
     // The identity is written last, so a folder that has one is complete even after a power loss.
-    let journal = journal::Journal::create(folder, kept(node)).change_context(Error)?;
+    let journal = journal::Journal::create(folder, initial_state(node)).change_context(Error)?;
     let mut folder = journal.into_media();
     identity::create(&mut folder, &settings.name, identity).change_context(Error)
 }
@@ -288,7 +289,7 @@
     initialise(settings, membership::FOUNDER_IDENTITY, |_| {
         raft::Persisted::bootstrap_with(members)
     })?;
-    event!(log, VoterFormed, "voters" => settings.voters.len());
+    event!(log, StoreInitialised, "voters" => settings.voters.len());
     Ok(())
 }
 
@@ -315,14 +316,14 @@
     if opened.dropped > 0 {
         event!(log, StoreRepaired, "bytes" => opened.dropped);
     }
-    let place = hints::Store::new(&settings.data);
-    let hints = read_hints(&place, &log);
+    let store = hints::Store::new(&settings.data);
+    let hints = read_hints(&store, &log);
     let feed = Arc::new(feed::Feed::default());
-    let keeper = journal::Writer::new(opened.journal, opened.kept);
+    let writer = journal::Writer::new(opened.journal, opened.persisted);
     let (mut handle, failed) = replica::start(
         &settings,
         node,
-        keeper,
+        writer,
         hints.committed,
         feed.clone(),
         clock,
@@ -334,12 +335,12 @@
         .merge(source::Server::new(feed.clone()).into_rpc())
         .change_context(Error)?;
     let metrics = metric::Metrics::new();
-    let endpoints =
-        registry::Endpoints::new(settings.name.clone(), settings.timing, clock, log.clone());
-    endpoints.restore_hints(&hints);
-    tokio::spawn(endpoints.clone().store_hints(place, handle.clone()));
+    let soft_state =
+        registry::SoftState::new(settings.name.clone(), settings.timing, clock, log.clone());
+    soft_state.restore_hints(&hints);
+    tokio::spawn(soft_state.clone().store_hints(store, handle.clone()));
     let registry = registry::Server {
-        endpoints: endpoints.clone(),
+        soft_state: soft_state.clone(),
         feed,
         handle: handle.clone(),
         zone: settings.zone.clone(),
@@ -352,7 +353,7 @@
     event!(log, Listening, "what" => "processes", "address" => %settings.listen);
     tokio::spawn(share::run(
         handle.clone(),
-        endpoints.clone(),
+        soft_state.clone(),
         clock,
         log.clone(),
     ));
@@ -363,12 +364,12 @@
         rate: settings.orders_per_second,
     };
     tokio::spawn(sender.run());
-    serve_provider::<D>(&settings, &handle, &endpoints, clock, &log);
+    serve_provider::<D>(&settings, &handle, &soft_state, clock, &log);
     tokio::spawn(breach::watch(log.clone()));
     let admin = admin::Admin {
         handle: handle.clone(),
         server,
-        endpoints: endpoints.clone(),
+        soft_state: soft_state.clone(),
         metrics: metrics.clone(),
         zones: settings.zones.clone(),
         clock,
@@ -381,7 +382,7 @@
     if let Some(address) = settings.publish {
         let api = publish::Api {
             handle: handle.clone(),
-            endpoints,
+            soft_state,
             metrics,
             refusals: Arc::default(),
             zones: settings.zones.clone(),
@@ -420,7 +421,7 @@
 fn serve_provider<D: provider::Dialect>(
     settings: &Settings,
     handle: &Handle,
-    endpoints: &registry::Endpoints,
+    soft_state: &registry::SoftState,
     clock: clock::System,
     log: &slog::Logger,
 ) {
@@ -430,29 +431,29 @@
     };
     let hold = provider::Hold::new(handle.clone(), settings.quiet_period, clock, log.clone());
     tokio::spawn(hold.clone().keep());
-    let gathering = collect::Collector::default();
+    let collector = collect::Collector::default();
     tokio::spawn(
-        gathering
+        collector
             .clone()
-            .run(hold.clone(), handle.clone(), endpoints.clone(), clock),
+            .run(hold.clone(), handle.clone(), soft_state.clone(), clock),
     );
     if tasks.contains(&provider::Task::Scaling) {
-        let orderer = scaling::Controller {
+        let controller = scaling::Controller {
             handle: handle.clone(),
-            endpoints: endpoints.clone(),
-            gathering: gathering.clone(),
+            soft_state: soft_state.clone(),
+            collector: collector.clone(),
             settings: settings.scaling.clone(),
             clock,
             log: log.clone(),
         };
         let client = provider::Client::new(hold.clone(), address, settings);
-        tokio::spawn(orderer.run::<D>(client));
+        tokio::spawn(controller.run::<D>(client));
     }
     if tasks.contains(&provider::Task::Usage) {
         let reporter = || usage::Reporter {
             handle: handle.clone(),
-            endpoints: endpoints.clone(),
-            gathering: gathering.clone(),
+            soft_state: soft_state.clone(),
+            collector: collector.clone(),
             clock,
             settings: settings.clone(),
             hold: hold.clone(),
@@ -465,8 +466,8 @@
 }
 
 /// Reads the hints that an earlier process stored beside the journal; empty if they can't be read.
-fn read_hints(place: &hints::Store, log: &slog::Logger) -> hints::Hints {
-    match place.load() {
+fn read_hints(store: &hints::Store, log: &slog::Logger) -> hints::Hints {
+    match store.load() {
         Ok(hints) => {
             event!(log, HintsRead, "paces" => hints.paces.len(),
                 "endpoints" => hints.endpoints.len(), "committed" => %hints.committed);
@@ -487,8 +488,9 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// How long a caller waits for a proposal before its outcome is reported as unknown.
+/// How long a caller waits for the outcome of a proposal before it is reported as unknown, and for
+/// the voter's thread to stop.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The rate of orders to endpoints, per second, if the settings name none.
+/// The default of `orders_per_second`.
 const DEFAULT_ORDERS_PER_SECOND: f64 = 2.0;
--- a/src/scalewood/ops/control/publish.rs
+++ b/src/scalewood/ops/control/publish.rs
@@ -29,7 +29,7 @@
 use crate::{
     core::{change, cordon, ledger, name, region, registry, route},
     event,
-    ops::control::{self, metric::Metrics, refusal, registry::Endpoints, unix_ms, Error, Handle},
+    ops::control::{self, metric::Metrics, refusal, registry::SoftState, unix_ms, Error, Handle},
     util::{
         clock::{self, Clock as _},
         lock::lock,
@@ -40,8 +40,8 @@
 
 /// The largest body, in bytes.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
-/// The largest heartbeat, in bytes. A heartbeat has some hundred, or some thousand if it names many
-/// models.
+/// The largest heartbeat, in bytes. A usual one has some hundred bytes, or some thousand if it
+/// names many models.
 const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 /// How long a connection may be idle, and a request's head may take to arrive.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -62,7 +62,7 @@
     /// Announces that an endpoint has shut down.
     Leave(name::Endpoint),
     /// Cordons or uncordons a zone.
-    Cordon(cordon::Mark),
+    Cordon(cordon::ZoneChange),
     /// A path of this API with an invalid argument, with the reason.
     Invalid(String),
     /// A method that the path does not support.
@@ -74,13 +74,13 @@
 impl Call {
     /// Returns the call to a zone's path: POST cordons the zone, DELETE uncordons it.
     pub fn for_zone(method: &Method, zone: &str) -> Self {
-        let act = match *method {
+        let action = match *method {
             Method::POST => cordon::Action::Cordon,
             Method::DELETE => cordon::Action::Uncordon,
             _ => return Call::WrongMethod,
         };
         match zone.parse::<name::Zone>() {
-            Ok(zone) => Call::Cordon(cordon::Mark { zone, act }),
+            Ok(zone) => Call::Cordon(cordon::ZoneChange { zone, action }),
             Err(error) => Call::Invalid(error.to_string()),
         }
     }
@@ -102,7 +102,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with the reason if the body can't be parsed.
+    /// Fails with the reason if the body can't be parsed, or if a field is invalid or names another
+    /// endpoint.
     fn record(name: name::Endpoint, body: &[u8]) -> Result<registry::Record, registry::Refusal>;
 }
 
@@ -166,7 +167,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Api {
     pub(super) handle: Handle,
-    pub(super) endpoints: Endpoints,
+    pub(super) soft_state: SoftState,
     pub(super) metrics: Metrics,
     pub(super) refusals: Arc<Mutex<refusal::Limiter>>,
     /// The configured availability zones.
@@ -219,10 +220,10 @@
             Call::Read => self.read().await,
             Call::Heartbeat(name) => self.announce::<D>(name, request).await,
             Call::Leave(name) => {
-                self.endpoints.leave(&name);
+                self.soft_state.leave(&name);
                 reply(StatusCode::OK, "{}")
             }
-            Call::Cordon(mark) => self.cordon(mark, request).await,
+            Call::Cordon(change) => self.cordon(change, request).await,
             Call::Invalid(why) => failure(StatusCode::BAD_REQUEST, &why),
             Call::WrongMethod => failure(
                 StatusCode::METHOD_NOT_ALLOWED,
@@ -248,7 +249,7 @@
         };
         match record.and_then(|record| self.check_record(record)) {
             Ok(record) => {
-                self.endpoints.announce(record);
+                self.soft_state.announce(record);
                 reply(StatusCode::OK, "{}")
             }
             Err(refusal) => self.refuse_record(&name, &refusal),
@@ -265,7 +266,7 @@
         let document = published.ledger.document();
         // A known endpoint may still send heartbeats after its service was removed, for example to
         // announce that it is leaving.
-        let is_known = self.endpoints.serves(&record.name, &record.service);
+        let is_known = self.soft_state.serves(&record.name, &record.service);
         let has_service = document.services.contains_key(&record.service);
         if document.routing.is_some() && !has_service && !is_known {
             let why = format!("no service is configured as {}", record.service);
@@ -278,9 +279,9 @@
     fn refuse_record(&self, name: &name::Endpoint, refusal: &registry::Refusal) -> Reply {
         self.metrics.record_refused(refusal.reason);
         let unlogged = lock(&self.refusals).record(refusal.reason, self.clock.now());
-        if let Some(untold) = unlogged {
+        if let Some(unlogged) = unlogged {
             event!(self.log, BadAnnouncement, "endpoint" => %name,
-                "reason" => refusal.reason.as_str(), "why" => &refusal.detail, "untold" => untold);
+                "reason" => refusal.reason.as_str(), "why" => &refusal.detail, "untold" => unlogged);
         }
         let status = match refusal.reason {
             registry::Reason::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
@@ -329,13 +330,13 @@
             operator: publisher(),
             at_unix_ms: unix_ms(),
         };
-        let passed = with_timeout(self.handle.publish(publication)).await;
-        self.publish_reply(version, passed)
+        let outcome = with_timeout(self.handle.publish(publication)).await;
+        self.publish_reply(version, outcome)
     }
 
     /// Logs the outcome of a routing, and returns the reply.
-    fn publish_reply(&self, version: u64, passed: Forwarded<change::Answer>) -> Reply {
-        match passed {
+    fn publish_reply(&self, version: u64, outcome: Forwarded<change::Answer>) -> Reply {
+        match outcome {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 event!(self.log, VersionPublished, "version" => version, "revision" => %revision);
                 reply(StatusCode::OK, "{}")
@@ -350,64 +351,64 @@
         }
     }
 
-    /// Logs that a routing is refused, and returns the reply.
+    /// Logs that a routing was refused, and returns the reply.
     fn refuse(&self, version: Option<u64>, why: &str) -> Reply {
         event!(self.log, VersionRefused, "version" => version, "why" => why);
         failure(StatusCode::BAD_REQUEST, why)
     }
 
     /// Handles an order to cordon or uncordon a zone.
-    async fn cordon(&self, mark: cordon::Mark, request: Request<Incoming>) -> Reply {
+    async fn cordon(&self, change: cordon::ZoneChange, request: Request<Incoming>) -> Reply {
         let arrived = self.clock.now();
-        if let Some(why) = control::cordon::check_zone(&mark.zone, &self.zones) {
-            return self.refuse_cordon(&mark, &why);
+        if let Some(why) = control::cordon::check_zone(&change.zone, &self.zones) {
+            return self.refuse_cordon(&change, &why);
         }
         if has_body(request).await {
-            return self.refuse_cordon(&mark, "the call takes no body");
+            return self.refuse_cordon(&change, "the call takes no body");
         }
         let order = cordon::Order {
-            mark: mark.clone(),
+            change: change.clone(),
             operator: publisher(),
             id: None,
             why: String::new(),
             at_unix_ms: unix_ms(),
         };
-        let passed = with_timeout(self.handle.cordon(order)).await;
+        let outcome = with_timeout(self.handle.cordon(order)).await;
         let took = self.clock.now().saturating_sub(arrived);
-        self.cordon_reply(&mark, passed, took)
+        self.cordon_reply(&change, outcome, took)
     }
 
-    /// Records the outcome of an order, and returns the reply.
+    /// Logs and counts the outcome of an order to cordon or uncordon, and returns the reply.
     fn cordon_reply(
         &self,
-        mark: &cordon::Mark,
-        passed: Forwarded<change::Answer>,
+        change: &cordon::ZoneChange,
+        outcome: Forwarded<change::Answer>,
         took: Duration,
     ) -> Reply {
-        match passed {
+        match outcome {
             Forwarded::Answer(change::Answer::Accepted { revision }) => {
                 self.metrics.record_cordon("accepted", took);
-                event!(self.log, CordonAccepted, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonAccepted, "zone" => %change.zone, "act" => %change.action,
                     "operator" => %publisher(), "revision" => %revision,
                     "took_ms" => took.as_millis());
                 reply(StatusCode::OK, "{}")
             }
             Forwarded::Answer(change::Answer::NotApplied { why, .. }) => {
-                self.refuse_cordon(mark, &why.join("; "))
+                self.refuse_cordon(change, &why.join("; "))
             }
             Forwarded::NotLeader | Forwarded::Unknown | Forwarded::Refused(_) => {
                 self.metrics.record_cordon("unclear", took);
-                event!(self.log, CordonUnclear, "zone" => %mark.zone, "act" => %mark.act,
+                event!(self.log, CordonUnclear, "zone" => %change.zone, "act" => %change.action,
                     "took_ms" => took.as_millis());
                 unclear()
             }
         }
     }
 
-    /// Records that an order is refused, and returns the reply.
-    fn refuse_cordon(&self, mark: &cordon::Mark, why: &str) -> Reply {
+    /// Logs and counts that an order to cordon or uncordon was refused, and returns the reply.
+    fn refuse_cordon(&self, change: &cordon::ZoneChange, why: &str) -> Reply {
         self.metrics.record_cordon("refused", Duration::ZERO);
-        event!(self.log, CordonRefused, "zone" => %mark.zone, "act" => %mark.act, "why" => why);
+        event!(self.log, CordonRefused, "zone" => %change.zone, "act" => %change.action, "why" => why);
         failure(StatusCode::BAD_REQUEST, why)
     }
 
@@ -472,7 +473,7 @@
     if body.size_hint().lower() > 0 {
         return true;
     }
-    // The length is unknown, so this waits for the first frame.
+    // The length is unknown, so this waits for the first frame. A timeout counts as a body.
     let first = tokio::time::timeout(ANSWER_TIMEOUT, body.frame()).await;
     !matches!(first, Ok(None))
 }
--- a/src/scalewood/ops/control/scaling.rs
+++ b/src/scalewood/ops/control/scaling.rs
@@ -8,7 +8,7 @@
 use crate::{
     core::{ledger, name, registry, scaling, warm_up},
     event,
-    ops::control::{collect, provider, registry::Endpoints, unix_ms, Handle},
+    ops::control::{collect, provider, registry::SoftState, unix_ms, Handle},
     util::{
         clock::{self, Clock as _},
         lock::lock,
@@ -22,15 +22,16 @@
 /// Orders endpoints for all services for which the provider offers them.
 pub(super) struct Controller {
     pub(super) handle: Handle,
-    pub(super) endpoints: Endpoints,
-    pub(super) gathering: collect::Collector,
+    pub(super) soft_state: SoftState,
+    pub(super) collector: collect::Collector,
     pub(super) settings: scaling::Settings,
     pub(super) clock: clock::System,
     pub(super) log: slog::Logger,
 }
 
 impl Controller {
-    /// Scales for ever. Orders are sent only while this voter is the holder.
+    /// Evaluates the demand for ever while this voter leads, and sends orders while it is the
+    /// holder.
     pub(super) async fn run<D: provider::Dialect>(self, mut client: provider::Client) {
         let mut scalers = BTreeMap::new();
         let mut unusable = BTreeSet::new();
@@ -41,14 +42,14 @@
                 continue;
             }
             let may_act = client.authority().is_some();
-            let Some(records) = self.gathering.endpoints(self.clock.now()) else {
+            let Some(records) = self.collector.endpoints(self.clock.now()) else {
                 continue;
             };
             for (service, offer) in self.offers() {
                 if !offer.is_usable() {
                     if unusable.insert(service.clone()) {
                         let why = "the offer's minimum exceeds its maximum, or it names no zone";
-                        event!(self.log, TaskOff, "task" => "scaling", "service" => %service, "why" => why);
+                        event!(self.log, TaskNotAllowed, "task" => "scaling", "service" => %service, "why" => why);
                     }
                     continue;
                 }
@@ -59,8 +60,8 @@
                 let scaler =
                     scaler.or_insert_with(|| scaling::Scaler::new(self.settings.clone(), now));
                 let orders = scaler.step(&offer, &seen, now);
-                // A leader that may not act yet keeps observing, so that it knows the demand once it
-                // may, but sends no orders.
+                // A leader that may not act yet keeps observing, so that it knows the demand once
+                // it may, but sends no orders.
                 for order in orders.into_iter().filter(|_| may_act) {
                     self.send_order::<D>(&mut client, &service, scaler, &order)
                         .await;
@@ -90,7 +91,7 @@
             cordoned: published.ledger.document().cordoned.clone(),
             ..scaling::Observed::default()
         };
-        let hub = lock(self.endpoints.hub());
+        let hub = lock(self.soft_state.hub());
         for record in records.iter().filter(|record| record.service == *service) {
             let zone = seen.zones.entry(record.zone.clone()).or_default();
             let ready = record.state == registry::State::Ready;
@@ -110,7 +111,8 @@
         seen
     }
 
-    /// Commits an order to the voters' log, then sends it to the provider.
+    /// Commits an order to the voters' log, then sends it to the provider. An order that could not
+    /// be committed is not sent.
     async fn send_order<D: provider::Dialect>(
         &self,
         client: &mut provider::Client,
--- a/src/scalewood/ops/control/usage.rs
+++ b/src/scalewood/ops/control/usage.rs
@@ -9,7 +9,7 @@
 use crate::{
     core::{ledger, usage},
     event,
-    ops::control::{collect, provider, registry::Endpoints, Handle},
+    ops::control::{collect, provider, registry::SoftState, Handle},
     util::{
         clock::{self, Clock as _},
         lock::lock,
@@ -22,8 +22,9 @@
 /// How long after a window's end a box must have reported for its counts to be complete. It covers
 /// the error of the box's estimate of the agreed time of day.
 const CLOCK_MARGIN: Duration = Duration::from_millis(100);
-/// The part of the time until a report is due for which the reporter waits for boxes that have not
-/// reported since the window's end: longer than most network partitions, with time left to report.
+/// The fraction of the time until a report is due for which the reporter waits for boxes and voters
+/// that have not been heard since the window's end: longer than most network partitions, with time
+/// left to report.
 const MAX_WAIT_RATIO: f64 = 0.7;
 /// The windows before the one being closed whose totals are kept.
 const RETAINED_WINDOWS: u64 = 12;
@@ -31,8 +32,8 @@
 /// Commits and reports the usage of teams.
 pub(super) struct Reporter {
     pub(super) handle: Handle,
-    pub(super) endpoints: Endpoints,
-    pub(super) gathering: collect::Collector,
+    pub(super) soft_state: SoftState,
+    pub(super) collector: collect::Collector,
     pub(super) clock: clock::System,
     pub(super) settings: provider::Settings,
     pub(super) hold: provider::Hold,
@@ -53,9 +54,9 @@
         }
     }
 
-    /// Returns the agreed time of day.
+    /// Returns the time of day that the voters agree on, in milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64 {
-        self.endpoints.unix_ms(self.handle.voter_count())
+        self.soft_state.unix_ms(self.handle.voter_count())
     }
 
     /// Returns the windows that have ended and are not committed yet.
@@ -63,7 +64,7 @@
         let published = self.handle.published();
         let now = self.unix_ms();
         let has_ended = |window: &usage::Window| window.end_ms(self.settings.window) < now;
-        let book = lock(self.endpoints.usage());
+        let book = lock(self.soft_state.usage());
         let windows = book.windows().into_iter().filter(has_ended);
         let is_open = |window: &usage::Window| !published.ledger.usage().is_closed(*window);
         windows.filter(is_open).collect()
@@ -74,21 +75,21 @@
         let end = window.end_ms(self.settings.window);
         let now = self.unix_ms();
         let after = |duration: Duration| end + millis(duration);
-        let running = end.saturating_sub(2 * millis(self.settings.window));
+        let running_since = end.saturating_sub(2 * millis(self.settings.window));
         let (missing, counts) = {
-            let mut book = lock(self.endpoints.usage());
-            let missing = book.lagging(running, after(CLOCK_MARGIN));
+            let mut book = lock(self.soft_state.usage());
+            let missing = book.lagging(running_since, after(CLOCK_MARGIN));
             let counts = book.totals(window);
             book.forget(
                 usage::Window(window.0.saturating_sub(RETAINED_WINDOWS)),
-                running,
+                running_since,
             );
             (missing, counts)
         };
         let wait = self.settings.due.mul_f64(MAX_WAIT_RATIO);
         let ago = Duration::from_millis(now.saturating_sub(after(CLOCK_MARGIN)));
         let since = self.clock.now().saturating_sub(ago);
-        let Some(unheard) = lock(self.gathering.voters()).unanswered_since(since) else {
+        let Some(unheard) = lock(self.collector.voters()).unanswered_since(since) else {
             return;
         };
         let is_complete = missing.is_empty() && unheard.is_empty();
@@ -120,7 +121,7 @@
     fn reported(&self) -> BTreeSet<usage::Window> {
         let published = self.handle.published();
         let windows = published.ledger.usage().windows();
-        let accepted = lock(self.endpoints.reported_windows());
+        let accepted = lock(self.soft_state.reported_windows());
         let unrecorded = accepted
             .iter()
             .filter(|w| windows.get(w).is_some_and(|agreed| !agreed.reported));
@@ -145,7 +146,7 @@
                 .call(&authority, request, D::classify_report, &what)
                 .await;
             if outcome == provider::Outcome::Taken {
-                lock(self.endpoints.reported_windows()).insert(window);
+                lock(self.soft_state.reported_windows()).insert(window);
             }
         }
     }
@@ -155,7 +156,7 @@
     fn next_due(&self) -> Option<(usage::Window, usage::Agreed)> {
         let published = self.handle.published();
         let windows = published.ledger.usage().windows();
-        let mut accepted = lock(self.endpoints.reported_windows());
+        let mut accepted = lock(self.soft_state.reported_windows());
         accepted.retain(|window| windows.contains_key(window));
         let is_due = |window: &usage::Window, agreed: &usage::Agreed| {
             !agreed.reported && !agreed.counts.is_empty() && !accepted.contains(window)
--- a/src/scalewood/ops/entry/answer_head.rs
+++ b/src/scalewood/ops/entry/answer_head.rs
@@ -1,4 +1,5 @@
-//! Signals in the head of an endpoint's answer: a requested backoff, a request limit, and leaving.
+//! Signals in the head of an endpoint's answer: a requested backoff, a request limit, and that the
+//! endpoint is leaving.
 //!
 //! Routed requests, streams, plain calls and health checks all read them here, so that a signal
 //! seen by one of them applies to all.
@@ -21,9 +22,9 @@
     util::{clock::Clock as _, lock::lock},
 };
 
-/// How long a configured endpoint that signals in an answer that it leaves gets no requests. It
-/// does not register, so this box never learns of a new start of it: after this time a request
-/// tries it again.
+/// How long a configured endpoint gets no requests after it signals that it is leaving. It does not
+/// register, so this box never learns that it has started again: after this time a request tries
+/// it.
 const CONFIGURED_LEAVING_BACKOFF: Duration = Duration::from_secs(10);
 
 /// Classifies the answer of an endpoint to a request of a service, and records the signals that
@@ -97,7 +98,7 @@
     }
 }
 
-/// Records the backoff that an endpoint requests, if it does.
+/// Records the backoff that the headers of an answer request, if any.
 fn record_backoff<B>(
     board: &Shared,
     service: &name::Service,
@@ -105,16 +106,16 @@
     response: &Response<B>,
 ) {
     let headers = response.headers();
-    let unix_ms = lock(&board.wall).unix_ms(board.clock.unix_ms(), now(board));
+    let unix_ms = lock(&board.wall_clock).unix_ms(board.clock.unix_ms(), now(board));
     match ops::backoff::parse(headers, unix_ms) {
         backoff::Parsed::Absent => {}
         backoff::Parsed::Invalid => {
-            event!(board.log, RestUnreadable, "endpoint" => %target.endpoint,
+            event!(board.log, BackoffUnreadable, "endpoint" => %target.endpoint,
                 "asked" => ops::backoff::text(headers));
         }
         backoff::Parsed::For(length) => {
-            board.metrics.rests_asked.inc();
-            event!(board.log, EndpointRests, "endpoint" => %target.endpoint,
+            board.metrics.backoffs_requested.inc();
+            event!(board.log, BackoffRequested, "endpoint" => %target.endpoint,
                 "incarnation" => target.start.map(|start| start.0),
                 "asked" => ops::backoff::text(headers), "rest_ms" => length.as_millis());
             let now = now(board);
@@ -123,7 +124,7 @@
     }
 }
 
-/// Records that an endpoint leaves. A configured endpoint, which isn't in the registry, gets a
+/// Records that an endpoint is leaving. A configured endpoint, which isn't in the registry, gets a
 /// backoff instead.
 fn record_leaving(board: &Shared, service: &name::Service, target: &Target) {
     if lock(&board.registry).get(&target.endpoint).is_none() {
--- a/src/scalewood/ops/entry/call.rs
+++ b/src/scalewood/ops/entry/call.rs
@@ -33,8 +33,10 @@
     pub(super) arrived_at: Duration,
     /// The length of the prompt, as estimated or as the caller stated.
     pub(super) prompt: unit::Tokens,
+    /// The hash of the prompt's beginning, for requests to scalewood's own model API.
     pub(super) prefix: Option<dispatch::Prefix>,
-    pub(super) placed: Option<dispatch::Placed>,
+    /// The shared prefix that the caller stated, for requests of routes.
+    pub(super) placement_key: Option<dispatch::PlacementKey>,
     /// The regions that may serve it, by the configuration in force at its arrival.
     pub(super) allowed: residency::Allowed,
     /// The configuration entries from which the regions are derived again for later attempts.
@@ -122,7 +124,7 @@
         arrived_at: arrived,
         prompt: size.prompt,
         prefix,
-        placed: None,
+        placement_key: None,
         first_token_patience: None,
         is_client_retry: false,
         content,
@@ -215,13 +217,14 @@
     f64::from(waiting) / f64::from(slots.max(1))
 }
 
-/// Takes the request and its prompt tokens from the team's rate limits.
+/// Charges the request and its prompt tokens to the team's rate limits, or refuses the request if
+/// it exceeds one of them.
 fn admit(board: &Shared, call: &Call, rights: &config::Team) -> Result<(), Refusal> {
     if rights.requests.is_none() && rights.tokens.is_none() {
         return Ok(());
     }
     let now = now(board);
-    let mut shard = board.limits.shard(&call.team);
+    let mut shard = board.team_buckets.shard(&call.team);
     let buckets = shard.entry(call.team.clone()).or_insert(Buckets {
         requests: None,
         tokens: None,
@@ -265,7 +268,7 @@
         return;
     };
     let now = now(board);
-    let mut shard = board.limits.shard(&call.team);
+    let mut shard = board.team_buckets.shard(&call.team);
     if let Some(bucket) = shard.get_mut(&call.team).and_then(|b| b.tokens.as_mut()) {
         // Answers are far shorter than 2^52 tokens, so the conversion is exact.
         bucket.charge(tokens.0 as f64, rate, now);
@@ -283,11 +286,11 @@
             target: self.class.target,
             deadline: self.class.deadline,
             patience: self.first_token_patience,
-            returned: self.is_client_retry,
+            is_client_retry: self.is_client_retry,
             prompt: self.prompt,
             delivered: unit::Tokens(0),
             prefix: self.prefix,
-            placed: self.placed,
+            placement_key: self.placement_key,
             allowed: self.allowed.clone(),
             preemptible: preemptible && self.class.preemptible,
             preempted: 0,
--- a/src/scalewood/ops/entry/routed/mod.rs
+++ b/src/scalewood/ops/entry/routed/mod.rs
@@ -1,8 +1,9 @@
-//! Serves requests that go by routes, from the caller's head to the final answer.
+//! Serves requests of routes, from the caller's head to the final answer.
 //!
-//! - `outgoing`: the head and body that an endpoint gets.
+//! - `outgoing`: the head and body that are sent to an endpoint.
 //! - `pool`: idle connections to endpoints.
 //! - `attempt`: attempts at endpoints, until one answers or no further one is allowed.
+//! - `retries`: decides whether and when another attempt follows.
 //! - `stream`: relays a stream, and resumes it at another endpoint on failure.
 //! - `reply`: the answers to callers.
 //! - `returning`: detects callers that try again after a refusal.
@@ -40,13 +41,13 @@
 /// How long after its start a box has its routes and endpoints, if the voters start at the same
 /// time.
 const STARTUP_TIME: Duration = Duration::from_millis(1200);
-/// The shortest wait that a caller is told while this box has no routes.
+/// The least wait stated to callers while this box has no routes.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// How often idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What serving requests of routes needs of this box.
+/// The state of this box that serving requests of routes needs.
 #[derive(Clone, Debug)]
 pub(super) struct Context<D> {
     board: Shared,
@@ -54,6 +55,7 @@
     limits: Limits,
     retries: retry::Allowance,
     longest: returning::Longest,
+    /// When this box started, by the process's clock.
     started: Duration,
     dialect: PhantomData<D>,
 }
@@ -155,7 +157,7 @@
         };
         let (parts, body) = request.into_parts();
         let host = host_of(&parts).unwrap_or_default();
-        let name = view.table.route(host, parts.uri.path()).ok_or_else(|| {
+        let name = view.routes.route(host, parts.uri.path()).ok_or_else(|| {
             let why = "no route matches this host and path";
             Refusal::not_run(StatusCode::NOT_FOUND, "unknown-route", why)
         })?;
@@ -173,7 +175,7 @@
         let caller = team.clone().unwrap_or_else(public_team);
         let content = crash::Content::new(&caller, &parts, body.clone());
         let time_limit = head.deadline.unwrap_or(Duration::MAX).min(route.timeout());
-        let rank = view.table.rank(route.tier, rights.tier);
+        let rank = view.routes.rank(route.tier, rights.tier);
         let mut call = call(
             &head,
             (caller, team.as_ref()),
@@ -218,7 +220,7 @@
     route: &route::Route,
     key: Option<&str>,
 ) -> Result<(Option<name::Team>, Rights), Refusal> {
-    let name = key.and_then(|key| view.table.team(key));
+    let name = key.and_then(|key| view.routes.team(key));
     if let Some((name, team)) = name.and_then(|name| routing.teams.get_key_value(name)) {
         let rights = Rights {
             tier: team.tier,
@@ -237,7 +239,8 @@
     ))
 }
 
-/// Returns the request in the form that dispatchers use.
+/// Returns the request with its service level. The caller sets the allowed regions and whether it
+/// is a retry.
 fn call(
     head: &Head,
     (caller, team): (name::Team, Option<&name::Team>),
@@ -268,7 +271,7 @@
         arrived_at: arrived,
         prompt: head.prompt,
         prefix: None,
-        placed: outgoing::placed(head),
+        placement_key: outgoing::placement_key(head),
         allowed: residency::Allowed::default(),
         source: residency::Source::Route {
             route: name.clone(),
--- a/src/scalewood/ops/entry/status.rs
+++ b/src/scalewood/ops/entry/status.rs
@@ -12,10 +12,11 @@
     wire::control::{ControlClient as _, Heartbeat},
 };
 
-/// The interval between two reports to a voter.
-const PERIOD: Duration = Duration::from_secs(1);
+/// The longest interval between two reports to a voter, and the wait after a failed report.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reports to all voters, for ever. A voter that can't be reached is tried again after `PERIOD`.
+/// Reports to all voters, for ever. A voter that can't be reached is tried again after
+/// `REPORT_INTERVAL`.
 pub(super) async fn run(board: Shared, voters: Vec<SocketAddr>) {
     for voter in voters {
         tokio::spawn(report_to(board.clone(), voter));
@@ -28,10 +29,10 @@
         if let Ok(client) = rpc::connect(voter).await {
             while client.beat(report(&board)).await.is_ok() {
                 // A new revision is reported at once.
-                let _ = tokio::time::timeout(PERIOD, feed.changed()).await;
+                let _ = tokio::time::timeout(REPORT_INTERVAL, feed.changed()).await;
             }
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
@@ -63,7 +64,7 @@
 }
 
 fn limits(board: &Shared) -> Vec<(name::Endpoint, throttle::Limit)> {
-    let throttles = lock(&board.throttles);
+    let throttles = lock(&board.endpoint_limits);
     let limited = throttles.all().take(MAX_LISTED);
     limited
         .map(|(name, _, limit)| (name.clone(), limit))
--- a/src/scalewood/ops/entry/throttle.rs
+++ b/src/scalewood/ops/entry/throttle.rs
@@ -11,8 +11,8 @@
     util::lock::lock,
 };
 
-/// Records the limit in an answer's headers. A missing header ends the limit only if the answer
-/// is the endpoint's own to the request (`is_own`).
+/// Records the limit in an answer's headers. A missing header ends the limit only if the endpoint
+/// ran the request and this is its answer (`is_own`).
 pub(super) fn observe<D: Dialect, B>(
     board: &Shared,
     target: &Target,
@@ -33,7 +33,7 @@
         }
     };
     let outcome = {
-        let mut throttles = lock(&board.throttles);
+        let mut throttles = lock(&board.endpoint_limits);
         throttles.observe(
             &target.endpoint,
             target.start,
@@ -57,7 +57,7 @@
 pub(super) fn merge(board: &Shared, rows: &[throttle::Row], by: impl fmt::Display) {
     let now = now(board);
     let changed: Vec<_> = {
-        let mut throttles = lock(&board.throttles);
+        let mut throttles = lock(&board.endpoint_limits);
         let changed = rows.iter().filter(|row| throttles.merge(row, now));
         let change = |row: &throttle::Row| dispatch::LimitChange {
             endpoint: row.endpoint.clone(),
@@ -71,20 +71,20 @@
     }
 }
 
-/// Logs changed limits, with the box or voter they came from, and applies them to the dispatchers
-/// of this box.
+/// Logs changed limits with `by`, the box or voter that reported them, and applies them to the
+/// dispatchers of this box.
 fn apply(board: &Shared, changes: Vec<dispatch::LimitChange>, by: impl fmt::Display) {
     for change in &changes {
         let endpoint = &change.endpoint;
         let start = change.start.map(|start| start.0);
         match change.limit {
-            Some(limit) => event!(board.log, LimitNamed, "endpoint" => %endpoint,
+            Some(limit) => event!(board.log, LimitAnnounced, "endpoint" => %endpoint,
                 "incarnation" => start, "limit" => %limit, "by" => %by),
             None => event!(board.log, LimitEnded, "endpoint" => %endpoint,
                 "incarnation" => start, "by" => %by),
         }
     }
-    let limited = lock(&board.throttles).all().count();
+    let limited = lock(&board.endpoint_limits).all().count();
     let limited = i64::try_from(limited).unwrap_or(i64::MAX);
     board.metrics.limited_endpoints.set(limited);
     for service in dispatchers::services(board) {
@@ -99,7 +99,7 @@
     else {
         return;
     };
-    let throttles = lock(&board.throttles);
+    let throttles = lock(&board.endpoint_limits);
     for spec in specs {
         let admission = &mut spec.admission;
         admission.limit = throttles.limit(&spec.name, admission.incarnation);
@@ -118,22 +118,22 @@
     wanted
 }
 
-/// Gives the permits that a voter issued to the dispatchers of this box. Their validity counts
-/// from when they were asked for.
+/// Passes the permits that a voter issued to the dispatchers of this box. Their validity counts
+/// from when they were requested.
 pub(super) fn apply_permits(board: &Shared, issued: Vec<throttle::Issued>, asked_at: Duration) {
     if issued.is_empty() {
         return;
     }
     let count: u32 = issued.iter().map(|issued| issued.count).sum();
     board.metrics.permits.inc_by(u64::from(count));
-    let passes = issued.into_iter().map(|issued| dispatch::Pass {
+    let permits = issued.into_iter().map(|issued| dispatch::IssuedPermits {
         endpoint: issued.endpoint,
         count: issued.count,
         until: asked_at + issued.remaining,
     });
-    let passes: Vec<_> = passes.collect();
+    let permits: Vec<_> = permits.collect();
     for service in dispatchers::services(board) {
-        dispatchers::apply_input(board, &service, dispatch::Input::Permits(passes.clone()));
+        dispatchers::apply_input(board, &service, dispatch::Input::Permits(permits.clone()));
     }
 }
 
@@ -143,5 +143,5 @@
     endpoint: &name::Endpoint,
     start: registry::Start,
 ) -> Option<Duration> {
-    lock(&board.throttles).limited_since(endpoint, start)
+    lock(&board.endpoint_limits).limited_since(endpoint, start)
 }
--- a/src/scalewood/store/journal.rs
+++ b/src/scalewood/store/journal.rs
@@ -67,7 +67,7 @@
     /// The journal.
     pub journal: Journal<M>,
     /// The state that its records add up to.
-    pub kept: Persisted<S>,
+    pub persisted: Persisted<S>,
     /// The size in bytes of the torn last record, which was dropped.
     pub dropped: usize,
 }
@@ -93,8 +93,8 @@
     /// # Errors
     ///
     /// Fails if the file can't be written.
-    pub fn create<S: State>(mut media: M, kept: Persisted<S>) -> Result<Self, Error> {
-        let bytes = encode_state(&kept)?;
+    pub fn create<S: State>(mut media: M, state: Persisted<S>) -> Result<Self, Error> {
+        let bytes = encode_state(&state)?;
         media.replace(FILE_NAME, &bytes)?;
         Ok(Self {
             media,
@@ -115,14 +115,17 @@
     /// Fails if the journal is missing or damaged.
     pub fn open<S: State>(mut media: M) -> Result<Opened<M, S>, Error> {
         let bytes = media.read(FILE_NAME)?.ok_or(Error::Missing)?;
-        let mut kept = Persisted::default();
+        let mut persisted = Persisted::default();
         let mut offset = 0;
         let mut records = 0;
         while offset < bytes.len() {
             let Some((record, end)) = parse::<S>(&bytes, offset)? else {
                 break;
             };
-            record.0.into_iter().for_each(|write| kept.replay(write));
+            record
+                .0
+                .into_iter()
+                .for_each(|write| persisted.replay(write));
             offset = end;
             records += 1;
         }
@@ -140,7 +143,7 @@
         };
         Ok(Opened {
             journal,
-            kept,
+            persisted,
             dropped,
         })
     }
@@ -167,8 +170,8 @@
     /// # Errors
     ///
     /// Fails if the file can't be written; the old journal then remains.
-    pub fn compact<S: State>(&mut self, kept: &Persisted<S>) -> Result<(), Error> {
-        let bytes = encode_state(kept)?;
+    pub fn compact<S: State>(&mut self, state: &Persisted<S>) -> Result<(), Error> {
+        let bytes = encode_state(state)?;
         self.media.replace(FILE_NAME, &bytes)?;
         self.length = bytes.len();
         self.syncs += 1;
@@ -192,13 +195,13 @@
 }
 
 /// Encodes a state as a journal of a single record.
-fn encode_state<S: State>(kept: &Persisted<S>) -> Result<Vec<u8>, Error> {
+fn encode_state<S: State>(state: &Persisted<S>) -> Result<Vec<u8>, Error> {
     let mut writes = vec![
-        Write::Restart(kept.snapshot.clone()),
-        Write::Vote(kept.term, kept.voted.clone()),
+        Write::Restart(state.snapshot.clone()),
+        Write::Vote(state.term, state.voted.clone()),
     ];
-    if !kept.entries.is_empty() {
-        writes.push(Write::Append(kept.entries.clone()));
+    if !state.entries.is_empty() {
+        writes.push(Write::Append(state.entries.clone()));
     }
     encode(&Record(writes))
 }
@@ -265,18 +268,18 @@
 #[derive(Debug)]
 pub struct Writer<M, S: State> {
     journal: Journal<M>,
-    kept: Persisted<S>,
+    state: Persisted<S>,
 }
 
 impl<M: media::Media, S: State> Writer<M, S> {
-    /// Returns a keeper of a journal, which holds the given state.
-    pub fn new(journal: Journal<M>, kept: Persisted<S>) -> Self {
-        Self { journal, kept }
+    /// Creates a writer of a journal whose records add up to the given state.
+    pub fn new(journal: Journal<M>, state: Persisted<S>) -> Self {
+        Self { journal, state }
     }
 
     /// Returns the state that the journal holds.
-    pub fn kept(&self) -> &Persisted<S> {
-        &self.kept
+    pub fn persisted(&self) -> &Persisted<S> {
+        &self.state
     }
 
     /// Returns the journal.
@@ -292,15 +295,15 @@
     pub fn write(&mut self, writes: Vec<raft::Write<S>>) -> Result<bool, Error> {
         if !needs_compaction(&writes) {
             for write in &writes {
-                self.kept.replay(write.clone());
+                self.state.replay(write.clone());
             }
             self.journal.write(writes)?;
             return Ok(false);
         }
         for write in writes {
-            self.kept.replay(write);
+            self.state.replay(write);
         }
-        self.journal.compact(&self.kept)?;
+        self.journal.compact(&self.state)?;
         Ok(true)
     }
 }
